--- a/flintshift/benchlink.py
+++ b/flintshift/benchlink.py
@@ -72,7 +72,7 @@
             "timeTakenMs": ("took_ms", number),
         },
     ),
-    "DROPPED": (api.CallerGone, {"opId": REQUEST}),
+    "DROPPED": (api.CallerDisconnected, {"opId": REQUEST}),
     "NEEDS": (api.CallNeeded, {"opId": REQUEST}),
     "CALL_RESULT": (
         api.CallEnded,
@@ -82,7 +82,7 @@
             "timeTakenMs": ("took_ms", number),
         },
     ),
-    "DRAIN": (api.Leaving, {"expiresInMs": ("stops_in_ms", number)}),
+    "DRAIN": (api.DrainStarted, {"expiresInMs": ("stops_in_ms", number)}),
     "DUE": (api.Woken, {"nonce": ("token", str), "telemetry": ("gauges", gauges)}),
 }
 START, DEATH, SERVER, SEED, FAULT = "ENLIST", "CRASH_NOW", "serverId", "nonce64", "EXCEPTION"
@@ -92,14 +92,14 @@
 ACTIONS: dict[type, tuple[str, dict[str, str]]] = {
     api.Run: ("EXECUTE", {"request": "opId"}),
     api.Stop: ("PREEMPT", {"request": "opId"}),
-    api.Refuse: ("BUSY", {"request": "opId", "stay_away_ms": "notBeforeForMs", "not_elsewhere": "giveUp"}),
+    api.Reject: ("BUSY", {"request": "opId", "retry_after_ms": "notBeforeForMs", "no_retry_elsewhere": "giveUp"}),
     api.Fail: ("FINISH_ERROR", {"request": "opId"}),
     api.Call: ("ASK_BELOW", {"request": "opId", "limit_ms": "tryForMs"}),
     api.SkipCall: ("FALL_BACK", {"request": "opId"}),
-    api.Keep: ("REMEMBER", {"request": "opId", "for_ms": "forTimeMs"}),
-    api.Forget: ("RELEASE_KEY", {"request": "opId"}),
+    api.RememberKey: ("REMEMBER", {"request": "opId", "retention_ms": "forTimeMs"}),
+    api.ReleaseKey: ("RELEASE_KEY", {"request": "opId"}),
     api.AnswerFromOriginal: ("ANSWER_FROM", {"request": "opId"}),
-    api.SetHealth: ("SET_HEALTH", {"good": "want", "from_store": "stored"}),
+    api.SetHealth: ("SET_HEALTH", {"healthy": "want", "from_store": "stored"}),
     api.SetFreeValue: ("SIGNAL", {"value": "x"}),
     api.CloseIdle: ("CLOSE_IDLE", {"idle_for_ms": "forTimeMs"}),
     api.WakeAt: ("SET_TIMER", {"at_ms": "atMs", "token": "nonce"}),
--- a/flintshift/control.py
+++ b/flintshift/control.py
@@ -86,7 +86,7 @@
 class Controller:
     """Decides for one server: handle() takes an event and returns the actions, in order."""
 
-    def __init__(self, settings: api.Settings, seed: int, rank: api.Rank | None = None) -> None:
+    def __init__(self, settings: api.Settings, seed: int, rank: api.FairRank | None = None) -> None:
         self.seed, self.rank = seed, rank  # no decision draws by the seed yet
         self.now = self.born_ms = self.probe_ms = self.still_ms = self.rest_ms = self.arrived_ms = 0.0
         self.pace, self.patience = LookPace(TICK_MS), CallerPatience()
@@ -113,13 +113,13 @@
             api.Started: self._started,
             api.Arrived: self._arrived,
             api.RunEnded: self._run_ended,
-            api.CallerGone: self._gone,
+            api.CallerDisconnected: self._gone,
             api.CallNeeded: self._call_needed,
             api.CallEnded: self._call_ended,
-            api.Leaving: self._leaving,
+            api.DrainStarted: self._leaving,
             api.Woken: self._woken,
-            api.Changed: self._changed,
-            api.Learned: self._learned,
+            api.SettingsChanged: self._changed,
+            api.LearnedEstimates: self._learned,
         }
         self._settle(settings)
 
@@ -144,7 +144,7 @@
         if now_ms > self.now:
             self.released.clear()
         self.now, self.out = now_ms, []
-        if isinstance(event, (api.RunEnded, api.CallerGone, api.CallNeeded, api.CallEnded)):
+        if isinstance(event, (api.RunEnded, api.CallerDisconnected, api.CallNeeded, api.CallEnded)):
             work = self.work.get(event.request)
             if work is not None:  # else it is over
                 self.handlers[type(event)](work, event)
@@ -163,7 +163,7 @@
         if self.idle_ms < self.set.idle_ms:  # more callers than connections that are worth keeping
             self.out.append(api.CloseIdle(self.idle_ms))
         if self.set.deep_checks:  # they load the cores and what lies below
-            self.out.append(api.SetHealth(good=True, from_store=True))
+            self.out.append(api.SetHealth(healthy=True, from_store=True))
 
     def _woken(self, event: api.Woken) -> None:
         self.still_ms += TICK_MS  # by ticks: a pause of the process itself is no sign of hung work
@@ -212,19 +212,19 @@
             self.idle_ms = idle_ms
             self.out.append(api.CloseIdle(idle_ms))
 
-    def _changed(self, event: api.Changed) -> None:
+    def _changed(self, event: api.SettingsChanged) -> None:
         idle_ms, call_limit = self.idle_ms, self.call_limit
         self._settle(event.settings)
         self.idle_ms, self.call_limit = min(idle_ms, self.idle_ms), min(call_limit, self.call_limit)
 
-    def learned(self) -> api.Learned:
-        return api.Learned(self.limit, dict(self.run_ms))
+    def learned(self) -> api.LearnedEstimates:
+        return api.LearnedEstimates(self.limit, dict(self.run_ms))
 
-    def _learned(self, event: api.Learned) -> None:
-        self.limit = event.limit
+    def _learned(self, event: api.LearnedEstimates) -> None:
+        self.limit = event.run_limit
         self.run_ms |= {name: run_ms for name, run_ms in event.run_ms.items() if name in self.run_ms}
 
-    def _leaving(self, event: api.Leaving) -> None:
+    def _leaving(self, event: api.DrainStarted) -> None:
         self.leaving_ms, self.stop_ms = self.now, self.now + event.stops_in_ms
 
     def _stoppable(self, work: Work) -> bool:
@@ -249,7 +249,7 @@
 
     def _crowd(self) -> float:
         """The part of it that is this process's."""
-        return self.set.crowd_share * self._survived()
+        return self.set.concurrency_share * self._survived()
 
     def used(self) -> tuple[float, float, float]:
         """What its work takes now: a part of the crowd, memory in KB, time of calls in the window."""
@@ -328,7 +328,7 @@
             for_ms = kind.repeat_window_ms if keyed else self.set.fresh_ms + kind.deadline_ms
             if (len(self.keys) + 1) * self.set.key_kb <= KEYS_MOST * self.set.memory_kb:
                 self.keys[work.id] = self.now + for_ms
-                self.out.append(api.Keep(work.id, for_ms))
+                self.out.append(api.RememberKey(work.id, for_ms))
             elif keyed:
                 self._let_go(work)
 
@@ -408,7 +408,7 @@
             # A further try was refused elsewhere too, and in a storm the next will be: that costs reading.
             storm = self.storm > STORM
             futile = part < 1 or (storm and self.set.marks_repeats)  # unmarked, dear work may yet find room
-            self.out.append(api.Refuse(work.id, stay, futile and (work.arrival.marked_repeat or storm)))
+            self.out.append(api.Reject(work.id, stay, futile and (work.arrival.marked_repeat or storm)))
             self._forget(work)
             return
         self.out.append(api.Fail(work.id))
@@ -421,7 +421,7 @@
     def _forget(self, work: Work) -> None:
         """Drop work that never ran; a repeat of it is new work from now on."""
         if work.id in self.keys:
-            self.out.append(api.Forget(work.id))
+            self.out.append(api.ReleaseKey(work.id))
             del self.keys[work.id]
             self.released.add(work.id)
         self._drop(work)
@@ -443,7 +443,7 @@
             run_ms = self.run_ms[work.kind.name]
             self.run_ms[work.kind.name] += LEARN * (event.took_ms - work.waited_ms - run_ms)
 
-    def _gone(self, work: Work, _: api.CallerGone) -> None:
+    def _gone(self, work: Work, _: api.CallerDisconnected) -> None:
         self.patience.gave_up(work.arrival.caller, self.now - work.reached_ms)
         if work.stage in (Stage.HELD, Stage.FOLLOWING):
             self._forget(work)
--- a/flintshift/core/attempts.py
+++ b/flintshift/core/attempts.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import Any
 
-from flintshift.interface import Gauges, Learned, Outcome, RequestClass
+from flintshift.interface import Gauges, LearnedEstimates, Outcome, RequestClass
 
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.MOOT})  # what proves that
 
@@ -157,7 +157,7 @@
 class Taught:
     """What another process of this node has learned of its machine."""
 
-    learned: Learned
+    learned: LearnedEstimates
 
 
 @dataclass(slots=True)
--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -199,12 +199,12 @@
     def _changed(self, _: at.Changed) -> api.Event:
         settings = self._settings()
         self.posture.wait_ms = settings.advice_max_ms * settings.advice_allowed
-        return api.Changed(settings)
+        return api.SettingsChanged(settings)
 
     def _noticed(self, report: at.Notice) -> api.Event:
         self.posture.leaving = True
         self.list()
-        return api.Leaving(report.stops_in_ms)
+        return api.DrainStarted(report.stops_in_ms)
 
     # Reports of a request, wherever it stands.
 
@@ -216,7 +216,7 @@
         if self.waiting.departed(attempt):
             return None
         self.attempts.close(attempt)
-        return api.CallerGone(attempt.id)
+        return api.CallerDisconnected(attempt.id)
 
     # Arrivals.
 
--- a/flintshift/core/limit_share.py
+++ b/flintshift/core/limit_share.py
@@ -30,7 +30,7 @@
         return settings
     return replace(
         settings,
-        crowd_share=share.crowd,
+        concurrency_share=share.crowd,
         memory_kb=settings.memory_kb * max(share.memory, LEAST_MEMORY),
         call_share=settings.call_share * share.calls,
     )
--- a/flintshift/core/runs.py
+++ b/flintshift/core/runs.py
@@ -46,12 +46,12 @@
         }
         self.action_handlers: dict[type, Callable[[Attempt, Any], None]] = {
             api.Run: self._run,
-            api.Refuse: self._refuse,
+            api.Reject: self._refuse,
             api.Fail: self._fail,
             api.Call: self._call,
             api.SkipCall: self._skip_call,
-            api.Keep: self._keep,
-            api.Forget: self._forget,
+            api.RememberKey: self._keep,
+            api.ReleaseKey: self._forget,
             api.AnswerFromOriginal: self._follow,
             api.Stop: self._stop,
         }
@@ -154,11 +154,11 @@
             self.counters.add("dropped.spawn")
             self.pending.append(at.RunOver(attempt.id, Outcome.REJECTED))
 
-    def _refuse(self, attempt: Attempt, action: api.Refuse) -> None:
-        stay_away_ms = action.stay_away_ms
+    def _refuse(self, attempt: Attempt, action: api.Reject) -> None:
+        stay_away_ms = action.retry_after_ms
         if self.attempts.ranks is not None and self.posture.wait_ms and not self.posture.leaving:
             stay_away_ms = self.attempts.ranks.come_back_ms(attempt, stay_away_ms, self.posture.wait_ms)
-        self.attempts.settle(attempt, Answer(Verdict.REFUSED, b"", stay_away_ms, action.not_elsewhere))
+        self.attempts.settle(attempt, Answer(Verdict.REFUSED, b"", stay_away_ms, action.no_retry_elsewhere))
         self.attempts.close(attempt)
 
     def _fail(self, attempt: Attempt, _: api.Fail) -> None:
@@ -183,13 +183,13 @@
         if not self._workers(attempt).go_on(attempt.id, attempt.call_no):
             self.counters.add("dropped.pass")
 
-    def _keep(self, attempt: Attempt, action: api.Keep) -> None:
+    def _keep(self, attempt: Attempt, action: api.RememberKey) -> None:
         if attempt.unique is None:  # reads are kept only where answers may be shared
             return
-        self.keys.keep(attempt, self.now_ms() + action.for_ms)
+        self.keys.keep(attempt, self.now_ms() + action.retention_ms)
         self.waiting.claimed(attempt)
 
-    def _forget(self, attempt: Attempt, _: api.Forget) -> None:
+    def _forget(self, attempt: Attempt, _: api.ReleaseKey) -> None:
         self._free(attempt)
 
     def _stop(self, attempt: Attempt, _: api.Stop) -> None:
--- a/flintshift/handover/messages.py
+++ b/flintshift/handover/messages.py
@@ -116,7 +116,7 @@
 
 
 class Learned(_Word, frozen=True):
-    """What the predecessor's decisions have learned of the machine, as ``interface.Learned`` has it."""
+    """What the predecessor's decisions have learned of the machine, as ``interface.LearnedEstimates`` has it."""
 
     limit: float
     run_ms: dict[str, float]
--- a/flintshift/interface.py
+++ b/flintshift/interface.py
@@ -98,7 +98,7 @@
     advice_max_ms: float = 0.0
     over_share_worth: float = 1.0
     worth_by_work: bool = False
-    crowd_share: float = 1.0  # the part of the survivable crowd that this process may run: another has the rest
+    concurrency_share: float = 1.0  # the part of the survivable crowd that this process may run: another has the rest
 
 
 @dataclass(slots=True)
@@ -111,7 +111,7 @@
     connections: float | None = None
 
 
-Rank = Callable[[str], float]
+FairRank = Callable[[str], float]
 """Where a request that is held stands now in a fair order by club and caller: the least is next, in milliseconds at its
 share. A controller may be given one, which changes nothing and depends on what was told before alone."""
 
@@ -146,7 +146,7 @@
 
 
 @dataclass(slots=True)
-class CallerGone:
+class CallerDisconnected:
     request: str
 
 
@@ -163,7 +163,7 @@
 
 
 @dataclass(slots=True)
-class Leaving:
+class DrainStarted:
     stops_in_ms: float
 
 
@@ -174,7 +174,7 @@
 
 
 @dataclass(slots=True)
-class Changed:
+class SettingsChanged:
     """New settings hold from now on. They name all classes that are open or may still come; what is open ends under
     those that it arrived with."""
 
@@ -182,14 +182,25 @@
 
 
 @dataclass(slots=True)
-class Learned:
+class LearnedEstimates:
     """What another controller for this server has learned; told as work begins."""
 
-    limit: float  # how many run at once
+    run_limit: float  # how many run at once
     run_ms: dict[str, float]  # by class
 
 
-Event = Learned | Started | Arrived | RunEnded | CallerGone | CallNeeded | CallEnded | Leaving | Woken | Changed
+Event = (
+    LearnedEstimates
+    | Started
+    | Arrived
+    | RunEnded
+    | CallerDisconnected
+    | CallNeeded
+    | CallEnded
+    | DrainStarted
+    | Woken
+    | SettingsChanged
+)
 
 
 # Actions: what a controller answers.
@@ -206,10 +217,10 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     request: str
-    stay_away_ms: float = 0.0
-    not_elsewhere: bool = False
+    retry_after_ms: float = 0.0
+    no_retry_elsewhere: bool = False
 
 
 @dataclass(slots=True)
@@ -229,13 +240,13 @@
 
 
 @dataclass(slots=True)
-class Keep:
+class RememberKey:
     request: str
-    for_ms: float
+    retention_ms: float
 
 
 @dataclass(slots=True)
-class Forget:
+class ReleaseKey:
     request: str
 
 
@@ -246,7 +257,7 @@
 
 @dataclass(slots=True)
 class SetHealth:
-    good: bool
+    healthy: bool
     from_store: bool = False
 
 
@@ -266,5 +277,5 @@
     token: str
 
 
-RequestAction = Run | Stop | Refuse | Fail | Call | SkipCall | Keep | Forget | AnswerFromOriginal
+RequestAction = Run | Stop | Reject | Fail | Call | SkipCall | RememberKey | ReleaseKey | AnswerFromOriginal
 Action = RequestAction | SetHealth | SetFreeValue | CloseIdle | WakeAt
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -258,7 +258,7 @@
             connections = sum(len(front.connections) for front, _ in self.node.fronts)
             learned = self.decisions.controller.learned()
             self._step(
-                Used(Load(used.crowd, used.memory, used.calls, connections), Learned(learned.limit, learned.run_ms))
+                Used(Load(used.crowd, used.memory, used.calls, connections), Learned(learned.run_limit, learned.run_ms))
             )
 
     # What the node tells.
@@ -305,7 +305,7 @@
                 for front, _ in self.node.fronts:
                     front.others = others
             case Learn(learned):
-                self.decisions.pending.append(at.Taught(api.Learned(learned.limit, learned.run_ms)))
+                self.decisions.pending.append(at.Taught(api.LearnedEstimates(learned.limit, learned.run_ms)))
             case LosePeer(partial):
                 self._lose(partial)
             case Serve(out):
--- a/tests/control/steps.py
+++ b/tests/control/steps.py
@@ -10,7 +10,7 @@
 
 
 def answers(actions, request):
-    return [a for a in actions if isinstance(a, (api.Refuse, api.Fail)) and a.request == request]
+    return [a for a in actions if isinstance(a, (api.Reject, api.Fail)) and a.request == request]
 
 
 def level_under(server, busy, run_queue):
--- a/tests/control/test_admission.py
+++ b/tests/control/test_admission.py
@@ -80,9 +80,9 @@
         server.fill("buy")
         while True:
             request, actions = server.arrive(name)
-            refused = [action for action in of(actions, api.Refuse) if action.request == request]
+            refused = [action for action in of(actions, api.Reject) if action.request == request]
             if refused:
-                return refused[0].stay_away_ms
+                return refused[0].retry_after_ms
 
     assert 0 < stay("look") < stay("buy") == 1000.0
     assert 0 < stay("buy", 3) < 100.0
@@ -95,8 +95,8 @@
         refusals = []
         while not refusals:
             request, actions = server.arrive("look", marked_repeat=again)
-            refusals = [action for action in of(actions, api.Refuse) if action.request == request]
-        assert refusals[0].not_elsewhere is again
+            refusals = [action for action in of(actions, api.Reject) if action.request == request]
+        assert refusals[0].no_retry_elsewhere is again
 
 
 def test_free_window_leaves_a_lone_caller_all_until_work_is_turned_away(make):
@@ -148,8 +148,8 @@
     def wishes(marks):
         server = make(marks_repeats=marks)
         server.fill("buy")
-        refusals = [a for _ in range(200) for a in of(server.arrive("look")[1], api.Refuse)]
-        return [refusal.not_elsewhere for refusal in refusals]
+        refusals = [a for _ in range(200) for a in of(server.arrive("look")[1], api.Reject)]
+        return [refusal.no_retry_elsewhere for refusal in refusals]
 
     assert not wishes(marks=False)[0] and wishes(marks=False)[-1]
     assert not any(wishes(marks=True))
@@ -161,8 +161,8 @@
     server.fill("buy")
 
     def wishes(marked: bool) -> list[bool]:
-        acts = [a for _ in range(120) for a in of(server.arrive("look", marked_repeat=marked)[1], api.Refuse)]
-        return [refusal.not_elsewhere for refusal in acts]
+        acts = [a for _ in range(120) for a in of(server.arrive("look", marked_repeat=marked)[1], api.Reject)]
+        return [refusal.no_retry_elsewhere for refusal in acts]
 
     assert not any(wishes(marked=False))
     wishes(marked=True)
@@ -174,7 +174,7 @@
     """Guards against cores kept from a backlog of unread requests by runs that are late before they start."""
     server = make()
     _, actions = server.arrive("look", age_ms=1100.0)
-    assert of(actions, api.Refuse) and not of(actions, api.Run)
+    assert of(actions, api.Reject) and not of(actions, api.Run)
 
 
 def test_a_class_refused_for_slow_runs_is_let_in_again_once_cores_are_free(make):
@@ -259,11 +259,11 @@
     server = make(classes=[SAFE, replace(SAFE, name="gone")])
     held, _ = next((one, acts) for one, acts in (server.arrive("gone") for _ in range(99)) if not of(acts, api.Run))
     server.control.refused.update(look=0.9, gone=0.5)
-    server.step(api.Changed(replace(server.control.set, classes=[SAFE])))
+    server.step(api.SettingsChanged(replace(server.control.set, classes=[SAFE])))
     assert server.control.refused == {"look": 0.9, "gone": 0.5}  # one of its requests is open
     while held in server.control.work:
         server.tick(after_ms=1000.0)
         for request in list(server.control.work):
             server.ends(request)
-    server.step(api.Changed(server.control.set))
+    server.step(api.SettingsChanged(server.control.set))
     assert server.control.refused.keys() == {"look"}
--- a/tests/control/test_final_answers.py
+++ b/tests/control/test_final_answers.py
@@ -19,7 +19,7 @@
         for _ in range(80):
             actions = server.tick()
             for action in actions:
-                if isinstance(action, (api.Refuse, api.Fail)):
+                if isinstance(action, (api.Reject, api.Fail)):
                     assert action.request not in answered
                     assert server.now <= 4000.0
                     answered.add(action.request)
@@ -43,7 +43,7 @@
         acts = [action for _ in range(80) for action in server.tick()]
         acts += server.ends(request, Outcome.STOPPED)
         acts += [action for _ in range(10) for action in server.tick()]
-        assert not of(acts, api.Refuse) and not of(acts, api.Run)
+        assert not of(acts, api.Reject) and not of(acts, api.Run)
         assert len(answers(acts, request)) == 1
 
 
@@ -56,7 +56,7 @@
 def test_drain_runs_nothing_past_the_grace_and_answers_all_before_the_stop(make):
     server = make()
     early, _ = server.arrive("buy")
-    server.step(api.Leaving(2000.0))
+    server.step(api.DrainStarted(2000.0))
     in_grace, actions = server.arrive(age_ms=0.0)
     assert api.Run(in_grace) in actions
     server.ends(in_grace)
@@ -76,9 +76,9 @@
     server = make()
     running = server.fill()
     held, _ = server.arrive()
-    server.step(api.CallerGone(held))
+    server.step(api.CallerDisconnected(held))
     assert held not in server.control.work
-    assert api.Stop(running[0]) in server.step(api.CallerGone(running[0]))
+    assert api.Stop(running[0]) in server.step(api.CallerDisconnected(running[0]))
     server.ends(running[0], Outcome.STOPPED)
     assert not answers([action for _ in range(80) for action in server.tick()], running[0])
 
@@ -89,7 +89,7 @@
     server.ends(request)
     for event in (
         api.RunEnded(request, Outcome.MOOT),
-        api.CallerGone(request),
+        api.CallerDisconnected(request),
         api.CallNeeded(request),
         api.CallEnded(request, Outcome.OK),
     ):
@@ -116,7 +116,7 @@
         for turn in range(12):
             request, _ = server.arrive(caller=4)
             server.now += 250.0 + spread * turn
-            server.step(api.CallerGone(request))
+            server.step(api.CallerDisconnected(request))
             server.ends(request, Outcome.STOPPED)
         server.fill("buy")
         for turn in range(30):
@@ -130,16 +130,16 @@
 
 def test_a_leaving_server_sends_callers_elsewhere(make):
     server = make()
-    server.step(api.Leaving(5000.0))
+    server.step(api.DrainStarted(5000.0))
     server.now += 600
     request, actions = server.arrive(marked_repeat=True)
-    assert answers(actions, request) == [api.Refuse(request, 1000.0, False)]
+    assert answers(actions, request) == [api.Reject(request, 1000.0, False)]
 
 
 def test_callers_that_gave_up_are_remembered_in_a_bounded_number(make):
     server = make()
     for caller in range(1000):
         request, _ = server.arrive("look", caller=caller)
-        server.step(api.CallerGone(request), 1.0)
+        server.step(api.CallerDisconnected(request), 1.0)
         server.ends(request)
     assert len(server.control.patience.ages) == 256 and 999 in server.control.patience.ages
--- a/tests/control/test_fleet_sums.py
+++ b/tests/control/test_fleet_sums.py
@@ -69,7 +69,7 @@
     shape = {"cores": CORES, "fall_multiple": FALL_MULTIPLE, "cold": True, "cold_from": COLD_FROM, "cold_ms": COLD_MS}
     fleet = [make(**shape, memory_kb=1e9, servers=nodes) for _ in range(nodes)]
     for server in fleet:  # as after an upgrade: what the process before had learned was of a warm machine
-        server.step(api.Learned(100.0, {}))
+        server.step(api.LearnedEstimates(100.0, {}))
     born = {id(server): server.now for server in fleet}
     running: dict[int, dict[str, float]] = {id(server): {} for server in fleet}
     most = 0.0
--- a/tests/control/test_health_and_idle_connections.py
+++ b/tests/control/test_health_and_idle_connections.py
@@ -17,8 +17,8 @@
     for _ in range(10):
         request, actions = server.arrive("buy")
         running += len(of(actions, api.Run))
-        refused += of(actions, api.Refuse)
-    assert running <= 1 and all(refusal.stay_away_ms == 1000.0 for refusal in refused) and refused
+        refused += of(actions, api.Reject)
+    assert running <= 1 and all(refusal.retry_after_ms == 1000.0 for refusal in refused) and refused
     for _ in range(40):
         server.tick(after_ms=150)
         request, actions = server.arrive()
@@ -39,7 +39,7 @@
 
 
 def test_checks_are_answered_from_store_where_they_cost_work(make):
-    assert of(make(deep_checks=True).first, api.SetHealth) == [api.SetHealth(good=True, from_store=True)]
+    assert of(make(deep_checks=True).first, api.SetHealth) == [api.SetHealth(healthy=True, from_store=True)]
     assert not of(make().first, api.SetHealth)
 
 
@@ -58,7 +58,7 @@
         server = make(cold=cold, cold_from=0.25, cold_ms=20_000.0, list_follows_health=True)
         server.fill("buy")  # then past three run times of 150 ms, far from twelve
         acts = [act for _ in range(18) for act in server.tick(busy=1.0, run_queue=2.0)]
-        return api.SetHealth(good=False, from_store=True) in acts
+        return api.SetHealth(healthy=False, from_store=True) in acts
 
     assert reported_bad(cold=False) and not reported_bad(cold=True)
 
@@ -105,7 +105,7 @@
     for follows in (True, False):
         server = make(list_follows_health=follows)
         server.fill()
-        told = [action.good for _ in range(80) for action in of(server.tick(run_queue=3), api.SetHealth)]
+        told = [action.healthy for _ in range(80) for action in of(server.tick(run_queue=3), api.SetHealth)]
         assert told[:2] == ([False, True] if follows else [])
 
 
@@ -114,7 +114,7 @@
     running = server.fill("buy")
     for _ in range(10):
         server.tick()
-    server.step(api.CallerGone(running[0]))
+    server.step(api.CallerDisconnected(running[0]))
     server.ends(running[0], Outcome.STOPPED)
     for _ in range(3):
         server.tick()
--- a/tests/control/test_late_ticks.py
+++ b/tests/control/test_late_ticks.py
@@ -29,7 +29,7 @@
     while age_ms < 2 * DEADLINE_MS:
         actions = server.tick(gap_ms)
         age_ms += gap_ms
-        if api.Fail(request) in actions or any(isinstance(action, api.Refuse) for action in actions):
+        if api.Fail(request) in actions or any(isinstance(action, api.Reject) for action in actions):
             return age_ms
     raise AssertionError("it was never answered")
 
--- a/tests/control/test_remembered_keys.py
+++ b/tests/control/test_remembered_keys.py
@@ -10,7 +10,7 @@
 def test_keyed_is_remembered_before_it_runs_and_repeats_follow_it(make):
     server = make()
     request, actions = server.arrive("pay")
-    assert actions.index(api.Keep(request, 8000.0)) < actions.index(api.Run(request))
+    assert actions.index(api.RememberKey(request, 8000.0)) < actions.index(api.Run(request))
     again, actions = server.arrive("pay", repeat_of=request)
     assert actions == [api.AnswerFromOriginal(again)]
     acts = [action for _ in range(80) for action in server.tick()]
@@ -21,15 +21,15 @@
     server = make()
     server.tick(memory=0.99)
     request, actions = server.arrive("pay")
-    assert answers(actions, request) and not of(actions, api.Keep)
+    assert answers(actions, request) and not of(actions, api.RememberKey)
     server.tick(memory=0.1)
     server.fill("buy")
     held = [server.arrive("pay")[0] for _ in range(3)]
     acts = server.tick(after_ms=900)
-    assert {a.request for a in of(acts, api.Refuse)} >= set(held)
-    assert {a.request for a in of(acts, api.Forget)} >= set(held)
+    assert {a.request for a in of(acts, api.Reject)} >= set(held)
+    assert {a.request for a in of(acts, api.ReleaseKey)} >= set(held)
     _, actions = server.arrive("pay", repeat_of=held[0])
-    assert not of(actions, api.AnswerFromOriginal) and of(actions, api.Keep)
+    assert not of(actions, api.AnswerFromOriginal) and of(actions, api.RememberKey)
 
 
 def test_keys_have_a_memory_budget_and_leave_it_in_time(make):
@@ -42,14 +42,14 @@
     assert refused == 3
     server.tick(after_ms=8001)
     request, actions = server.arrive("pay", held_kb=1.0)
-    assert of(actions, api.Keep)
+    assert of(actions, api.RememberKey)
 
 
 def test_fresh_reads_are_kept_only_where_told(make):
     for fresh, kept in ((0.0, 0), (500.0, 1)):
         server = make(fresh_ms=fresh)
         _, actions = server.arrive("look", subject=7)
-        assert len(of(actions, api.Keep)) == kept
+        assert len(of(actions, api.RememberKey)) == kept
 
 
 def test_repeats_that_wait_for_their_original_keep_to_the_memory(make):
@@ -58,5 +58,5 @@
     original, _ = server.arrive("pay")
     answered = [server.arrive("pay", repeat_of=original, held_kb=100.0)[1] for _ in range(12)]
     failed = [acts for acts in answered if of(acts, api.Fail)]
-    assert len(failed) >= 3 and not any(of(acts, api.Refuse) for acts in answered)
+    assert len(failed) >= 3 and not any(of(acts, api.Reject) for acts in answered)
     assert len(answered) - len(failed) <= 9
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -132,14 +132,14 @@
     faster = api.RequestClass("look", 300.0, 390.0, 1.0, api.Effect.SAFE)
     new = api.RequestClass("glance", 500.0, 900.0, 1.0, api.Effect.SAFE)
     old = server.control.set
-    server.step(api.Changed(api.Settings([faster, new], 8, 10_000.0, 4.0, 5.0, 500.0, [api.Tenant("t", 5.0)])))
+    server.step(api.SettingsChanged(api.Settings([faster, new], 8, 10_000.0, 4.0, 5.0, 500.0, [api.Tenant("t", 5.0)])))
     added, actions = server.arrive("glance", tenant="t")
     assert api.Run(added) in actions
     fast, _ = server.arrive("look")
     failed = [action.request for action in server.tick(400.0) if isinstance(action, api.Fail)]
     assert failed == [fast] and kept not in failed  # 300 ms against 3 s
     assert server.control.run_ms.keys() == {"look", "glance"}  # and of `buy`, of which nothing is open, nothing is kept
-    server.step(api.Changed(old))
+    server.step(api.SettingsChanged(old))
     assert server.control.run_ms.keys() == {"look", "buy", "pay", "list", "glance"}
     server.ends(added)  # a run whose class was dropped meanwhile
 
@@ -150,11 +150,11 @@
         server.fill()
         server.tick(run_queue=4.0, busy=0.5)
     taught, older = make(cores=8, memory_kb=1e6), server.control.learned()
-    assert older.limit > 1.3 * taught.control.limit
+    assert older.run_limit > 1.3 * taught.control.limit
     full = taught.control.set
-    taught.step(api.Changed(replace(full, crowd_share=0.1)))  # of 40
+    taught.step(api.SettingsChanged(replace(full, concurrency_share=0.1)))  # of 40
     taught.step(older)
     assert len(taught.fill()) == 4
     taught.tick(run_queue=4.0, busy=0.5)
-    taught.step(api.Changed(full))
-    assert 4 + len(taught.fill()) >= math.floor(older.limit)
+    taught.step(api.SettingsChanged(full))
+    assert 4 + len(taught.fill()) >= math.floor(older.run_limit)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -101,7 +101,7 @@
                     api.RunEnded(request, self.draw.choice(RUN_ENDS), 90.0) if ends else api.CallNeeded(request),
                     4000.0 if self.draw.random() < 0.1 else 300.0,
                 )
-            elif isinstance(act, api.Refuse):
+            elif isinstance(act, api.Reject):
                 assert request not in self.ran, "refused after it ran"
                 self.answer(request)
                 self.stage[request] = "over"
@@ -127,9 +127,9 @@
                 assert self.stage[request] == "standing" and self.kind[request].skip_worth > 0
                 self.stage[request] = "running"
                 self.soon(api.RunEnded(request, Outcome.OK, 90.0), 200.0)
-            elif isinstance(act, api.Keep):
-                self.kept[request] = self.server.now + act.for_ms
-            elif isinstance(act, api.Forget):
+            elif isinstance(act, api.RememberKey):
+                self.kept[request] = self.server.now + act.retention_ms
+            elif isinstance(act, api.ReleaseKey):
                 self.kept.pop(request, None)
         self.check_limits()
 
@@ -174,7 +174,7 @@
                 self.deliver(entry[2])
             if count == ticks:
                 self.left_ms = self.server.now
-                self.check(self.server.step(api.Leaving(60 * 40.0)))
+                self.check(self.server.step(api.DrainStarted(60 * 40.0)))
             wanting = self.draw.uniform(0, 8)
             self.check(self.server.tick(after_ms=end - self.server.now, busy=0.9, run_queue=wanting))
         assert set(self.kind) == self.answered, "stopped with requests that have no answer"
