--- a/flintshift/control.py
+++ b/flintshift/control.py
@@ -30,7 +30,7 @@
 LIMIT_STEP = 0.03  # per core and tick
 RANK_STEP_MS = 50.0  # ranks in one step count as equal: there, the dearest goes first
 AIM_SHARE = 0.8  # share of the aim that waiting and running may take
-FIRST_RUN, LEARN = 0.15, 0.1  # share of the aim that a run is taken to last at first; weight of a sample
+INITIAL_RUN_SHARE, LEARN = 0.15, 0.1  # share of the aim that a run is taken to last at first; weight of a sample
 RUN_FADES = 0.97  # a tick with free cores, for what is thought of a class of which nothing runs
 SICK, SICK_LEARN, PROBE_EVERY = 0.3, 0.2, 0.1  # failing share, its weight, and a probe's spacing in aims
 STORM, STARVED, STORM_LEARN = 0.1, 0.7, 0.03  # share of further tries, of a class turned away; weight
@@ -98,11 +98,11 @@
         self.gauges, self.run_queue = api.Gauges(0.0, 0.0), 0.0  # as last seen; smoothed
         self.window = math.inf  # for each caller
         self.full = self.turned_away = False  # the memory watermark is up; load was refused this tick
-        self.limit = 1.25 * settings.cores
+        self.run_limit = 1.25 * settings.cores
         self.run_ms: dict[str, float] = {}
         self.refused: dict[str, float] = {}  # by class: share turned away lately; past STARVED it goes first
         self.quota: dict[str, tuple[float, float, float]] = {}  # by tenant: its rate here, use, and when
-        self.failing = self.storm = 0.0  # share of runs; share of further tries read, unmarked: of refusals
+        self.failure_share = self.storm = 0.0  # share of runs; share of further tries read, unmarked: of refusals
         self.call_ms = self.best_call_ms = self.gap_ms = 0.0  # a call lately, at best; between two arrivals
         self.calls: list[list[float]] = []  # below: start, end (or how long it may last), whether it is over
         self.past, self.past_ms = deque[tuple[float, float]](), 0.0  # those past their end; their sum
@@ -125,12 +125,12 @@
 
     def _settle(self, settings: api.Settings) -> None:
         """Go by these settings; what was learned stays, as far as they still name it."""
-        self.set, self.kinds = settings, {kind.name: kind for kind in settings.classes}
+        self.settings, self.kinds = settings, {kind.name: kind for kind in settings.classes}
         self.idle_ms = settings.idle_ms * min(1.0, CONNECTIONS * settings.cores / max(1, settings.callers))
         known = {*self.kinds, *(work.kind.name for work in self.work.values())}
         self.run_ms = {name: run_ms for name, run_ms in self.run_ms.items() if name in known}
         for kind in settings.classes:
-            self.run_ms.setdefault(kind.name, FIRST_RUN * kind.aim_ms)
+            self.run_ms.setdefault(kind.name, INITIAL_RUN_SHARE * kind.aim_ms)
         self.refused = {name: self.refused.get(name, 0.0) for name in known}
         self.call_share = settings.call_share or math.inf  # untold: no bound
         self.call_room_ms = settings.call_share * settings.call_window_ms or math.inf
@@ -160,9 +160,9 @@
 
     def _started(self, event: api.Started) -> None:
         self.born_ms = self.arrived_ms = self.now
-        if self.idle_ms < self.set.idle_ms:  # more callers than connections that are worth keeping
+        if self.idle_ms < self.settings.idle_ms:  # more callers than connections that are worth keeping
             self.out.append(api.CloseIdle(self.idle_ms))
-        if self.set.deep_checks:  # they load the cores and what lies below
+        if self.settings.deep_checks:  # they load the cores and what lies below
             self.out.append(api.SetHealth(healthy=True, from_store=True))
 
     def _woken(self, event: api.Woken) -> None:
@@ -170,7 +170,7 @@
         self.pace.looked(self.now)
         self.gauges = gauges = event.gauges
         runs = self._count(Stage.RUNNING)  # stands in for a gauge that the host does not have
-        gauges.busy = min(1.0, runs / self.set.cores) if gauges.busy is None else gauges.busy
+        gauges.busy = min(1.0, runs / self.settings.cores) if gauges.busy is None else gauges.busy
         gauges.run_queue = runs if gauges.run_queue is None else gauges.run_queue
         self.run_queue += 0.3 * (gauges.run_queue - self.run_queue)
         for key in [key for key, end in self.keys.items() if end <= self.now]:
@@ -178,36 +178,36 @@
         self._adjust_limit()
         # A class refused for its last run times would show no better ones: while cores are free, what is
         # thought of it fades towards the first guess, until some are let in and measured.
-        if gauges.run_queue < self.set.cores:
+        if gauges.run_queue < self.settings.cores:
             begun = {work.kind.name for work in self.work.values() if work.stage is not Stage.HELD}
-            for kind in [kind for kind in self.set.classes if kind.name not in begun]:
+            for kind in [kind for kind in self.settings.classes if kind.name not in begun]:
                 known = self.run_ms[kind.name]
-                self.run_ms[kind.name] = max(known * RUN_FADES, min(known, FIRST_RUN * kind.aim_ms))
+                self.run_ms[kind.name] = max(known * RUN_FADES, min(known, INITIAL_RUN_SHARE * kind.aim_ms))
         pressed = self._count(Stage.HELD) > 0
         for work in [work for work in self.work.values() if not work.answered]:
             if self.now + self.pace.next_ms >= min(work.due_ms, self.stop_ms):
                 self._let_go(work)
             elif pressed and self.now > work.aim_ms and not work.kind.late_worth and self._stoppable(work):
                 self._let_go(work)  # dear work that is late for certain gives its core to what is not
-        if self.set.free_value is api.FreeValue.WINDOW:
+        if self.settings.free_value is api.FreeValue.WINDOW:
             grown = self.window * (WINDOW_FALLS if self.turned_away else WINDOW_RISES)
-            self.window = min(max(grown, self.limit / max(1, self.set.callers)), WINDOW_ROOM * self.limit)
+            self.window = min(max(grown, self.run_limit / max(1, self.settings.callers)), WINDOW_ROOM * self.run_limit)
             self.turned_away = False
             self.out.append(api.SetFreeValue(round(self.window, 1)))
         # A list that follows health keeps callers off a server in trouble; it returns by turns to be probed.
         turn = self.now >= self.rest_ms and (self._trouble() or not self.healthy)
-        if turn and self.set.list_follows_health:
+        if turn and self.settings.list_follows_health:
             self.healthy = not self.healthy
-            self.rest_ms = self.now + max(kind.aim_ms for kind in self.set.classes)
+            self.rest_ms = self.now + max(kind.aim_ms for kind in self.settings.classes)
             self.out.append(api.SetHealth(self.healthy, from_store=True))
         # Open connections take a part of the cores: close idle ones early, but not when their callers will be
         # back soon, nor when new ones and reading flood the cores: then a full table is the cheapest refusal.
         idle_ms = self.idle_ms
-        if self.run_queue > FLOOD * self.set.cores or self.set.callers * self.gap_ms < COMES_BACK_MS:
+        if self.run_queue > FLOOD * self.settings.cores or self.settings.callers * self.gap_ms < COMES_BACK_MS:
             idle_ms *= IDLE_RISES
-        elif (gauges.connections or 0) > CONNECTIONS * self.set.cores and gauges.busy < LADDER[0][1]:
+        elif (gauges.connections or 0) > CONNECTIONS * self.settings.cores and gauges.busy < LADDER[0][1]:
             idle_ms *= IDLE_FALLS
-        idle_ms = min(max(idle_ms, TICK_MS), self.set.idle_ms)
+        idle_ms = min(max(idle_ms, TICK_MS), self.settings.idle_ms)
         if idle_ms != self.idle_ms:
             self.idle_ms = idle_ms
             self.out.append(api.CloseIdle(idle_ms))
@@ -217,41 +217,41 @@
         self._settle(event.settings)
         self.idle_ms, self.call_limit = min(idle_ms, self.idle_ms), min(call_limit, self.call_limit)
 
-    def learned(self) -> api.LearnedEstimates:
-        return api.LearnedEstimates(self.limit, dict(self.run_ms))
+    def learned_estimates(self) -> api.LearnedEstimates:
+        return api.LearnedEstimates(self.run_limit, dict(self.run_ms))
 
     def _learned(self, event: api.LearnedEstimates) -> None:
-        self.limit = event.run_limit
+        self.run_limit = event.run_limit
         self.run_ms |= {name: run_ms for name, run_ms in event.run_ms.items() if name in self.run_ms}
 
     def _leaving(self, event: api.DrainStarted) -> None:
         self.leaving_ms, self.stop_ms = self.now, self.now + event.stops_in_ms
 
     def _stoppable(self, work: Work) -> bool:
-        return work.stage is Stage.RUNNING and self.set.halt is not Halt.NONE
+        return work.stage is Stage.RUNNING and self.settings.halt is not Halt.NONE
 
     def _adjust_limit(self) -> None:
-        queue = self.run_queue / self.set.cores
+        queue = self.run_queue / self.settings.cores
         if queue > QUEUE_WANTED[1]:
-            self.limit -= LIMIT_STEP * self.set.cores
-        elif queue < QUEUE_WANTED[0] and self._count(Stage.RUNNING) >= self.limit - 1:
-            self.limit += LIMIT_STEP * self.set.cores
-        self.limit = min(max(self.limit, 0.75 * self.set.cores), max(1.0, CROWD * self._survived()))
+            self.run_limit -= LIMIT_STEP * self.settings.cores
+        elif queue < QUEUE_WANTED[0] and self._count(Stage.RUNNING) >= self.run_limit - 1:
+            self.run_limit += LIMIT_STEP * self.settings.cores
+        self.run_limit = min(max(self.run_limit, 0.75 * self.settings.cores), max(1.0, CROWD * self._survived()))
 
     def _speed(self) -> float:
         """The share of its full speed that the server has at the least."""
-        risen = (self.now - self.born_ms) / max(1.0, self.set.cold_ms) if self.set.cold else 1.0
-        return max(LEAST_SPEED, 1 - (1 - self.set.cold_from) * max(0.0, 1 - risen))
+        risen = (self.now - self.born_ms) / max(1.0, self.settings.cold_ms) if self.settings.cold else 1.0
+        return max(LEAST_SPEED, 1 - (1 - self.settings.cold_from) * max(0.0, 1 - risen))
 
     def _survived(self) -> float:
         """The survivable crowd, smaller while the server is cold."""
-        return self.set.cores * (1 + (self.set.fall_multiple - 1) * self._speed())
+        return self.settings.cores * (1 + (self.settings.fall_multiple - 1) * self._speed())
 
     def _crowd(self) -> float:
         """The part of it that is this process's."""
-        return self.set.concurrency_share * self._survived()
+        return self.settings.concurrency_share * self._survived()
 
-    def used(self) -> tuple[float, float, float]:
+    def resource_usage(self) -> tuple[float, float, float]:
         """What its work takes now: a part of the crowd, memory in KB, time of calls in the window."""
         crowd = self._count(Stage.RUNNING, Stage.LINED, Stage.CALLING) / self._survived()
         return crowd, self._memory_kb(), self._call_room()[1]
@@ -284,13 +284,13 @@
             self.kb = [0.0, 0.0]  # no rounding is carried on
 
     def _memory_kb(self) -> float:
-        return self.kb[True] + self.kb[False] * self.set.run_factor + len(self.keys) * self.set.key_kb
+        return self.kb[True] + self.kb[False] * self.settings.run_factor + len(self.keys) * self.settings.key_kb
 
     def _trouble(self) -> bool:
         """This server errs or stands still: turn away, and keep a trickle to see it recover."""
         still = self.still_ms > STALL * max(self.run_ms.values()) / self._speed()
-        self.stuck |= still and self._count(Stage.RUNNING) * 2 >= self.set.cores
-        return self.stuck or self.failing > SICK
+        self.stuck |= still and self._count(Stage.RUNNING) * 2 >= self.settings.cores
+        return self.stuck or self.failure_share > SICK
 
     def _progress(self) -> None:
         self.still_ms, self.stuck = 0.0, False
@@ -299,7 +299,7 @@
 
     def _arrived(self, event: api.Arrived) -> None:
         kind = self.kinds[event.class_name]
-        self.storm += STORM_LEARN * ((event.marked_repeat and self.set.marks_repeats) - self.storm)
+        self.storm += STORM_LEARN * ((event.marked_repeat and self.settings.marks_repeats) - self.storm)
         self.gap_ms += STORM_LEARN * (self.now - self.arrived_ms - self.gap_ms)
         self.arrived_ms = self.now
         reached = self.now - event.age_ms
@@ -314,19 +314,19 @@
         if event.repeat_of and event.repeat_of not in self.released:
             self._place(work, Stage.FOLLOWING)
             self.out.append(api.AnswerFromOriginal(work.id))
-            if self._memory_kb() > MEMORY_HARD * self.set.memory_kb:
+            if self._memory_kb() > MEMORY_HARD * self.settings.memory_kb:
                 self._let_go(work)  # by a failure: its original may have run
             return
-        level = max(self._memory_kb() / self.set.memory_kb, self.gauges.memory or 0.0)
+        level = max(self._memory_kb() / self.settings.memory_kb, self.gauges.memory or 0.0)
         self.full = level > (MEMORY_LOW if self.full else MEMORY_HIGH)
-        late = reached > self.leaving_ms + self.set.drain_grace_ms
+        late = reached > self.leaving_ms + self.settings.drain_grace_ms
         if self.full or late or self.now >= self.stop_ms - self.pace.next_ms:
             self._let_go(work)
             return
         keyed = kind.effect is Effect.KEYED
-        if keyed or (kind.effect is Effect.SAFE and self.set.fresh_ms > 0 and event.subject is not None):
-            for_ms = kind.repeat_window_ms if keyed else self.set.fresh_ms + kind.deadline_ms
-            if (len(self.keys) + 1) * self.set.key_kb <= KEYS_MOST * self.set.memory_kb:
+        if keyed or (kind.effect is Effect.SAFE and self.settings.fresh_ms > 0 and event.subject is not None):
+            for_ms = kind.repeat_window_ms if keyed else self.settings.fresh_ms + kind.deadline_ms
+            if (len(self.keys) + 1) * self.settings.key_kb <= KEYS_MOST * self.settings.memory_kb:
                 self.keys[work.id] = self.now + for_ms
                 self.out.append(api.RememberKey(work.id, for_ms))
             elif keyed:
@@ -339,10 +339,10 @@
             used = max(0.0, used - rate * (self.now - then) / 1000)
             over = used > rate * QUOTA_BURST_S
             self.quota[tenant] = (rate, used if over else used + 1, self.now)
-            worth *= self.set.over_share_worth if over else 1.0
+            worth *= self.settings.over_share_worth if over else 1.0
         # Classes of one worth count alike: a small difference in run time would starve one.
-        peers = [self.run_ms[peer.name] for peer in self.set.classes if peer.worth == kind.worth]
-        return worth if self.set.worth_by_work else worth * len(peers) / sum(peers)
+        peers = [self.run_ms[peer.name] for peer in self.settings.classes if peer.worth == kind.worth]
+        return worth if self.settings.worth_by_work else worth * len(peers) / sum(peers)
 
     # The hold and the runs.
 
@@ -355,18 +355,18 @@
                 work.order = self.rank(work.id) // RANK_STEP_MS, work.order[1], work.order[2]
         held.sort(key=BY_VALUE)
         trouble, on_cores, memory, ahead = self._trouble(), self._count(Stage.RUNNING), self._memory_kb(), 0.0
-        limit = min(self.limit, on_cores + math.floor(self._crowd_room()))
+        limit = min(self.run_limit, on_cores + math.floor(self._crowd_room()))
         lined = self.must_call
         below_ms = self.call_ms / min(1.0, self.call_limit)
-        stop_ms, most_kb = self.stop_ms - 2 * TICK_MS, MEMORY_HARD * self.set.memory_kb
+        stop_ms, most_kb = self.stop_ms - 2 * TICK_MS, MEMORY_HARD * self.settings.memory_kb
         for work in held:
             run_ms = self.run_ms[work.kind.name]
             must_call = work.must_call
-            grown = work.arrival.held_kb * (self.set.run_factor - 1)
+            grown = work.arrival.held_kb * (self.settings.run_factor - 1)
             fits = memory + grown <= most_kb
             ends = self.now + run_ms + must_call * (1 + lined) * below_ms
             if on_cores >= limit:
-                ends += (ahead + run_ms / 2) / self.limit
+                ends += (ahead + run_ms / 2) / self.run_limit
             latest = work.reached_ms + AIM_SHARE * (work.aim_ms - work.reached_ms)
             if trouble or ends > latest or ends > stop_ms:
                 probe = on_cores < 1 and fits and self.now >= self.probe_ms
@@ -385,7 +385,7 @@
     def _start(self, work: Work) -> None:
         """The ladder: the richest level whose threshold the busy share does not exceed, held to the end."""
         work.level = FULL
-        if (self.gauges.run_queue or 0.0) > QUEUE_GATE * self.set.cores:
+        if (self.gauges.run_queue or 0.0) > QUEUE_GATE * self.settings.cores:
             busy = self.gauges.busy or 0.0
             work.level = next(level for level, threshold in LADDER if busy <= threshold)
         self.refused[work.kind.name] *= 1 - STORM_LEARN * work.in_share
@@ -397,17 +397,17 @@
         if work.stage is Stage.HELD:
             # Advice keeps a caller's dearest work away too: for load it is short, shorter where there are few
             # other servers to go to, and cheap work turned away earns little of it.
-            dearest = max(self._value(kind, None) for kind in self.set.classes)
+            dearest = max(self._value(kind, None) for kind in self.settings.classes)
             own = self.full or self._trouble() or self.leaving_ms < math.inf  # others are likely better off
             part = 1.0 if own else min(1.0, work.value / dearest)
-            most_ms = math.inf if own else STAY * self.set.servers * work.kind.aim_ms
-            stay = part * min(most_ms, self.set.advice_max_ms) * self.set.advice_allowed
+            most_ms = math.inf if own else STAY * self.settings.servers * work.kind.aim_ms
+            stay = part * min(most_ms, self.settings.advice_max_ms) * self.settings.advice_allowed
             self.turned_away = True
             self.refused[work.kind.name] += STORM_LEARN * (1 - self.refused[work.kind.name]) * work.in_share
-            self.storm += STORM_LEARN * (not self.set.marks_repeats)
+            self.storm += STORM_LEARN * (not self.settings.marks_repeats)
             # A further try was refused elsewhere too, and in a storm the next will be: that costs reading.
             storm = self.storm > STORM
-            futile = part < 1 or (storm and self.set.marks_repeats)  # unmarked, dear work may yet find room
+            futile = part < 1 or (storm and self.settings.marks_repeats)  # unmarked, dear work may yet find room
             self.out.append(api.Reject(work.id, stay, futile and (work.arrival.marked_repeat or storm)))
             self._forget(work)
             return
@@ -429,7 +429,7 @@
     def _run_ended(self, work: Work, event: api.RunEnded) -> None:
         self._drop(work)
         if work.stage is Stage.CALLING:
-            work.call[1:] = self.now + self.set.linger_ms, True
+            work.call[1:] = self.now + self.settings.linger_ms, True
         if work.stage is Stage.FOLLOWING or event.outcome is Outcome.MOOT:
             return
         if event.outcome is Outcome.STOPPED:  # no progress: hung work that is stopped ends this way
@@ -438,7 +438,7 @@
             return
         self._progress()
         if not work.answered:
-            self.failing += SICK_LEARN * ((event.outcome is Outcome.ERROR) - self.failing)
+            self.failure_share += SICK_LEARN * ((event.outcome is Outcome.ERROR) - self.failure_share)
         if event.outcome is Outcome.OK:
             run_ms = self.run_ms[work.kind.name]
             self.run_ms[work.kind.name] += LEARN * (event.took_ms - work.waited_ms - run_ms)
@@ -471,7 +471,7 @@
         all servers hang. A cold process may follow one whose calls still count: until they are past, it takes
         CALL_YOUNG. Both lives come to 0.95 of the share; the rest is for the told figure's rounding.
         """
-        since = self.now - self.set.call_window_ms
+        since = self.now - self.settings.call_window_ms
         # What is over is summed as it ends and leaves the window: a walk over all of it for each decision
         # would be most of what a busy server's decisions cost.
         over = [call for call in self.calls if call[1] <= (self.now if call[2] else since)]
@@ -484,12 +484,12 @@
             self.past_ms -= end - start
         self.past_ms *= bool(self.past)  # no rounding is carried on
         out = sum(since - start for start, _ in takewhile(lambda call: call[0] < since, self.past))
-        young = self.set.cold and self.born_ms > since - self.set.linger_ms
+        young = self.settings.cold and self.born_ms > since - self.settings.linger_ms
         most = self.call_room_ms * (CALL_YOUNG if young else CALL_MOST)
         spent = self.past_ms - out
         spent += sum(call[1] - max(call[0], since) for call in self.calls if call[1] > since)
         in_hand = sum(call[1] > self.now for call in self.calls)
-        return in_hand, spent, most - spent - self.set.linger_ms
+        return in_hand, spent, most - spent - self.settings.linger_ms
 
     def _feed_calls(self) -> None:
         if not self.counts[Stage.LINED.value]:
@@ -498,7 +498,7 @@
         line.sort(key=lambda work: (work.kind.skip_worth, -work.value, work.aim_ms))
         in_hand, spent, left_ms = self._call_room()
         slow = self.call_ms > SLOW_BELOW * self.best_call_ms
-        pace_ms = max(0.0, self.call_limit * max(1.0, self.set.call_window_ms) - self.call_ms)  # one fits
+        pace_ms = max(0.0, self.call_limit * max(1.0, self.settings.call_window_ms) - self.call_ms)  # one fits
         crowd_room = self._crowd_room()
         for work in line:
             if crowd_room < 1:
@@ -519,7 +519,7 @@
             elif room:
                 self._place(work, Stage.CALLING)
                 work.tries += 1
-                work.call = [self.now, self.now + limit + self.set.linger_ms, False]
+                work.call = [self.now, self.now + limit + self.settings.linger_ms, False]
                 self.calls.append(work.call)
                 in_hand, spent, left_ms = self._call_room()
                 crowd_room -= 1
@@ -528,7 +528,7 @@
     def _call_ended(self, work: Work, event: api.CallEnded) -> None:
         self._progress()
         unsure = event.outcome in (Outcome.TIMED_OUT, Outcome.INTERRUPTED)
-        work.call[1:] = self.now + self.set.linger_ms * unsure, True
+        work.call[1:] = self.now + self.settings.linger_ms * unsure, True
         if event.outcome in (Outcome.OK, Outcome.TIMED_OUT):
             self.call_ms += (CALL_LEARN if self.call_ms else 1.0) * (event.took_ms - self.call_ms)
             self.best_call_ms = min(self.call_ms, (self.best_call_ms or self.call_ms) * BEST_FADES)
--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -118,7 +118,7 @@
 
     def used(self) -> LimitShare:
         """The share of the node's limits that this process uses now."""
-        return share_of(self.catalogue.decided, *self.controller.used())
+        return share_of(self.catalogue.decided, *self.controller.resource_usage())
 
     def _settings(self) -> api.Settings:
         settings = scaled(self.catalogue.decided, self.share)
--- a/flintshift/lifecycle/fair_door.py
+++ b/flintshift/lifecycle/fair_door.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from flintshift import interface as api
-from flintshift.control import FIRST_RUN
+from flintshift.control import INITIAL_RUN_SHARE
 from flintshift.core.attempts import Attempt
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
@@ -37,7 +37,7 @@
     return Weighed(
         {tenant.name: tenant.quota_per_s for tenant in settings.tenants if tenant.quota_per_s > 0},
         settings.cores,
-        {kind.name: FIRST_RUN * kind.aim_ms for kind in settings.classes},
+        {kind.name: INITIAL_RUN_SHARE * kind.aim_ms for kind in settings.classes},
         settings.marks_repeats,
     )
 
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -256,7 +256,7 @@
             self.used_ms = now
             used = self.decisions.used()
             connections = sum(len(front.connections) for front, _ in self.node.fronts)
-            learned = self.decisions.controller.learned()
+            learned = self.decisions.controller.learned_estimates()
             self._step(
                 Used(Load(used.crowd, used.memory, used.calls, connections), Learned(learned.run_limit, learned.run_ms))
             )
--- a/tests/control/test_admission.py
+++ b/tests/control/test_admission.py
@@ -20,15 +20,15 @@
 
 def test_limit_follows_the_run_queue(make):
     server = make()
-    before = server.control.limit
+    before = server.control.run_limit
     for _ in range(20):
         server.tick(run_queue=30)
-    assert server.control.limit < before
-    lowest = server.control.limit
+    assert server.control.run_limit < before
+    lowest = server.control.run_limit
     for _ in range(40):
         server.tick(after_ms=5, run_queue=0)
         server.fill()
-    assert server.control.limit > lowest
+    assert server.control.run_limit > lowest
 
 
 def test_worth_goes_first(make):
@@ -102,16 +102,16 @@
 def test_free_window_leaves_a_lone_caller_all_until_work_is_turned_away(make):
     server = make(free_value=api.FreeValue.WINDOW, callers=4)
     first = of(server.tick(), api.SetFreeValue)[0].value
-    assert first > server.control.limit
+    assert first > server.control.run_limit
     server.fill("buy")
     for _ in range(100):
         server.arrive("look")
     falling = of(server.tick(), api.SetFreeValue)[0].value
-    assert server.control.limit / 4 <= falling < first
+    assert server.control.run_limit / 4 <= falling < first
     for request in list(server.control.work):
         server.ends(request)
     again = [of(server.tick(), api.SetFreeValue)[0].value for _ in range(60)]
-    assert again[-1] == pytest.approx(3.5 * server.control.limit, abs=0.1)
+    assert again[-1] == pytest.approx(3.5 * server.control.run_limit, abs=0.1)
     assert not of(make().tick(), api.SetFreeValue)
 
 
@@ -259,11 +259,11 @@
     server = make(classes=[SAFE, replace(SAFE, name="gone")])
     held, _ = next((one, acts) for one, acts in (server.arrive("gone") for _ in range(99)) if not of(acts, api.Run))
     server.control.refused.update(look=0.9, gone=0.5)
-    server.step(api.SettingsChanged(replace(server.control.set, classes=[SAFE])))
+    server.step(api.SettingsChanged(replace(server.control.settings, classes=[SAFE])))
     assert server.control.refused == {"look": 0.9, "gone": 0.5}  # one of its requests is open
     while held in server.control.work:
         server.tick(after_ms=1000.0)
         for request in list(server.control.work):
             server.ends(request)
-    server.step(api.SettingsChanged(server.control.set))
+    server.step(api.SettingsChanged(server.control.settings))
     assert server.control.refused.keys() == {"look"}
--- a/tests/door/test_fair_door.py
+++ b/tests/door/test_fair_door.py
@@ -111,10 +111,12 @@
 
 def test_no_time_is_promised_sooner_than_the_decisions_say_or_by_a_node_that_leaves():
     node = node_of()
-    node.decisions.controller.failing = 1.0  # each run fails: the decisions want callers elsewhere for the longest time
+    node.decisions.controller.failure_share = (
+        1.0  # each run fails: the decisions want callers elsewhere for the longest time
+    )
     waits = waits_ms(flood(node, "a", 6))
     assert len(waits) >= 4 and set(waits) == {1000.0} and not node.counters["door.promised"]
-    node.decisions.controller.failing = 0.0
+    node.decisions.controller.failure_share = 0.0
     waits = waits_ms(flood(node, "a", 60))
     assert len(waits) >= 10 and min(waits) < 200.0
     node.now += 5000.0  # no place is given away any more
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -131,7 +131,7 @@
     kept, _ = server.arrive("look")
     faster = api.RequestClass("look", 300.0, 390.0, 1.0, api.Effect.SAFE)
     new = api.RequestClass("glance", 500.0, 900.0, 1.0, api.Effect.SAFE)
-    old = server.control.set
+    old = server.control.settings
     server.step(api.SettingsChanged(api.Settings([faster, new], 8, 10_000.0, 4.0, 5.0, 500.0, [api.Tenant("t", 5.0)])))
     added, actions = server.arrive("glance", tenant="t")
     assert api.Run(added) in actions
@@ -149,9 +149,9 @@
     for _ in range(80):  # the limit rises under load that the cores carry
         server.fill()
         server.tick(run_queue=4.0, busy=0.5)
-    taught, older = make(cores=8, memory_kb=1e6), server.control.learned()
-    assert older.run_limit > 1.3 * taught.control.limit
-    full = taught.control.set
+    taught, older = make(cores=8, memory_kb=1e6), server.control.learned_estimates()
+    assert older.run_limit > 1.3 * taught.control.run_limit
+    full = taught.control.settings
     taught.step(api.SettingsChanged(replace(full, concurrency_share=0.1)))  # of 40
     taught.step(older)
     assert len(taught.fill()) == 4
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -44,12 +44,12 @@
         self.past: list[tuple[float, float]] = []  # start and end, lingering included
 
     def leave_below(self, request: str, given_up: bool) -> None:
-        lingers_ms = self.server.control.set.linger_ms * given_up
+        lingers_ms = self.server.control.settings.linger_ms * given_up
         self.past.append((self.below.pop(request), self.server.now + lingers_ms))
 
     def check_limits(self) -> None:
         """Memory, the crowd on the cores, and the mean of the calls in hand over the window that ends now."""
-        now, settings, control = self.server.now, self.server.control.set, self.server.control
+        now, settings, control = self.server.now, self.server.control.settings, self.server.control
         works = list(control.work.values())  # the sums that decisions look at are those of a walk over all
         assert control.counts[1:] == [sum(work.stage is stage for work in works) for stage in Stage]
         assert control._memory_kb() == pytest.approx(
@@ -92,7 +92,7 @@
             if isinstance(act, api.Run):
                 assert request not in self.ran and request not in self.answered
                 assert self.stage[request] == "held"
-                grace_ms = self.server.control.set.drain_grace_ms
+                grace_ms = self.server.control.settings.drain_grace_ms
                 assert self.reached[request] <= self.left_ms + grace_ms, "ran in drain"
                 self.ran.add(request)
                 self.stage[request] = "running"
