--- a/flintshift/control.py
+++ b/flintshift/control.py
@@ -16,7 +16,7 @@
 from flintshift import interface as api
 from flintshift.caller_patience import CallerPatience
 from flintshift.interface import Effect, Halt, Outcome
-from flintshift.look_pace import LookPace
+from flintshift.tick_interval import LookPace
 
 # The ladder: how many skippable calls a run makes, and the busy share of the cores up to which it may.
 FULL = 1 << 30
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,7 +4,7 @@
 
 PROGRAM = Path(__file__).parent.parent / "flintshift"
 MODULE = PROGRAM / "control.py"
-PARTS = (MODULE, PROGRAM / "caller_patience.py", PROGRAM / "look_pace.py")
+PARTS = (MODULE, PROGRAM / "caller_patience.py", PROGRAM / "tick_interval.py")
 
 
 def test_module_stays_small_enough_to_audit():
