--- a/flintshift/caller_patience.py
+++ b/flintshift/caller_patience.py
@@ -1,6 +1,6 @@
-"""How long each caller waits for an answer, as the ages at which it gave up before tell.
+"""Estimates how long each caller waits for an answer, from the ages of the requests it abandoned before.
 
-A part of the decisions, without I/O.
+Part of the decision module; does no I/O.
 """
 
 from __future__ import annotations
@@ -8,32 +8,32 @@
 import math
 from collections import deque
 
-AGES_KEPT = 24  # of a caller
-AGES_LEAST = AGES_KEPT // 3  # fewer say nothing
-SPREAD = 0.1  # share of the middle age: where most lie within it above, that is the age to give up at
-CALLERS_MOST = 256  # callers come back under new numbers without end
+MAX_AGES = 24  # per caller
+MIN_AGES = MAX_AGES // 3  # fewer give no estimate
+SPREAD = 0.1  # of the median: the upper quartile may lie so far above it for the ages to count as one timeout
+MAX_CALLERS = 256  # callers reconnect under new numbers without end
 
 
 class CallerPatience:
-    """By caller; times are in milliseconds."""
+    """Keeps the ages at which requests were abandoned, by caller, in milliseconds."""
 
     def __init__(self) -> None:
-        self.ages: dict[int, deque[float]] = {}  # the caller that gave up last at the end
+        self.ages: dict[int, deque[float]] = {}  # the caller that abandoned a request last is at the end
 
-    def gave_up(self, caller: int, age_ms: float) -> None:
-        """A caller went when its request had been here for so long."""
-        ages = self.ages.pop(caller, None) or deque[float](maxlen=AGES_KEPT)
+    def record(self, caller: int, age_ms: float) -> None:
+        """Record that a caller disconnected when its request was this old."""
+        ages = self.ages.pop(caller, None) or deque[float](maxlen=MAX_AGES)
         ages.append(age_ms)
         self.ages[caller] = ages
-        if len(self.ages) > CALLERS_MOST:
+        if len(self.ages) > MAX_CALLERS:
             del self.ages[next(iter(self.ages))]
 
     def of(self, caller: int) -> float:
-        """How long it waits, where most of its give-ups lie at one age: work past that is cut off.
+        """Return the timeout of a caller: past that age, work for it is wasted.
 
-        Infinite where they don't."""
+        Infinite unless most of its requests were abandoned at about one age."""
         ages = sorted(self.ages.get(caller, ()))
-        if len(ages) < AGES_LEAST:
+        if len(ages) < MIN_AGES:
             return math.inf
-        middle, upper = ages[len(ages) // 2], ages[len(ages) * 3 // 4]
-        return middle if upper - middle < SPREAD * middle else math.inf
+        median, upper_quartile = ages[len(ages) // 2], ages[len(ages) * 3 // 4]
+        return median if upper_quartile - median < SPREAD * median else math.inf
--- a/flintshift/tick_interval.py
+++ b/flintshift/tick_interval.py
@@ -1,32 +1,32 @@
-"""How far apart looks at due times come. A part of the decisions, without I/O."""
+"""Predicts when the next tick, which checks due times, comes. Part of the decision module; does no I/O."""
 
 from __future__ import annotations
 
 
-class LookPace:
-    """Looks are asked for every ``tick_ms``; on a busy machine they come late, and several in a row alike.
+class TickInterval:
+    """Ticks are requested every ``tick_ms``. On a busy machine several in a row come late, about equally.
 
-    >>> pace = LookPace(40.0)
-    >>> pace.looked(1000.0); pace.looked(1040.0); pace.next_ms
+    >>> interval = TickInterval(40.0)
+    >>> interval.record(1000.0); interval.record(1040.0); interval.next_ms
     80.0
-    >>> pace.looked(1340.0); pace.looked(1640.0); pace.next_ms
+    >>> interval.record(1340.0); interval.record(1640.0); interval.next_ms
     340.0
     """
 
     def __init__(self, tick_ms: float) -> None:
         self.tick_ms = tick_ms
-        self.looked_ms: float | None = None  # the last one
-        self.spans_ms = (tick_ms, tick_ms)  # between the last three
+        self.last_ms: float | None = None  # time of the last tick
+        self.intervals_ms = (tick_ms, tick_ms)  # between the last three ticks
 
-    def looked(self, now_ms: float) -> None:
-        """A look is taken now."""
-        if self.looked_ms is not None:
-            self.spans_ms = (self.spans_ms[1], max(self.tick_ms, now_ms - self.looked_ms))
-        self.looked_ms = now_ms
+    def record(self, now_ms: float) -> None:
+        """Record a tick."""
+        if self.last_ms is not None:
+            self.intervals_ms = (self.intervals_ms[1], max(self.tick_ms, now_ms - self.last_ms))
+        self.last_ms = now_ms
 
     @property
     def next_ms(self) -> float:
-        """How much later the next one may come: as late as the last two.
+        """The longest time until the next tick: it may be as late as the last two.
 
-        One long span alone is a pause of the process."""
-        return self.tick_ms + min(self.spans_ms)
+        A single long interval is a pause of the process."""
+        return self.tick_ms + min(self.intervals_ms)
--- a/tests/control/test_admission.py
+++ b/tests/control/test_admission.py
@@ -241,7 +241,7 @@
     server = make(cores=1, tenants=[api.Tenant("greedy", 0.5)], over_share_worth=0.05, classes=[SAFE])
     for _ in range(3):  # more than two seconds of its share
         server.arrive(tenant="greedy")
-    server.control.refused["look"] = 0.9  # a class that starves
+    server.control.rejected["look"] = 0.9  # a class that starves
 
     def first(tenant):
         request, actions = server.arrive(tenant=tenant)
@@ -249,21 +249,21 @@
         return server.control.work[request].order[1] == -math.inf
 
     assert first(None) and not first("greedy")
-    server.control.refused["look"] = 0.0
+    server.control.rejected["look"] = 0.0
     for _ in range(200):
         server.arrive(tenant="greedy")
-    assert server.control.refused["look"] == 0.0
+    assert server.control.rejected["look"] == 0.0
 
 
 def test_how_much_of_a_class_is_turned_away_outlasts_new_settings_and_goes_with_its_class(make):
     server = make(classes=[SAFE, replace(SAFE, name="gone")])
     held, _ = next((one, acts) for one, acts in (server.arrive("gone") for _ in range(99)) if not of(acts, api.Run))
-    server.control.refused.update(look=0.9, gone=0.5)
+    server.control.rejected.update(look=0.9, gone=0.5)
     server.step(api.SettingsChanged(replace(server.control.settings, classes=[SAFE])))
-    assert server.control.refused == {"look": 0.9, "gone": 0.5}  # one of its requests is open
+    assert server.control.rejected == {"look": 0.9, "gone": 0.5}  # one of its requests is open
     while held in server.control.work:
         server.tick(after_ms=1000.0)
         for request in list(server.control.work):
             server.ends(request)
     server.step(api.SettingsChanged(server.control.settings))
-    assert server.control.refused.keys() == {"look"}
+    assert server.control.rejected.keys() == {"look"}
--- a/tests/control/test_calls_below.py
+++ b/tests/control/test_calls_below.py
@@ -254,11 +254,11 @@
             ends.append((started, server.now + 100.0 * (outcome is Outcome.TIMED_OUT)))
         server.ends(request)
         since = server.now - 2000.0
-        in_hand, spent, _ = server.control._call_room()
+        in_hand, spent, _ = server.control._call_usage()
         exact = sum(max(0.0, end - max(start, since)) for start, end in ends)
         assert exact - 1e-6 <= spent <= exact + 200.0  # those that linger may count whole while they leave
         assert in_hand == len(server.control.calls) == sum(end > server.now for _, end in ends)
-    assert len(ends) > 200 and len(server.control.past) < 200
+    assert len(ends) > 200 and len(server.control.past_calls) < 200
 
 
 def test_a_read_whose_reply_was_lost_calls_once_more_and_then_goes_on_poorer(make):
--- a/tests/control/test_final_answers.py
+++ b/tests/control/test_final_answers.py
@@ -142,4 +142,4 @@
         request, _ = server.arrive("look", caller=caller)
         server.step(api.CallerDisconnected(request), 1.0)
         server.ends(request)
-    assert len(server.control.patience.ages) == 256 and 999 in server.control.patience.ages
+    assert len(server.control.caller_patience.ages) == 256 and 999 in server.control.caller_patience.ages
--- a/tests/control/test_health_and_idle_connections.py
+++ b/tests/control/test_health_and_idle_connections.py
@@ -118,7 +118,7 @@
     server.ends(running[0], Outcome.STOPPED)
     for _ in range(3):
         server.tick()
-    assert server.control._trouble()
+    assert server.control._unhealthy()
     for request in list(server.control.work):
         server.ends(request)
-    assert not server.control._trouble()
+    assert not server.control._unhealthy()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -51,15 +51,17 @@
         """Memory, the crowd on the cores, and the mean of the calls in hand over the window that ends now."""
         now, settings, control = self.server.now, self.server.control.settings, self.server.control
         works = list(control.work.values())  # the sums that decisions look at are those of a walk over all
-        assert control.counts[1:] == [sum(work.stage is stage for work in works) for stage in Stage]
+        assert control.stage_counts[1:] == [sum(work.stage is stage for work in works) for stage in Stage]
         assert control._memory_kb() == pytest.approx(
             len(control.keys) * settings.key_kb
             + sum(
-                work.arrival.held_kb * (1 if work.stage in (Stage.HELD, Stage.FOLLOWING) else settings.run_factor)
+                work.arrival.held_kb * (1 if work.stage in (Stage.QUEUED, Stage.FOLLOWING) else settings.run_factor)
                 for work in works
             )
         )
-        assert control.must_call == sum(work.must_call for work in works if work.stage in (Stage.RUNNING, Stage.LINED))
+        assert control.required_calls == sum(
+            work.must_call for work in works if work.stage in (Stage.RUNNING, Stage.CALL_QUEUED)
+        )
         used = sum(
             10.0 * (1.0 if stage == "held" else settings.run_factor) for stage in self.stage.values() if stage != "over"
         )
