--- a/flintshift/interface.py
+++ b/flintshift/interface.py
@@ -1,8 +1,8 @@
 """The interface of the decision module: settings, events and actions.
 
-Everything the controller is told and everything it may answer is listed here, and nothing is decided here.
-All times are milliseconds, all sizes kilobytes.  A default states what a setting or field means when the
-host says nothing about it.
+Everything the controller is told and everything it may answer is declared here; nothing is decided here.
+All times are milliseconds, all sizes kilobytes. A default states what a setting or field means when the
+host does not give it.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
     OK = "ok"
     ERROR = "error"
-    REJECTED = "rejected"  # turned away unexamined: proven not run
+    REJECTED = "rejected"  # before it was examined: proven not run
     TIMED_OUT = "timed_out"
-    UNREACHABLE = "unreachable"  # could not be contacted: proven not run
+    UNREACHABLE = "unreachable"  # no connection: proven not run
     INTERRUPTED = "interrupted"
     STOPPED = "stopped"
-    MOOT = "moot"  # nothing was started, the request was over
+    MOOT = "moot"  # nothing was started, as the request had ended
 
 
 class Effect(Enum):
@@ -34,24 +34,26 @@
 
 
 class Halt(Enum):
-    """What stopping running work does."""
+    """What stopping a run does."""
 
     NONE = "none"
     ABORT = "abort"  # the work done is lost
-    SUSPEND = "suspend"  # work on a core is paused and keeps its memory
+    SUSPEND = "suspend"  # a run that uses a core is paused and keeps its memory
 
 
 class FreeValue(Enum):
-    """How callers read the number a server may send back."""
+    """How callers read the number that a server may send back with its answers."""
 
     NONE = "none"
     THRESHOLD = "threshold"  # callers send nothing of a lower rank
-    WINDOW = "window"  # most requests each caller has out here
-    CHANCE = "chance"  # chance that a caller does not pass this server over
+    WINDOW = "window"  # the most open requests that each caller has at this server
+    CHANCE = "chance"  # the probability that a caller does not pass over this server
 
 
 @dataclass(slots=True)
 class RequestClass:
+    """A class of requests; its aim and deadline count from when a request is received."""
+
     name: str
     aim_ms: float
     deadline_ms: float
@@ -59,18 +61,22 @@
     effect: Effect
     late_worth: float = 0.0
     repeat_window_ms: float = 0.0
-    calls: bool = False  # its requests may call below
-    skip_worth: float = 0.0  # share of the worth left when a call is left out; 0: may not be left out
+    calls: bool = False  # its requests may call another service
+    skip_worth: float = 0.0  # share of the worth that remains when a call is skipped; 0: may not be skipped
 
 
 @dataclass(slots=True)
 class Tenant:
+    """A tenant and its quota."""
+
     name: str
     quota_per_s: float  # over all servers
 
 
 @dataclass(slots=True)
 class Settings:
+    """What a controller goes by: the server's resources, the rules, and the habits of callers."""
+
     classes: list[RequestClass]
     cores: int
     memory_kb: float
@@ -98,25 +104,25 @@
     advice_max_ms: float = 0.0
     over_share_worth: float = 1.0
     worth_by_work: bool = False
-    concurrency_share: float = 1.0  # the part of the survivable crowd that this process may run: another has the rest
+    concurrency_share: float = 1.0  # of the survivable concurrency, for this process; another one has the rest
 
 
 @dataclass(slots=True)
 class Gauges:
-    """The host's gauges now; None: the host has no such gauge."""
+    """The present readings of the host's gauges; None: the host has no such gauge."""
 
-    busy: float | None = None  # share of the cores busy lately
-    run_queue: float | None = None  # everything that wants a core now
+    busy: float | None = None  # share of the cores that was busy lately
+    run_queue: float | None = None  # tasks that run or wait for a core
     memory: float | None = None  # share of the memory in use
     connections: float | None = None
 
 
 FairRank = Callable[[str], float]
-"""Where a request that is held stands now in a fair order by club and caller: the least is next, in milliseconds at its
-share. A controller may be given one, which changes nothing and depends on what was told before alone."""
+"""Returns the present rank of a queued request in a fair order by club and caller, in milliseconds at its share: the
+lowest is next. The function has no side effects and depends only on what was reported to it before."""
 
 
-# Events: what a controller is told.
+# Events: what the host reports to a controller.
 
 
 @dataclass(slots=True)
@@ -126,6 +132,8 @@
 
 @dataclass(slots=True)
 class Arrived:
+    """A request was read."""
+
     request: str
     class_name: str
     held_kb: float
@@ -140,6 +148,8 @@
 
 @dataclass(slots=True)
 class RunEnded:
+    """A run ended, by itself or because it was stopped."""
+
     request: str
     outcome: Outcome
     took_ms: float = 0.0
@@ -147,16 +157,22 @@
 
 @dataclass(slots=True)
 class CallerDisconnected:
+    """The caller closed its connection and waits for no answer."""
+
     request: str
 
 
 @dataclass(slots=True)
 class CallNeeded:
+    """A run needs a call to another service and waits for it."""
+
     request: str
 
 
 @dataclass(slots=True)
 class CallEnded:
+    """A call of a run ended."""
+
     request: str
     outcome: Outcome
     took_ms: float = 0.0
@@ -164,26 +180,30 @@
 
 @dataclass(slots=True)
 class DrainStarted:
+    """The server was asked to drain, and stops after a while."""
+
     stops_in_ms: float
 
 
 @dataclass(slots=True)
 class Woken:
+    """The time of a WakeAt has come; with the present gauges."""
+
     token: str
     gauges: Gauges
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings hold from now on. They name all classes that are open or may still come; what is open ends under
-    those that it arrived with."""
+    """New settings apply from now on. They name all classes that have open requests or may still arrive; open requests
+    end under the settings with which they arrived."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class LearnedEstimates:
-    """What another controller for this server has learned; told as work begins."""
+    """What another controller for this server has learned; sent when this one starts work."""
 
     run_limit: float  # how many run at once
     run_ms: dict[str, float]  # by class
@@ -203,21 +223,27 @@
 )
 
 
-# Actions: what a controller answers.
+# Actions: what a controller asks the host to do.
 
 
 @dataclass(slots=True)
 class Run:
+    """Start a run."""
+
     request: str
 
 
 @dataclass(slots=True)
 class Stop:
+    """Stop a run."""
+
     request: str
 
 
 @dataclass(slots=True)
 class Reject:
+    """Reject a request that never ran."""
+
     request: str
     retry_after_ms: float = 0.0
     no_retry_elsewhere: bool = False
@@ -225,54 +251,74 @@
 
 @dataclass(slots=True)
 class Fail:
+    """Answer a request with a failure, as it may have run."""
+
     request: str
 
 
 @dataclass(slots=True)
 class Call:
+    """Make the call that a run needs, for at most a time."""
+
     request: str
     limit_ms: float = 0.0
 
 
 @dataclass(slots=True)
 class SkipCall:
+    """Let a run go on without the call that it needs."""
+
     request: str
 
 
 @dataclass(slots=True)
 class RememberKey:
+    """Remember a request for a time, so that repeats of it get its result."""
+
     request: str
     retention_ms: float
 
 
 @dataclass(slots=True)
 class ReleaseKey:
+    """Forget a remembered request: it never ran, and a repeat of it is new work."""
+
     request: str
 
 
 @dataclass(slots=True)
 class AnswerFromOriginal:
+    """Answer a repeat with the result of the request that it repeats."""
+
     request: str
 
 
 @dataclass(slots=True)
 class SetHealth:
+    """Answer health checks so from now on."""
+
     healthy: bool
-    from_store: bool = False
+    from_store: bool = False  # answer from this verdict alone, without a deep check
 
 
 @dataclass(slots=True)
 class SetFreeValue:
+    """Send callers this number, which they read as the settings' FreeValue says."""
+
     value: float
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close connections that have been idle for this long."""
+
     idle_for_ms: float
 
 
 @dataclass(slots=True)
 class WakeAt:
+    """Send Woken with this token at a time."""
+
     at_ms: float
     token: str
 
