--- a/flintshift/benchlink.py
+++ b/flintshift/benchlink.py
@@ -1,7 +1,7 @@
-"""The adapter from the simulator's wire to the controller's interface: ``python -m flintshift.benchlink``.
+"""Adapter from the simulator's wire to the controller's interface: ``python -m flintshift.benchlink``.
 
-Reads batches of events on standard input, hands each to the controller of its server and writes one reply a
-batch.  It holds the wire's words, as tables, and no decision.  Another dialect is another set of tables.
+Reads batches of events from standard input, hands each event to the controller of its server and writes one reply
+per batch. It holds the names of the wire, as tables, and no decision. Another dialect needs only other tables.
 """
 
 from __future__ import annotations
@@ -27,10 +27,11 @@
 
 
 class WireError(FormError):
-    """The input does not follow the wire."""
+    """The input does not follow the format of the wire."""
 
 
-def gauges(text: str) -> api.Gauges:
+def parse_gauges(text: str) -> api.Gauges:
+    """Return the gauges of a ``name:value,...`` list; unknown ones are skipped."""
     pairs = (part.split(":", 1) for part in listed(text))
     return api.Gauges(**{GAUGES[name]: number(value) for name, value in pairs if name in GAUGES})
 
@@ -46,13 +47,13 @@
     "skipped": api.Outcome.MOOT,
 }
 
-# An event's word: its type, and for each field of the wire the field of the interface and its form.
-REQUEST = ("request", str)
+# By the name of an event: its type, and for each field on the wire the field of the interface and its converter.
+REQUEST_FIELD = ("request", str)
 EVENTS: dict[str, tuple[type, dict[str, tuple[str, Callable[[str], Any]]]]] = {
     "QUERY": (
         api.Arrived,
         {
-            "opId": REQUEST,
+            "opId": REQUEST_FIELD,
             "tierClass": ("class_name", str),
             "footprint": ("held_kb", number),
             "ageMs": ("age_ms", number),
@@ -67,28 +68,28 @@
     "DONE": (
         api.RunEnded,
         {
-            "opId": REQUEST,
+            "opId": REQUEST_FIELD,
             "how": ("outcome", OUTCOMES.__getitem__),
             "timeTakenMs": ("took_ms", number),
         },
     ),
-    "DROPPED": (api.CallerDisconnected, {"opId": REQUEST}),
-    "NEEDS": (api.CallNeeded, {"opId": REQUEST}),
+    "DROPPED": (api.CallerDisconnected, {"opId": REQUEST_FIELD}),
+    "NEEDS": (api.CallNeeded, {"opId": REQUEST_FIELD}),
     "CALL_RESULT": (
         api.CallEnded,
         {
-            "opId": REQUEST,
+            "opId": REQUEST_FIELD,
             "how": ("outcome", OUTCOMES.__getitem__),
             "timeTakenMs": ("took_ms", number),
         },
     ),
     "DRAIN": (api.DrainStarted, {"expiresInMs": ("stops_in_ms", number)}),
-    "DUE": (api.Woken, {"nonce": ("token", str), "telemetry": ("gauges", gauges)}),
+    "DUE": (api.Woken, {"nonce": ("token", str), "telemetry": ("gauges", parse_gauges)}),
 }
-START, DEATH, SERVER, SEED, FAULT = "ENLIST", "CRASH_NOW", "serverId", "nonce64", "EXCEPTION"
-BATCH, CLOCK, BATCH_END, REPLY_END = "FRAME", "tMs", "EOF_BATCH", "END"
+START_EVENT, CRASH_EVENT, SERVER_KEY, SEED_KEY, FAULT_REPLY = "ENLIST", "CRASH_NOW", "serverId", "nonce64", "EXCEPTION"
+BATCH_START, CLOCK_KEY, BATCH_END, REPLY_END = "FRAME", "tMs", "EOF_BATCH", "END"
 
-# An action's type: its word, and for each field of the interface the field of the wire.
+# By the type of an action: its name on the wire, and for each field of the interface the field on the wire.
 ACTIONS: dict[type, tuple[str, dict[str, str]]] = {
     api.Run: ("EXECUTE", {"request": "opId"}),
     api.Stop: ("PREEMPT", {"request": "opId"}),
@@ -106,21 +107,23 @@
 }
 
 
-def split(parts: Iterable[str]) -> dict[str, str]:
+def parse_pairs(parts: Iterable[str]) -> dict[str, str]:
+    """Return the values of ``name=value`` parts by name."""
     pairs = {}
     for part in parts:
-        name, found, value = part.partition("=")
-        if not found or not name:
+        name, separator, value = part.partition("=")
+        if not separator or not name:
             raise WireError(f"not a name=value pair: {part!r}")
         pairs[name] = value
     return pairs
 
 
-def render(server: str, action: api.Action) -> str:
-    word, names = ACTIONS[type(action)]
-    parts = [word, f"{SERVER}={server}"]
-    for name, key in names.items():
-        value = getattr(action, name)
+def format_action(server: str, action: api.Action) -> str:
+    """Return the line of an action."""
+    action_name, keys = ACTIONS[type(action)]
+    parts = [action_name, f"{SERVER_KEY}={server}"]
+    for field_name, key in keys.items():
+        value = getattr(action, field_name)
         if isinstance(value, bool):
             value = int(value)
         elif isinstance(value, float):
@@ -130,84 +133,88 @@
 
 
 class Fleet:
-    """The controllers of this process, each on its own."""
+    """The controllers of this process, by server; they share nothing."""
 
     def __init__(self) -> None:
         self.controllers: dict[str, Controller] = {}
-        self.classes: dict[str, set[str]] = {}  # the class names each server was started with
+        self.classes: dict[str, set[str]] = {}  # names of the classes with which each server was started
 
-    def event(self, now_ms: float, line: str) -> list[str]:
-        word, *parts = line.split("\t")
-        pairs = split(parts)
-        server = pairs.pop(SERVER, None)
+    def handle_line(self, now_ms: float, line: str) -> list[str]:
+        """Handle the event of a line and return the lines of its actions."""
+        event_name, *parts = line.split("\t")
+        pairs = parse_pairs(parts)
+        server = pairs.pop(SERVER_KEY, None)
         if not server:
-            raise WireError(f"{word} names no instance ({SERVER})")
-        if word == DEATH:
+            raise WireError(f"{event_name} names no instance ({SERVER_KEY})")
+        if event_name == CRASH_EVENT:
             self.controllers.pop(server, None)
             return []
         event: api.Event
-        if word == START:
+        if event_name == START_EVENT:
             try:
-                seed = int(pairs.pop(SEED))
+                seed = int(pairs.pop(SEED_KEY))
             except (KeyError, ValueError) as error:
-                raise WireError(f"{START} has no whole number as {SEED}") from error
+                raise WireError(f"{START_EVENT} has no whole number as {SEED_KEY}") from error
             settings = settings_from(pairs)
             self.classes[server] = {kind.name for kind in settings.classes}
             event = api.Started()
-        elif word in EVENTS:
-            event = build(*EVENTS[word], pairs)
+        elif event_name in EVENTS:
+            event = build(*EVENTS[event_name], pairs)
             if server not in self.controllers:
-                raise WireError(f"{word} for an instance that was never started: {server}")
+                raise WireError(f"{event_name} for an instance that was never started: {server}")
             if isinstance(event, api.Arrived) and event.class_name not in self.classes[server]:
                 raise WireError(f"unknown class {event.class_name!r}")
         else:
-            raise WireError(f"unknown event {word!r}")
+            raise WireError(f"unknown event {event_name!r}")
         try:
-            if word == START:
+            if event_name == START_EVENT:
                 self.controllers[server] = Controller(settings, seed)
-            return [render(server, action) for action in self.controllers[server].handle(now_ms, event)]
-        except Exception as error:  # a fault of the module is told on the wire, and in full on standard error
+            return [format_action(server, action) for action in self.controllers[server].handle(now_ms, event)]
+        except Exception as error:  # reported on the wire, and with its traceback on standard error
             traceback.print_exc()
             text = " ".join(f"{type(error).__name__}: {error}".split())
-            return [f"{FAULT}\t{SERVER}={server}\ttext={text}"]
+            return [f"{FAULT_REPLY}\t{SERVER_KEY}={server}\ttext={text}"]
 
 
-def batch_clock(line: str) -> float:
-    word, *parts = line.split("\t")
-    if word != BATCH:
-        raise WireError(f"expected {BATCH}, found {word!r}")
+def parse_batch_time(line: str) -> float:
+    """Return the time of a batch, which its first line gives."""
+    line_name, *parts = line.split("\t")
+    if line_name != BATCH_START:
+        raise WireError(f"expected {BATCH_START}, found {line_name!r}")
     try:
-        return number(split(parts)[CLOCK])
+        return number(parse_pairs(parts)[CLOCK_KEY])
     except (KeyError, ValueError) as error:
-        raise WireError(f"{BATCH} has no number as {CLOCK}") from error
+        raise WireError(f"{BATCH_START} has no number as {CLOCK_KEY}") from error
 
 
-def serve(source: TextIO, sink: TextIO) -> None:
+def serve(input_stream: TextIO, output_stream: TextIO) -> None:
+    """Answer batches until the input ends."""
     fleet = Fleet()
     now_ms: float | None = None
-    reply: list[str] = []
-    for count, raw in enumerate(source, 1):
-        line = raw.rstrip("\r\n")
+    reply_lines: list[str] = []
+    for line_number, raw_line in enumerate(input_stream, 1):
+        line = raw_line.rstrip("\r\n")
         try:
             if now_ms is None:
                 if line:
-                    now_ms = batch_clock(line)
+                    now_ms = parse_batch_time(line)
             elif line == BATCH_END:
-                sink.write("\n".join([*reply, REPLY_END]) + "\n")
-                sink.flush()
-                now_ms, reply = None, []
+                output_stream.write("\n".join([*reply_lines, REPLY_END]) + "\n")
+                output_stream.flush()
+                now_ms, reply_lines = None, []
             else:
-                reply.extend(fleet.event(now_ms, line))
+                reply_lines.extend(fleet.handle_line(now_ms, line))
         except FormError as error:
-            raise WireError(f"line {count}: {error}") from error
+            raise WireError(f"line {line_number}: {error}") from error
     if now_ms is not None:
         raise WireError("the input ends within a batch")
 
 
 def main() -> int:
-    for stream, errors in ((sys.stdin, "replace"), (sys.stdout, "strict")):
+    """Serve on standard input and output; return the exit status."""
+    for stream, error_handler in ((sys.stdin, "replace"), (sys.stdout, "strict")):
         if isinstance(stream, TextIOWrapper):
-            stream.reconfigure(encoding="utf-8", errors=errors)
+            stream.reconfigure(encoding="utf-8", errors=error_handler)
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as error:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -113,17 +113,17 @@
 def test_event_round_trip(kind):
     line, expected = EVENT_LINES[kind]
     word, *parts = line.split("\t")
-    assert benchlink.build(*benchlink.EVENTS[word], benchlink.split(parts)) == expected
+    assert benchlink.build(*benchlink.EVENTS[word], benchlink.parse_pairs(parts)) == expected
 
 
 def test_a_gauge_that_is_not_sent_is_absent_not_zero():
-    woken = benchlink.build(*benchlink.EVENTS["DUE"], benchlink.split(["nonce=t", "telemetry=cpu_busy:0.5"]))
+    woken = benchlink.build(*benchlink.EVENTS["DUE"], benchlink.parse_pairs(["nonce=t", "telemetry=cpu_busy:0.5"]))
     assert woken.gauges == api.Gauges(busy=0.5, run_queue=None, memory=None, connections=None)
 
 
 def test_zero_means_absent_where_the_wire_says_so():
     parts = query("a", dupOf="0", team="0").split("\t")[2:]
-    event = benchlink.build(*benchlink.EVENTS["QUERY"], benchlink.split(parts))
+    event = benchlink.build(*benchlink.EVENTS["QUERY"], benchlink.parse_pairs(parts))
     assert event.repeat_of is None and event.tenant is None and event.patience_ms is None
 
 
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize(("action", "line"), ACTION_LINES, ids=lambda value: type(value).__name__)
 def test_action_round_trip(action, line):
-    assert benchlink.render("server_1", action) == line
+    assert benchlink.format_action("server_1", action) == line
     assert set(benchlink.ACTIONS[type(action)][1]) == {field.name for field in fields(action)}
 
 
