--- a/flintshift/__init__.py
+++ b/flintshift/__init__.py
@@ -1,6 +1,6 @@
-"""flintshift: admission and scheduling for a server that sits behind other people's balancers.
+"""Admission control and scheduling for a server behind load balancers that others operate.
 
-The decision module is imported at its first use: a node holds its signals before that (`flintshift/__main__.py`).
+The decision module is imported at its first use, because a node first blocks its signals (`flintshift/__main__.py`).
 """
 
 from __future__ import annotations
--- a/flintshift/__main__.py
+++ b/flintshift/__main__.py
@@ -1,4 +1,4 @@
-"""The results node as the platform starts it: ``python -m flintshift``."""
+"""Entry point of the results node, as the platform starts it: ``python -m flintshift``."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 
 
 def main() -> int:
-    signals.hold_at_start()  # before the rest is imported, 0.2 s on an idle machine, over 1 s on a busy one
+    """Run the node until it has stopped; return the exit status."""
+    signals.hold_at_start()  # before the other imports, which take 0.2 s on an idle machine and over 1 s on a busy one
     import argparse
     from functools import partial
     from pathlib import Path
@@ -22,10 +23,10 @@
         "--settings",
         type=Path,
         metavar="FILE",
-        help="the operators' file (deploy/flintshift.yaml); none is read unless it is named",
+        help="the operators' settings file (as deploy/flintshift.yaml); default: none is read",
     )
-    given = parser.parse_args()
-    return start(partial(load, os.environ, given.settings))
+    arguments = parser.parse_args()
+    return start(partial(load, os.environ, arguments.settings))
 
 
 if __name__ == "__main__":
