--- a/tests/control/test_admission.py
+++ b/tests/control/test_admission.py
@@ -1,4 +1,4 @@
-"""What is run, held and turned away, and in which order."""
+"""Which requests are run, queued and rejected, and in which order."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 import pytest
 from conftest import KEYED, SAFE
-from steps import answers, of
+from control_helpers import final_answers, of_type
 
 from flintshift import interface as api
 
 
-def test_running_crowd_is_limited_and_under_the_survivable_ceiling(make):
+def test_concurrent_runs_stay_below_what_the_server_survives(make):
     for cold in (False, True):
         server = make(cold=cold, cold_from=0.2, cold_ms=10_000.0)
         assert 1 <= len(server.fill()) < 2 * (1 + 4 * (0.2 if cold else 1.0))
 
 
-def test_limit_follows_the_run_queue(make):
+def test_run_limit_follows_the_run_queue(make):
     server = make()
     before = server.control.run_limit
     for _ in range(20):
@@ -31,27 +31,27 @@
     assert server.control.run_limit > lowest
 
 
-def test_worth_goes_first(make):
+def test_the_highest_worth_goes_first(make):
     server = make()
     running = server.fill()
     dear, actions = server.arrive("buy")
-    assert not of(actions, api.Run)
+    assert not of_type(actions, api.Run)
     assert api.Run(dear) in server.ends(running[0])
 
 
-def test_hopeless_work_is_refused_early(make):
+def test_work_that_can_not_end_in_time_is_rejected_early(make):
     server = make()
     server.fill()
-    assert any(answers(actions, request) for request, actions in (server.arrive() for _ in range(60)))
+    assert any(final_answers(actions, request) for request, actions in (server.arrive() for _ in range(60)))
 
 
-def test_memory_watermarks_refuse_on_reading_with_hysteresis(make):
+def test_memory_watermarks_reject_new_requests_with_hysteresis(make):
     server = make()
-    for memory, refused in ((0.9, True), (0.8, True), (0.5, False), (0.8, False)):
+    for memory, rejected in ((0.9, True), (0.8, True), (0.5, False), (0.8, False)):
         server.tick(memory=memory)
         request, actions = server.arrive()
-        assert bool(answers(actions, request)) is refused
-        if not refused:
+        assert bool(final_answers(actions, request)) is rejected
+        if not rejected:
             server.ends(request)
 
 
@@ -60,208 +60,212 @@
     first, actions = server.arrive(held_kb=20.0)
     assert api.Run(first) in actions
     _, actions = server.arrive(held_kb=4.0)
-    assert not of(actions, api.Run)  # 80 kB run, 16 kB more do not fit
+    assert not of_type(actions, api.Run)  # 80 kB are in use, 16 kB more do not fit
 
 
-def test_tenant_over_its_part_of_the_quota_goes_last(make):
+def test_a_tenant_over_its_quota_goes_last(make):
     tenants = [api.Tenant("a", 1.0), api.Tenant("b", 50.0)]
     server = make(tenants=tenants, over_share_worth=0.1)
     running = [server.arrive(tenant="a")[0] for _ in range(2)]
-    over, _ = server.arrive(tenant="a")
-    within, _ = server.arrive(tenant="b")
-    acts = server.ends(running[0])
-    assert api.Run(within) in acts and api.Run(over) not in acts
+    over_quota, _ = server.arrive(tenant="a")
+    within_quota, _ = server.arrive(tenant="b")
+    actions = server.ends(running[0])
+    assert api.Run(within_quota) in actions and api.Run(over_quota) not in actions
 
 
-def test_advice_lasts_as_long_as_the_worth_turned_away_and_other_servers_allow(make):
-    # Guards against callers kept off one of few servers whose cores are free again long before.
-    def stay(name, servers=40):
+def test_retry_delay_depends_on_the_worth_rejected_and_the_number_of_servers(make):
+    # Guards against callers that are kept off one of few servers long after its cores are free again.
+    def retry_delay_ms(name, servers=40):
         server = make(servers=servers)
         server.fill("buy")
         while True:
             request, actions = server.arrive(name)
-            refused = [action for action in of(actions, api.Reject) if action.request == request]
-            if refused:
-                return refused[0].retry_after_ms
+            rejects = [action for action in of_type(actions, api.Reject) if action.request == request]
+            if rejects:
+                return rejects[0].retry_after_ms
 
-    assert 0 < stay("look") < stay("buy") == 1000.0
-    assert 0 < stay("buy", 3) < 100.0
+    assert 0 < retry_delay_ms("look") < retry_delay_ms("buy") == 1000.0
+    assert 0 < retry_delay_ms("buy", 3) < 100.0
 
 
-def test_marked_further_try_refused_for_load_is_asked_not_to_go_elsewhere(make):
+def test_a_marked_further_try_rejected_for_load_is_asked_not_to_try_elsewhere(make):
     server = make()
     server.fill("buy")
-    for again in (True, False):
-        refusals = []
-        while not refusals:
-            request, actions = server.arrive("look", marked_repeat=again)
-            refusals = [action for action in of(actions, api.Reject) if action.request == request]
-        assert refusals[0].no_retry_elsewhere is again
+    for is_repeat in (True, False):
+        rejects = []
+        while not rejects:
+            request, actions = server.arrive("look", marked_repeat=is_repeat)
+            rejects = [action for action in of_type(actions, api.Reject) if action.request == request]
+        assert rejects[0].no_retry_elsewhere is is_repeat
 
 
-def test_free_window_leaves_a_lone_caller_all_until_work_is_turned_away(make):
+def test_caller_window_grows_until_work_is_rejected(make):
     server = make(free_value=api.FreeValue.WINDOW, callers=4)
-    first = of(server.tick(), api.SetFreeValue)[0].value
-    assert first > server.control.run_limit
+    initial = of_type(server.tick(), api.SetFreeValue)[0].value
+    assert initial > server.control.run_limit
     server.fill("buy")
     for _ in range(100):
         server.arrive("look")
-    falling = of(server.tick(), api.SetFreeValue)[0].value
-    assert server.control.run_limit / 4 <= falling < first
+    decreased = of_type(server.tick(), api.SetFreeValue)[0].value
+    assert server.control.run_limit / 4 <= decreased < initial
     for request in list(server.control.work):
         server.ends(request)
-    again = [of(server.tick(), api.SetFreeValue)[0].value for _ in range(60)]
-    assert again[-1] == pytest.approx(3.5 * server.control.run_limit, abs=0.1)
-    assert not of(make().tick(), api.SetFreeValue)
+    windows = [of_type(server.tick(), api.SetFreeValue)[0].value for _ in range(60)]
+    assert windows[-1] == pytest.approx(3.5 * server.control.run_limit, abs=0.1)
+    assert not of_type(make().tick(), api.SetFreeValue)
 
 
 def test_classes_of_one_worth_go_by_age_whatever_their_run_times(make):
     twin = api.RequestClass("twin", 1000.0, 3000.0, 1.0, api.Effect.SAFE)
     server = make(classes=[api.RequestClass("look", 1000.0, 3000.0, 1.0, api.Effect.SAFE), twin])
-    for name, took in (("look", 100.0), ("twin", 130.0)):
+    for name, took_ms in (("look", 100.0), ("twin", 130.0)):
         request, _ = server.arrive(name)
-        server.ends(request, took_ms=took)
+        server.ends(request, took_ms=took_ms)
     running = server.fill("twin")
     server.now += 10
-    first, _ = server.arrive("twin")
+    older, _ = server.arrive("twin")
     server.now += 10
-    second, _ = server.arrive("look")
-    server.ends(running[0])  # starts the one that fill() left held
-    acts = server.ends(running[1])
-    assert api.Run(first) in acts and api.Run(second) not in acts
+    newer, _ = server.arrive("look")
+    server.ends(running[0])  # starts the one that fill() left queued
+    actions = server.ends(running[1])
+    assert api.Run(older) in actions and api.Run(newer) not in actions
 
 
-def test_an_absent_run_queue_is_not_taken_for_an_idle_server(make):
-    """Guards against a limit that climbs to the ceiling because a gauge that does not exist reads as 0."""
+def test_a_missing_run_queue_gauge_is_not_read_as_an_idle_server(make):
+    """Guards against a limit that rises to its maximum because a missing gauge reads as 0."""
 
-    def running(**gauges: float) -> int:
+    def count_runs(**gauges: float) -> int:
         server = make(cores=4)
-        count = len(server.fill("buy"))
+        started = len(server.fill("buy"))
         for _ in range(20):
-            count += len(of(server.tick(**gauges) + server.arrive("buy")[1], api.Run))
-        return count
+            started += len(of_type(server.tick(**gauges) + server.arrive("buy")[1], api.Run))
+        return started
 
-    assert running() <= 6 < running(run_queue=0.0, busy=0.0)
+    assert count_runs() <= 6 < count_runs(run_queue=0.0, busy=0.0)
 
 
-def test_a_storm_of_unmarked_tries_is_told_by_most_of_what_is_read_being_refused(make):
-    def wishes(marks):
-        server = make(marks_repeats=marks)
+def test_a_retry_storm_of_unmarked_tries_is_detected_by_the_share_of_rejects(make):
+    def no_retry_flags(marks_repeats):
+        server = make(marks_repeats=marks_repeats)
         server.fill("buy")
-        refusals = [a for _ in range(200) for a in of(server.arrive("look")[1], api.Reject)]
-        return [refusal.no_retry_elsewhere for refusal in refusals]
+        rejects = [a for _ in range(200) for a in of_type(server.arrive("look")[1], api.Reject)]
+        return [reject.no_retry_elsewhere for reject in rejects]
 
-    assert not wishes(marks=False)[0] and wishes(marks=False)[-1]
-    assert not any(wishes(marks=True))
+    assert not no_retry_flags(marks_repeats=False)[0] and no_retry_flags(marks_repeats=False)[-1]
+    assert not any(no_retry_flags(marks_repeats=True))
 
 
-def test_many_marked_tries_are_a_storm_in_which_first_tries_stay_too(make):
-    """Guards against first tries that walk through a large fleet, read and refused by every server."""
+def test_in_a_retry_storm_of_marked_tries_first_tries_do_not_go_elsewhere_either(make):
+    """Guards against first tries that go through a large fleet, and are read and rejected by every server."""
     server = make(marks_repeats=True)
     server.fill("buy")
 
-    def wishes(marked: bool) -> list[bool]:
-        acts = [a for _ in range(120) for a in of(server.arrive("look", marked_repeat=marked)[1], api.Reject)]
-        return [refusal.no_retry_elsewhere for refusal in acts]
+    def no_retry_flags(marked: bool) -> list[bool]:
+        rejects = [a for _ in range(120) for a in of_type(server.arrive("look", marked_repeat=marked)[1], api.Reject)]
+        return [reject.no_retry_elsewhere for reject in rejects]
 
-    assert not any(wishes(marked=False))
-    wishes(marked=True)
-    after = wishes(marked=False)
-    assert after[0] and not after[-1]  # and it ends with the storm
+    assert not any(no_retry_flags(marked=False))
+    no_retry_flags(marked=True)
+    after = no_retry_flags(marked=False)
+    assert after[0] and not after[-1]  # it ends with the retry storm
 
 
 def test_work_past_its_aim_is_no_probe(make):
-    """Guards against cores kept from a backlog of unread requests by runs that are late before they start."""
+    """Guards against runs that are late before they start, and take cores that a backlog of unread requests needs."""
     server = make()
     _, actions = server.arrive("look", age_ms=1100.0)
-    assert of(actions, api.Reject) and not of(actions, api.Run)
+    assert of_type(actions, api.Reject) and not of_type(actions, api.Run)
 
 
-def test_a_class_refused_for_slow_runs_is_let_in_again_once_cores_are_free(make):
+def test_a_class_rejected_for_slow_runs_is_admitted_again_once_cores_are_free(make):
     server = make(classes=[SAFE, KEYED])
-    for _ in range(40):  # a slow spell: the estimate rises past the aim
+    for _ in range(40):  # slow runs: the estimate rises past the aim
         request, actions = server.arrive()
         if api.Run(request) in actions:
             server.ends(request, took_ms=1500.0)
         server.tick(after_ms=150, run_queue=9)
-    other, actions = server.arrive("pay")  # so that the node is not idle enough for a lone probe
-    assert api.Run(other) in actions and answers(server.arrive()[1], f"r{server.count}")
-    for run_queue, runs in ((9, False), (1, True)):  # crowded cores, then free ones
+    other_request, actions = server.arrive("pay")  # so that the node is not idle, which would allow a probe
+    assert api.Run(other_request) in actions and final_answers(server.arrive()[1], f"r{server.count}")
+    for run_queue, runs in ((9, False), (1, True)):  # busy cores, then free ones
         for _ in range(30):
-            server.ends(other)
-            other, _ = server.arrive("pay")
+            server.ends(other_request)
+            other_request, _ = server.arrive("pay")
             server.tick(run_queue=run_queue)
         request, actions = server.arrive()
-        assert (api.Run(request) in actions) is runs and bool(answers(actions, request)) is not runs
+        assert (api.Run(request) in actions) is runs and bool(final_answers(actions, request)) is not runs
 
 
-def test_what_is_held_goes_by_its_fair_rank_first_and_within_a_step_by_worth(make):
+def test_the_queue_is_ordered_by_fair_rank_and_within_a_step_by_worth(make):
     server = make()
     ranks = {}
     server.control.rank = lambda request: ranks.get(request, 500.0)
     running = server.fill()
-    early, _ = server.arrive()
-    ranks[early] = 60.0
-    late, _ = server.arrive()
-    dear, _ = server.arrive("buy")  # worth five times as much, and behind by less than a step
-    ranks[late], ranks[dear] = 0.0, 49.0
+    low_rank, _ = server.arrive()
+    ranks[low_rank] = 60.0
+    lowest_rank, _ = server.arrive()
+    valuable, _ = server.arrive("buy")  # worth five times as much, and its rank is behind by less than a step
+    ranks[lowest_rank], ranks[valuable] = 0.0, 49.0
     started = []
     for request in running:
         started += [action.request for action in server.ends(request) if isinstance(action, api.Run)]
         if len(started) >= 3:
             break
-    assert started[:3] == [dear, late, early]
+    assert started[:3] == [valuable, lowest_rank, low_rank]
 
 
-@pytest.mark.parametrize("dear_each", [1, 2])
-def test_a_cheap_class_is_not_starved_by_a_dear_one_that_could_fill_the_cores(make, dear_each):
+@pytest.mark.parametrize("valuable_per_turn", [1, 2])
+def test_a_class_of_low_worth_is_not_starved_by_one_of_high_worth_that_could_fill_the_cores(make, valuable_per_turn):
     server = make(cores=1, classes=[SAFE, replace(SAFE, name="dear", worth=5.0)])
     running: list[tuple[str, str]] = []
-    begun = {"look": 0, "dear": 0}
+    started = {"look": 0, "dear": 0}
 
-    def take(name_of, actions):
-        for request in (act.request for act in of(actions, api.Run)):
-            running.append((request, name_of[request]))
-            begun[name_of[request]] += 1
+    def note_starts(class_of, actions):
+        for request in (act.request for act in of_type(actions, api.Run)):
+            running.append((request, class_of[request]))
+            started[class_of[request]] += 1
 
-    name_of: dict[str, str] = {}
+    class_of: dict[str, str] = {}
     for _ in range(600):
-        for name in ["look", *["dear"] * dear_each]:
+        for name in ["look", *["dear"] * valuable_per_turn]:
             request, actions = server.arrive(name)
-            name_of[request] = name
-            take(name_of, actions)
+            class_of[request] = name
+            note_starts(class_of, actions)
         server.now += 60.0
-        if running:  # one ends at a time: the cores do as much as the dear class brings at least
-            take(name_of, server.ends(running.pop(0)[0], took_ms=60.0))
-        take(name_of, server.tick(after_ms=40.0, run_queue=1.0))
-    assert begun["look"] >= 0.25 * 600 and begun["dear"] > begun["look"]
+        if running:  # one ends at a time: the cores do at least as much as the valuable class brings
+            note_starts(class_of, server.ends(running.pop(0)[0], took_ms=60.0))
+        note_starts(class_of, server.tick(after_ms=40.0, run_queue=1.0))
+    assert started["look"] >= 0.25 * 600 and started["dear"] > started["look"]
 
 
-def test_what_is_over_its_tenant_s_share_neither_makes_a_class_starve_nor_goes_first_for_it(make):
+def test_work_over_its_tenants_quota_neither_counts_for_a_starved_class_nor_goes_first(make):
     server = make(cores=1, tenants=[api.Tenant("greedy", 0.5)], over_share_worth=0.05, classes=[SAFE])
-    for _ in range(3):  # more than two seconds of its share
+    for _ in range(3):  # more than two seconds of its quota
         server.arrive(tenant="greedy")
-    server.control.rejected["look"] = 0.9  # a class that starves
+    server.control.rejected["look"] = 0.9  # a starved class
 
-    def first(tenant):
+    def goes_first(tenant):
         request, actions = server.arrive(tenant=tenant)
-        assert not of(actions, api.Run), "it has to be held to have a place"
+        assert not of_type(actions, api.Run), "it has to be queued to have an order"
         return server.control.work[request].order[1] == -math.inf
 
-    assert first(None) and not first("greedy")
+    assert goes_first(None) and not goes_first("greedy")
     server.control.rejected["look"] = 0.0
     for _ in range(200):
         server.arrive(tenant="greedy")
     assert server.control.rejected["look"] == 0.0
 
 
-def test_how_much_of_a_class_is_turned_away_outlasts_new_settings_and_goes_with_its_class(make):
+def test_the_rejected_share_of_a_class_outlasts_new_settings_and_is_dropped_with_its_class(make):
     server = make(classes=[SAFE, replace(SAFE, name="gone")])
-    held, _ = next((one, acts) for one, acts in (server.arrive("gone") for _ in range(99)) if not of(acts, api.Run))
+    queued, _ = next(
+        (request, actions)
+        for request, actions in (server.arrive("gone") for _ in range(99))
+        if not of_type(actions, api.Run)
+    )
     server.control.rejected.update(look=0.9, gone=0.5)
     server.step(api.SettingsChanged(replace(server.control.settings, classes=[SAFE])))
-    assert server.control.rejected == {"look": 0.9, "gone": 0.5}  # one of its requests is open
-    while held in server.control.work:
+    assert server.control.rejected == {"look": 0.9, "gone": 0.5}  # a request of the dropped class is open
+    while queued in server.control.work:
         server.tick(after_ms=1000.0)
         for request in list(server.control.work):
             server.ends(request)
--- a/tests/control/test_final_answers.py
+++ b/tests/control/test_final_answers.py
@@ -1,8 +1,8 @@
-"""Each request is answered once and in time: due times, callers that go, drains."""
+"""Each request is answered once and in time: due times, callers that disconnect, drains."""
 
 from __future__ import annotations
 
-from steps import answers, of
+from control_helpers import final_answers, of_type
 
 from flintshift import interface as api
 from flintshift.interface import Outcome
@@ -11,11 +11,11 @@
 def test_every_request_is_answered_by_its_due_time(make):
     for halt in api.Halt:
         server = make(halt=halt)
-        held_or_running = {server.arrive("buy")[0] for _ in range(4)}
-        lined = server.arrive("list")[0]
-        server.needs_call(lined)
+        queued_or_running = {server.arrive("buy")[0] for _ in range(4)}
+        waiting_for_call = server.arrive("list")[0]
+        server.needs_call(waiting_for_call)
         answered: set[str] = set()
-        owed = held_or_running | {lined}
+        expected = queued_or_running | {waiting_for_call}
         for _ in range(80):
             actions = server.tick()
             for action in actions:
@@ -25,65 +25,65 @@
                     answered.add(action.request)
                 if isinstance(action, api.Stop):
                     assert halt is not api.Halt.NONE
-        assert owed <= answered
+        assert expected <= answered
 
 
-def test_callers_patience_is_the_due_time_where_it_is_told(make):
+def test_a_callers_patience_sets_the_due_time_if_it_is_given(make):
     server = make()
     request, _ = server.arrive(patience_ms=300.0)
-    acts = [action for _ in range(7) for action in server.tick()]
-    assert answers(acts, request) and server.now <= 1300.0
+    actions = [action for _ in range(7) for action in server.tick()]
+    assert final_answers(actions, request) and server.now <= 1300.0
 
 
-def test_started_effects_are_never_refused_nor_run_again(make):
+def test_runs_with_effects_are_never_rejected_nor_run_again(make):
     server = make()
     for name in ("buy", "pay"):
         request, actions = server.arrive(name)
         assert api.Run(request) in actions
-        acts = [action for _ in range(80) for action in server.tick()]
-        acts += server.ends(request, Outcome.STOPPED)
-        acts += [action for _ in range(10) for action in server.tick()]
-        assert not of(acts, api.Reject) and not of(acts, api.Run)
-        assert len(answers(acts, request)) == 1
+        later_actions = [action for _ in range(80) for action in server.tick()]
+        later_actions += server.ends(request, Outcome.STOPPED)
+        later_actions += [action for _ in range(10) for action in server.tick()]
+        assert not of_type(later_actions, api.Reject) and not of_type(later_actions, api.Run)
+        assert len(final_answers(later_actions, request)) == 1
 
 
-def test_stopped_run_that_was_not_answered_is_failed(make):
+def test_a_stopped_run_that_was_not_answered_fails(make):
     server = make()
     request, _ = server.arrive("buy")
     assert api.Fail(request) in server.ends(request, Outcome.STOPPED)
 
 
-def test_drain_runs_nothing_past_the_grace_and_answers_all_before_the_stop(make):
+def test_a_drain_runs_nothing_past_the_grace_and_answers_all_before_the_stop(make):
     server = make()
-    early, _ = server.arrive("buy")
+    before_drain, _ = server.arrive("buy")
     server.step(api.DrainStarted(2000.0))
-    in_grace, actions = server.arrive(age_ms=0.0)
-    assert api.Run(in_grace) in actions
-    server.ends(in_grace)
+    within_grace, actions = server.arrive(age_ms=0.0)
+    assert api.Run(within_grace) in actions
+    server.ends(within_grace)
     server.now += 501
-    server.needs_call(early)
-    late, actions = server.arrive()
-    assert answers(actions, late) and not of(actions, api.Run)
-    read_late, actions = server.arrive("buy", age_ms=400.0)
-    assert not answers(actions, read_late)
-    acts = []
+    server.needs_call(before_drain)
+    after_grace, actions = server.arrive()
+    assert final_answers(actions, after_grace) and not of_type(actions, api.Run)
+    received_within_grace, actions = server.arrive("buy", age_ms=400.0)
+    assert not final_answers(actions, received_within_grace)
+    later_actions = []
     while server.now < 3000.0:
-        acts += server.tick()
-    assert all(answers(acts, request) for request in (early, read_late))
+        later_actions += server.tick()
+    assert all(final_answers(later_actions, request) for request in (before_drain, received_within_grace))
 
 
-def test_caller_gone_frees_held_and_stops_running_work(make):
+def test_a_caller_that_disconnects_frees_queued_and_stops_running_work(make):
     server = make()
     running = server.fill()
-    held, _ = server.arrive()
-    server.step(api.CallerDisconnected(held))
-    assert held not in server.control.work
+    queued, _ = server.arrive()
+    server.step(api.CallerDisconnected(queued))
+    assert queued not in server.control.work
     assert api.Stop(running[0]) in server.step(api.CallerDisconnected(running[0]))
     server.ends(running[0], Outcome.STOPPED)
-    assert not answers([action for _ in range(80) for action in server.tick()], running[0])
+    assert not final_answers([action for _ in range(80) for action in server.tick()], running[0])
 
 
-def test_events_for_requests_that_are_over_are_ignored(make):
+def test_events_for_requests_that_have_ended_are_ignored(make):
     server = make()
     request, _ = server.arrive()
     server.ends(request)
@@ -97,46 +97,46 @@
 
 
 def test_same_events_give_the_same_actions(make):
-    def day():
+    def play():
         server = make()
-        log = []
-        for turn in range(50):
-            request, actions = server.arrive(("look", "buy", "pay", "list")[turn % 4])
-            log += actions + server.tick(busy=0.9, run_queue=turn)
-            if turn % 3 == 0:
-                log += server.ends(request)
-        return log
+        played = []
+        for number in range(50):
+            request, actions = server.arrive(("look", "buy", "pay", "list")[number % 4])
+            played += actions + server.tick(busy=0.9, run_queue=number)
+            if number % 3 == 0:
+                played += server.ends(request)
+        return played
 
-    assert day() == day()
+    assert play() == play()
 
 
-def test_a_callers_patience_is_learned_from_give_ups_at_one_age(make):
-    def line(spread):
+def test_a_callers_patience_is_learned_from_requests_abandoned_at_one_age(make):
+    def admitted_before_reject(spread_ms):
         server = make(cores=1)
-        for turn in range(12):
+        for number in range(12):
             request, _ = server.arrive(caller=4)
-            server.now += 250.0 + spread * turn
+            server.now += 250.0 + spread_ms * number
             server.step(api.CallerDisconnected(request))
             server.ends(request, Outcome.STOPPED)
         server.fill("buy")
-        for turn in range(30):
+        for number in range(30):
             request, actions = server.arrive(caller=4)
-            if answers(actions, request):
-                return turn
+            if final_answers(actions, request):
+                return number
         return 30
 
-    assert line(spread=0.0) < line(spread=60.0)
+    assert admitted_before_reject(spread_ms=0.0) < admitted_before_reject(spread_ms=60.0)
 
 
-def test_a_leaving_server_sends_callers_elsewhere(make):
+def test_a_draining_server_sends_callers_elsewhere(make):
     server = make()
     server.step(api.DrainStarted(5000.0))
     server.now += 600
     request, actions = server.arrive(marked_repeat=True)
-    assert answers(actions, request) == [api.Reject(request, 1000.0, False)]
+    assert final_answers(actions, request) == [api.Reject(request, 1000.0, False)]
 
 
-def test_callers_that_gave_up_are_remembered_in_a_bounded_number(make):
+def test_callers_that_abandoned_requests_are_remembered_in_a_bounded_number(make):
     server = make()
     for caller in range(1000):
         request, _ = server.arrive("look", caller=caller)
--- a/tests/control/test_remembered_keys.py
+++ b/tests/control/test_remembered_keys.py
@@ -1,62 +1,62 @@
-"""Keyed requests and shared reads: what is remembered, for how long, and what a repeat gets."""
+"""Keyed requests and shared reads: which are remembered, for how long, and how a repeat is answered."""
 
 from __future__ import annotations
 
-from steps import answers, of
+from control_helpers import final_answers, of_type
 
 from flintshift import interface as api
 
 
-def test_keyed_is_remembered_before_it_runs_and_repeats_follow_it(make):
+def test_a_keyed_request_is_remembered_before_it_runs_and_its_repeats_follow_it(make):
     server = make()
     request, actions = server.arrive("pay")
     assert actions.index(api.RememberKey(request, 8000.0)) < actions.index(api.Run(request))
-    again, actions = server.arrive("pay", repeat_of=request)
-    assert actions == [api.AnswerFromOriginal(again)]
-    acts = [action for _ in range(80) for action in server.tick()]
-    assert answers(acts, again)
+    repeat, actions = server.arrive("pay", repeat_of=request)
+    assert actions == [api.AnswerFromOriginal(repeat)]
+    later_actions = [action for _ in range(80) for action in server.tick()]
+    assert final_answers(later_actions, repeat)
 
 
-def test_refused_keyed_is_forgotten_and_its_repeat_is_new_work(make):
+def test_a_rejected_keyed_request_is_forgotten_and_its_repeat_is_new_work(make):
     server = make()
     server.tick(memory=0.99)
     request, actions = server.arrive("pay")
-    assert answers(actions, request) and not of(actions, api.RememberKey)
+    assert final_answers(actions, request) and not of_type(actions, api.RememberKey)
     server.tick(memory=0.1)
     server.fill("buy")
-    held = [server.arrive("pay")[0] for _ in range(3)]
-    acts = server.tick(after_ms=900)
-    assert {a.request for a in of(acts, api.Reject)} >= set(held)
-    assert {a.request for a in of(acts, api.ReleaseKey)} >= set(held)
-    _, actions = server.arrive("pay", repeat_of=held[0])
-    assert not of(actions, api.AnswerFromOriginal) and of(actions, api.RememberKey)
+    queued = [server.arrive("pay")[0] for _ in range(3)]
+    later_actions = server.tick(after_ms=900)
+    assert {a.request for a in of_type(later_actions, api.Reject)} >= set(queued)
+    assert {a.request for a in of_type(later_actions, api.ReleaseKey)} >= set(queued)
+    _, actions = server.arrive("pay", repeat_of=queued[0])
+    assert not of_type(actions, api.AnswerFromOriginal) and of_type(actions, api.RememberKey)
 
 
-def test_keys_have_a_memory_budget_and_leave_it_in_time(make):
+def test_keys_have_a_memory_budget_and_expire(make):
     server = make(memory_kb=1000.0, key_kb=100.0)
-    refused = 0
+    reject_count = 0
     for _ in range(9):
         request, actions = server.arrive("pay", held_kb=1.0)
-        refused += bool(answers(actions, request))
+        reject_count += bool(final_answers(actions, request))
         server.ends(request)
-    assert refused == 3
+    assert reject_count == 3
     server.tick(after_ms=8001)
     request, actions = server.arrive("pay", held_kb=1.0)
-    assert of(actions, api.RememberKey)
+    assert of_type(actions, api.RememberKey)
 
 
-def test_fresh_reads_are_kept_only_where_told(make):
-    for fresh, kept in ((0.0, 0), (500.0, 1)):
-        server = make(fresh_ms=fresh)
+def test_reads_are_remembered_only_where_the_settings_say_how_long(make):
+    for fresh_ms, remembered in ((0.0, 0), (500.0, 1)):
+        server = make(fresh_ms=fresh_ms)
         _, actions = server.arrive("look", subject=7)
-        assert len(of(actions, api.RememberKey)) == kept
+        assert len(of_type(actions, api.RememberKey)) == remembered
 
 
-def test_repeats_that_wait_for_their_original_keep_to_the_memory(make):
-    """Guards against a server that runs out of memory on repeats, which are answered past the watermark."""
+def test_repeats_that_wait_for_their_original_stay_within_the_memory(make):
+    """Guards against a server that runs out of memory because repeats are accepted above the watermark."""
     server = make(memory_kb=1000.0)
     original, _ = server.arrive("pay")
-    answered = [server.arrive("pay", repeat_of=original, held_kb=100.0)[1] for _ in range(12)]
-    failed = [acts for acts in answered if of(acts, api.Fail)]
-    assert len(failed) >= 3 and not any(of(acts, api.Reject) for acts in answered)
-    assert len(answered) - len(failed) <= 9
+    answers = [server.arrive("pay", repeat_of=original, held_kb=100.0)[1] for _ in range(12)]
+    failed = [actions for actions in answers if of_type(actions, api.Fail)]
+    assert len(failed) >= 3 and not any(of_type(actions, api.Reject) for actions in answers)
+    assert len(answers) - len(failed) <= 9
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: wire text in, wire text out, one isolated controller a server."""
+"""The adapter to the simulator: lines in, lines out, and one isolated controller per server."""
 
 from __future__ import annotations
 
@@ -52,14 +52,14 @@
 }
 
 
-def start(server: str = "server_1", **changes: str) -> str:
-    pairs = {**PAIRS, **changes}
+def start_line(server: str = "server_1", **overrides: str) -> str:
+    pairs = {**PAIRS, **overrides}
     parts = (f"{key}={value}" for key, value in pairs.items())
     return "\t".join(["ENLIST", f"serverId={server}", "nonce64=77", *parts])
 
 
-def batch(now: float, *lines: str) -> str:
-    return "\n".join([f"FRAME\ttMs={now}", *lines, "EOF_BATCH", ""])
+def batch_text(now_ms: float, *lines: str) -> str:
+    return "\n".join([f"FRAME\ttMs={now_ms}", *lines, "EOF_BATCH", ""])
 
 
 def serve(*batches: str) -> list[list[str]]:
@@ -68,8 +68,8 @@
     return [reply.splitlines() for reply in sink.getvalue().split("END\n")[:-1]]
 
 
-def query(request: str, server: str = "server_1", **more: str) -> str:
-    pairs = {"opId": request, "tierClass": "peek", "footprint": "5.5", "ageMs": "1.5", **more}
+def query_line(request: str, server: str = "server_1", **overrides: str) -> str:
+    pairs = {"opId": request, "tierClass": "peek", "footprint": "5.5", "ageMs": "1.5", **overrides}
     return "\t".join(["QUERY", f"serverId={server}", *(f"{key}={value}" for key, value in pairs.items())])
 
 
@@ -109,11 +109,11 @@
     assert {kind for kind, _ in benchlink.EVENTS.values()} == set(EVENT_LINES)
 
 
-@pytest.mark.parametrize("kind", EVENT_LINES, ids=lambda kind: kind.__name__)
-def test_event_round_trip(kind):
-    line, expected = EVENT_LINES[kind]
-    word, *parts = line.split("\t")
-    assert benchlink.build(*benchlink.EVENTS[word], benchlink.parse_pairs(parts)) == expected
+@pytest.mark.parametrize("event_type", EVENT_LINES, ids=lambda event_type: event_type.__name__)
+def test_event_round_trip(event_type):
+    line, expected = EVENT_LINES[event_type]
+    event_name, *parts = line.split("\t")
+    assert benchlink.build(*benchlink.EVENTS[event_name], benchlink.parse_pairs(parts)) == expected
 
 
 def test_a_gauge_that_is_not_sent_is_absent_not_zero():
@@ -121,8 +121,8 @@
     assert woken.gauges == api.Gauges(busy=0.5, run_queue=None, memory=None, connections=None)
 
 
-def test_zero_means_absent_where_the_wire_says_so():
-    parts = query("a", dupOf="0", team="0").split("\t")[2:]
+def test_zero_means_absent_where_the_wire_defines_it():
+    parts = query_line("a", dupOf="0", team="0").split("\t")[2:]
     event = benchlink.build(*benchlink.EVENTS["QUERY"], benchlink.parse_pairs(parts))
     assert event.repeat_of is None and event.tenant is None and event.patience_ms is None
 
@@ -155,37 +155,37 @@
 
 
 def test_a_batch_gets_one_reply_and_an_empty_one_an_empty_reply():
-    replies = serve(batch(1, start()), batch(2), batch(3, query("q1")))
+    replies = serve(batch_text(1, start_line()), batch_text(2), batch_text(3, query_line("q1")))
     assert len(replies) == 3 and replies[1] == []
     assert "EXECUTE\tserverId=server_1\topId=q1" in replies[2]
 
 
-def test_instances_share_nothing_and_a_restart_forgets():
-    alone = serve(batch(1, start()), batch(2, query("q1")))
-    crowd = [query(f"x{n}", "server_2") for n in range(50)]
-    together = serve(batch(1, start(), start("server_2")), batch(2, *crowd, query("q1")))
+def test_servers_share_nothing_and_a_restart_loses_all_state():
+    alone = serve(batch_text(1, start_line()), batch_text(2, query_line("q1")))
+    queries = [query_line(f"x{n}", "server_2") for n in range(50)]
+    together = serve(batch_text(1, start_line(), start_line("server_2")), batch_text(2, *queries, query_line("q1")))
     assert [line for line in together[1] if "server_1" in line] == alone[1]
-    busy = serve(
-        batch(1, start("server_2")),
-        batch(2, *crowd),
-        batch(3, "CRASH_NOW\tserverId=server_2"),
-        batch(4, start("server_2")),
-        batch(5, query("q1", "server_2")),
+    restarted = serve(
+        batch_text(1, start_line("server_2")),
+        batch_text(2, *queries),
+        batch_text(3, "CRASH_NOW\tserverId=server_2"),
+        batch_text(4, start_line("server_2")),
+        batch_text(5, query_line("q1", "server_2")),
     )
-    assert "EXECUTE\tserverId=server_2\topId=q1" in busy[4]
+    assert "EXECUTE\tserverId=server_2\topId=q1" in restarted[4]
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "lines",
     [
-        [start(), start()],
-        ["CRASH_NOW\tserverId=server_1", start()],
-        [start(), "DONE\tserverId=server_1\topId=never\thow=skipped\ttimeTakenMs=0"],
-        [start(), "DROPPED\tserverId=server_1\topId=never"],
+        [start_line(), start_line()],
+        ["CRASH_NOW\tserverId=server_1", start_line()],
+        [start_line(), "DONE\tserverId=server_1\topId=never\thow=skipped\ttimeTakenMs=0"],
+        [start_line(), "DROPPED\tserverId=server_1\topId=never"],
     ],
 )
-def test_legal_but_odd_rounds_go_on(odd):
-    replies = serve(batch(1, *odd), batch(2, query("q1")))
+def test_unusual_but_legal_batches_are_served(lines):
+    replies = serve(batch_text(1, *lines), batch_text(2, query_line("q1")))
     assert "EXECUTE\tserverId=server_1\topId=q1" in replies[1]
 
 
@@ -194,23 +194,23 @@
     [
         ("HELLO\n", "expected FRAME"),
         ("FRAME\ttMs=soon\n", "no number as tMs"),
-        (batch(1, "QUERY\topId=a"), "names no instance"),
-        (batch(1, query("a")), "never started"),
-        (batch(1, start(), "TELEPORT\tserverId=server_1"), "unknown event 'TELEPORT'"),
-        (batch(1, start(), "DONE\tserverId=server_1\topId=a\thow=weird"), "bad value for how"),
-        (batch(1, start(), "DONE\tserverId=server_1\thow=done"), "missing opId"),
-        (batch(1, start(), "DONE\tserverId=server_1\topId"), "not a name=value pair"),
-        (batch(1, start(), query("a", footprint="nan")), "bad value for footprint"),
-        (batch(1, start(), query("a", tierClass="nobody")), "unknown class"),
-        (batch(1, start(**{"classes.count": "many"})), "bad value for classes.count"),
-        (batch(1, start(**{"familyInfo.nCores": "x"})), "bad value for familyInfo.nCores"),
-        (batch(1, start(**{"familyInfo.classSkipWorth": "x"})), "bad value for familyInfo.classSkipWorth"),
-        (batch(1, "ENLIST\tserverId=server_1\tnonce64=x"), "nonce64"),
+        (batch_text(1, "QUERY\topId=a"), "names no instance"),
+        (batch_text(1, query_line("a")), "never started"),
+        (batch_text(1, start_line(), "TELEPORT\tserverId=server_1"), "unknown event 'TELEPORT'"),
+        (batch_text(1, start_line(), "DONE\tserverId=server_1\topId=a\thow=weird"), "bad value for how"),
+        (batch_text(1, start_line(), "DONE\tserverId=server_1\thow=done"), "missing opId"),
+        (batch_text(1, start_line(), "DONE\tserverId=server_1\topId"), "not a name=value pair"),
+        (batch_text(1, start_line(), query_line("a", footprint="nan")), "bad value for footprint"),
+        (batch_text(1, start_line(), query_line("a", tierClass="nobody")), "unknown class"),
+        (batch_text(1, start_line(**{"classes.count": "many"})), "bad value for classes.count"),
+        (batch_text(1, start_line(**{"familyInfo.nCores": "x"})), "bad value for familyInfo.nCores"),
+        (batch_text(1, start_line(**{"familyInfo.classSkipWorth": "x"})), "bad value for familyInfo.classSkipWorth"),
+        (batch_text(1, "ENLIST\tserverId=server_1\tnonce64=x"), "nonce64"),
         ("FRAME\ttMs=1\n", "ends within a batch"),
     ],
 )
-def test_malformed_input_is_named(text, trouble):
-    with pytest.raises(benchlink.WireError, match=trouble):
+def test_the_error_names_malformed_input(text, message):
+    with pytest.raises(benchlink.WireError, match=message):
         serve(text)
 
 
@@ -227,17 +227,17 @@
     )
 
 
-def test_the_process_exits_0_at_the_end_of_input_and_plainly_on_bad_input():
-    good = run(batch(1, start()))
-    assert good.returncode == 0 and good.stdout.endswith("END\n") and not good.stderr
-    bad = run(batch(1, "NOISE\tserverId=server_1"))
-    assert bad.returncode == 2 and not bad.stdout
-    assert bad.stderr == "flintshift.benchlink: line 2: unknown event 'NOISE'\n"
+def test_the_process_exits_0_at_the_end_of_input_and_2_on_malformed_input():
+    served = run(batch_text(1, start_line()))
+    assert served.returncode == 0 and served.stdout.endswith("END\n") and not served.stderr
+    rejected = run(batch_text(1, "NOISE\tserverId=server_1"))
+    assert rejected.returncode == 2 and not rejected.stdout
+    assert rejected.stderr == "flintshift.benchlink: line 2: unknown event 'NOISE'\n"
 
 
-def test_a_fault_of_the_module_is_told_on_the_wire(monkeypatch):
+def test_an_exception_of_the_decision_module_is_reported_on_the_wire(monkeypatch):
     def broken(self, now_ms, event):
         raise IndexError("nothing\tthere")
 
     monkeypatch.setattr(benchlink.Controller, "handle", broken)
-    assert serve(batch(1, start())) == [["EXCEPTION\tserverId=server_1\ttext=IndexError: nothing there"]]
+    assert serve(batch_text(1, start_line())) == [["EXCEPTION\tserverId=server_1\ttext=IndexError: nothing there"]]
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,10 +1,10 @@
-"""The embedding example of the README runs as it stands."""
+"""The embedding example of the README runs unchanged."""
 
 import re
 from pathlib import Path
 
 
-def test_the_embedding_example_takes_and_runs_a_request(capsys):
+def test_the_embedding_example_admits_and_runs_a_request(capsys):
     text = (Path(__file__).parent.parent / "README.md").read_text(encoding="utf-8")
     example = re.search(r"```python\n(.*?)```", text, re.DOTALL)
     assert example
