--- a/tests/control/test_admission.py
+++ b/tests/control/test_admission.py
@@ -258,8 +258,8 @@
 def test_the_rejected_share_of_a_class_outlasts_new_settings_and_is_dropped_with_its_class(make):
     server = make(classes=[SAFE, replace(SAFE, name="gone")])
     queued, _ = next(
-        (request, actions)
-        for request, actions in (server.arrive("gone") for _ in range(99))
+        (candidate, actions)
+        for candidate, actions in (server.arrive("gone") for _ in range(99))
         if not of_type(actions, api.Run)
     )
     server.control.rejected.update(look=0.9, gone=0.5)
