--- a/flintshift/control.py
+++ b/flintshift/control.py
@@ -31,10 +31,10 @@
 MAX_AIM_SHARE = 0.8  # share of the aim that waiting and running may take
 INITIAL_RUN_SHARE, RUN_WEIGHT = 0.15, 0.1  # first estimate of a run, as a share of the aim; sample weight
 RUN_DECAY = 0.97  # per tick with free cores, of the run estimate of a class that has no run
-UNHEALTHY, FAILURE_WEIGHT, PROBE_AIMS = 0.3, 0.2, 0.1  # share of failed runs; sample weight; between probes
+UNHEALTHY, FAILURE_WEIGHT, PROBE_AIMS = 0.3, 0.2, 0.1  # failing share; sample weight; aims between probes
 RETRY_STORM, STARVED, LOAD_WEIGHT = 0.1, 0.7, 0.03  # share of further tries; rejected share; sample weight
 STALL_RUNS = 3.0  # run times without progress after which the server counts as stalled
-MAX_CALL_SHARE, COLD_CALL_SHARE, MIN_CALL_SHARE = 0.65, 0.3, 0.2  # of the configured one: most, cold, slow
+MAX_CALL_SHARE, COLD_CALL_SHARE, MIN_CALL_SHARE = 0.65, 0.3, 0.2  # of the configured call share
 SLOW_CALL_FACTOR, SKIPPABLE_LIMIT_FACTOR = 4.0, 16.0  # times the best call time; times the mean one
 CALL_RISE, CALL_DECAY = 0.02, 0.95  # per call; the rise as a share of the call share
 MAX_CALL_TRIES, CALL_WEIGHT, BEST_CALL_RISE = 3, 0.3, 1.01  # sample weight; of the best time, per call
@@ -44,7 +44,7 @@
 MAX_WINDOW_RATIO, WINDOW_RISE, WINDOW_DECAY = 3.5, 1.05, 0.85  # of the run limit; factors per tick
 RETRY_AFTER_SHARE = 0.03  # of the aim for each server: the longest retry delay where load is the cause
 MIN_SPEED = 0.05  # of the full speed, assumed of a cold server: the settings may say 0
-QUOTA_SLACK, QUOTA_BURST_S = 1.2, 2.0  # how far a tenant's use here may exceed an even spread
+QUOTA_SLACK, QUOTA_BURST_S = 1.2, 2.0  # times an even spread over servers; a burst, in seconds of it
 
 
 class Stage(Enum):
@@ -411,7 +411,7 @@
             self.retries += LOAD_WEIGHT * (not self.settings.marks_repeats)
             # A further try was rejected elsewhere, and in a retry storm the next will be: it costs reading.
             storm = self.retries > RETRY_STORM
-            vain = value_share < 1 or (storm and self.settings.marks_repeats)  # unmarked ones may find room
+            vain = value_share < 1 or (storm and self.settings.marks_repeats)  # unmarked work may find room
             self.actions.append(api.Reject(work.id, delay_ms, vain and (work.arrival.marked_repeat or storm)))
             self._discard(work)
             return
@@ -495,7 +495,7 @@
         return pending, spent_ms, max_ms - spent_ms - self.settings.linger_ms
 
     def _start_calls(self) -> None:
-        """Make or skip queued calls, in this order: calls that can't be skipped, value, aim."""
+        """Make or skip queued calls: first those that can't be skipped, then by value and aim."""
         if not self.stage_counts[Stage.CALL_QUEUED.value]:
             return
         queue = [work for work in self.work.values() if work.stage is Stage.CALL_QUEUED and not work.answered]
