--- a/flintshift/core/catalogue.py
+++ b/flintshift/core/catalogue.py
@@ -38,7 +38,9 @@
     def takes(self, class_name: str, now_ms: float) -> bool:
         """New work of this class is taken."""
         late = self.dropped.get(class_name)
-        return class_name in self.kinds or (late is not None and now_ms < late.at_ms + self.limits.dropped_ms)
+        return class_name in self.kinds or (
+            late is not None and now_ms < late.at_ms + self.limits.dropped_class_grace_ms
+        )
 
     def knows_club(self, club: str | None) -> bool:
         return not self.clubs or club in self.clubs or club in self.dropped_clubs
@@ -50,19 +52,19 @@
                 kind,
                 now_ms,
                 now_ms
-                + self.limits.dropped_ms
-                + self.limits.key_late_ms
-                + max(kind.repeat_window_ms, kind.deadline_ms + self.limits.lost_run_ms),
+                + self.limits.dropped_class_grace_ms
+                + self.limits.max_repeat_delay_ms
+                + max(kind.repeat_window_ms, kind.deadline_ms + self.limits.lost_run_timeout_ms),
             )
             for name, kind in self.kinds.items()
         }
         for kind in settings.classes:
             dropped.pop(kind.name, None)
-        if len(dropped) > self.limits.dropped_classes:
-            return f"{len(dropped)} classes would be dropped within their windows; {self.limits.dropped_classes} may be"
+        if len(dropped) > self.limits.max_dropped_classes:
+            return f"{len(dropped)} dropped classes in their windows; at most {self.limits.max_dropped_classes} may be"
         clubs = {tenant.name for tenant in settings.tenants}
         lately = {club: until for club, until in self.dropped_clubs.items() if until > now_ms}
-        lately |= dict.fromkeys(self.clubs, now_ms + self.limits.dropped_ms)
+        lately |= dict.fromkeys(self.clubs, now_ms + self.limits.dropped_class_grace_ms)
         self.dropped_clubs = {club: until for club, until in lately.items() if club not in clubs}
         self.settings = replace(
             settings, cold=self.settings.cold, cold_from=self.settings.cold_from, cold_ms=self.settings.cold_ms
--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -53,7 +53,7 @@
         self.share = WHOLE  # of the node's limits, for this process
         settings = self._settings()
         self.controller = Controller(settings, seed)
-        self.mailbox: Mailbox[at.Report] = Mailbox(limits.mailbox)
+        self.mailbox: Mailbox[at.Report] = Mailbox(limits.mailbox_size)
         self.posture = Posture(wait_ms=settings.advice_max_ms * settings.advice_allowed)
         self.attempts = OpenAttempts(counters, now_ms, self.posture)
         self.keys = KeyTable(limits)
@@ -80,7 +80,7 @@
         """Take a request that was read. A full mailbox refuses it here and now: it never ran. Guards a
         repeat, whose first try may have run, against a refusal: it has the spare room, or fails."""
         repeat = self._repeats(attempt)
-        spare = 0 if repeat else self.limits.mailbox_spare
+        spare = 0 if repeat else self.limits.mailbox_reserve
         if self.runs.books is not None and self.runs.books.refusing and not repeat:
             self.counters.add("refused.not_bookable")
             self.attempts.settle(attempt, self.attempts.refusal())
@@ -123,7 +123,7 @@
     def _settings(self) -> api.Settings:
         settings = scaled(self.catalogue.decided, self.share)
         # The grace counts from when the notice was given, not from when it was heard.
-        return replace(settings, drain_grace_ms=max(0.0, settings.drain_grace_ms - self.limits.notice_late_ms))
+        return replace(settings, drain_grace_ms=max(0.0, settings.drain_grace_ms - self.limits.max_notice_delay_ms))
 
     def tick(self, tick: at.Tick) -> None:
         """Handle a tick in this very turn: due times must not wait behind all that has arrived."""
@@ -135,7 +135,7 @@
     async def run(self) -> None:
         for turn in itertools.count(1):
             self.handle(await self.mailbox.take())
-            if turn % self.limits.batch == 0:  # a full mailbox must not keep the forwarders from their turn
+            if turn % self.limits.batch_size == 0:  # a full mailbox must not keep the forwarders from their turn
                 await checkpoint()
 
     # One report at a time.
@@ -302,12 +302,12 @@
 
     def _purge(self) -> None:
         now = self.now_ms()
-        if now < self.purged_ms + self.limits.purge_ms:
+        if now < self.purged_ms + self.limits.purge_interval_ms:
             return
         self.purged_ms = now
         # A run whose end was lost with its link would hold its place for ever.
         for attempt in self.attempts:
-            if attempt.running and attempt.over and now > attempt.over_ms + self.limits.lost_run_ms:
+            if attempt.running and attempt.over and now > attempt.over_ms + self.limits.lost_run_timeout_ms:
                 self.counters.add("lost_runs")
                 self.pending.append(at.RunOver(attempt.id, Outcome.STOPPED))
         self.keys.purge(now, itertools.chain(self.attempts.table, self.waiting.keeping))
--- a/flintshift/core/gauges.py
+++ b/flintshift/core/gauges.py
@@ -16,7 +16,7 @@
 class GaugePlanner:
     def __init__(self, limits: Limits, now_ms: Callable[[], float]) -> None:
         self.limits, self.now_ms = limits, now_ms
-        self.timers: Mailbox[tuple[float, str]] = Mailbox(limits.mailbox)
+        self.timers: Mailbox[tuple[float, str]] = Mailbox(limits.mailbox_size)
         self.last, self.read_ms = Gauges(), 0.0
 
     def wake_at(self, at_ms: float, token: str) -> None:
@@ -29,7 +29,7 @@
             at_ms, token = await self.timers.take()
             await anyio.sleep(max(0.0, at_ms - self.now_ms()) / 1000)
             # A pool that does not answer must not hold up the sweep for due times: the tick goes on without.
-            with anyio.move_on_after(self.limits.poll_ms / 1000):
+            with anyio.move_on_after(self.limits.gauge_poll_timeout_ms / 1000):
                 gauges = await gauged.poll()
                 if gauges is not None:
                     self.last, self.read_ms = gauges, self.now_ms()
--- a/flintshift/core/keys.py
+++ b/flintshift/core/keys.py
@@ -65,8 +65,8 @@
 
     def full(self) -> bool:
         """No further keyed work may start: a live key is never forgotten to make room."""
-        most = self.limits.key_bytes - self.limits.result
-        return len(self.entries) >= self.limits.keys or self.booked > most
+        most = self.limits.max_key_result_bytes - self.limits.max_result_bytes
+        return len(self.entries) >= self.limits.max_keys or self.booked > most
 
     def keep(self, attempt: Attempt, until_ms: float) -> None:
         key = (attempt.class_name, attempt.unique or "")
@@ -78,7 +78,7 @@
         if entry is not None:
             self._drop(key)
         self.entries[key] = Entry(attempt.id, until_ms, fingerprint(attempt))
-        self.booked += self.limits.result
+        self.booked += self.limits.max_result_bytes
 
     def owned(self, attempt: Attempt) -> Entry | None:
         entry = self.entries.get((attempt.class_name, attempt.unique or ""))
@@ -87,7 +87,7 @@
     def end(self, entry: Entry, outcome: Outcome, result: bytes) -> list[str]:
         """The owner's run is over: keep how, and return the attempts that waited for it."""
         if entry.stage is Stage.CLAIMED:
-            self.booked += len(result) - self.limits.result
+            self.booked += len(result) - self.limits.max_result_bytes
             entry.outcome, entry.result = outcome, result
         waiting, entry.followers = entry.followers, []
         return waiting
@@ -144,11 +144,11 @@
 
     def _room(self, entry: Entry) -> int:
         """Bytes booked for its result."""
-        return self.limits.result if entry.stage is Stage.CLAIMED else len(entry.result)
+        return self.limits.max_result_bytes if entry.stage is Stage.CLAIMED else len(entry.result)
 
     def purge(self, now_ms: float, open_: Iterator[str]) -> None:
         """Drop entries whose window has passed, but none whose owner is still open."""
-        live, past = set(open_), now_ms - self.limits.key_late_ms
+        live, past = set(open_), now_ms - self.limits.max_repeat_delay_ms
         for key in [
             key
             for key, entry in self.entries.items()
--- a/flintshift/handover/shared_keys.py
+++ b/flintshift/handover/shared_keys.py
@@ -33,7 +33,7 @@
 class SharedKeys:
     def __init__(self, keys: KeyTable, limits: Limits) -> None:
         self.keys, self.limits = keys, limits
-        self.agreement = Agreement(limits.claims)
+        self.agreement = Agreement(limits.max_open_claims)
         self.unsure_until_ms = self.lost_ms = 0.0
         self.marked = True  # callers mark further tries
 
@@ -53,11 +53,11 @@
             key_of(attempt),
             attempt.id,
             attempt.door_ms,
-            now_ms + limits.claim_ms + window + limits.key_margin_ms,
+            now_ms + limits.claim_timeout_ms + window + limits.key_margin_ms,
             fingerprint(attempt),
         )
         # Its answer has a due time too: it is given up a few ticks before.
-        until = min(now_ms + limits.claim_ms, attempt.due_ms - limits.claim_spare_ms)
+        until = min(now_ms + limits.claim_timeout_ms, attempt.due_ms - limits.claim_reserve_ms)
         return self._done(self.agreement.ask(claim, until))
 
     def told_entry(self, attempt: Attempt) -> list[Step]:
@@ -106,7 +106,7 @@
     def alone(self, now_ms: float, partial: bool, window_ms: float, marked: bool) -> list[Step]:
         """The other has ended. ``partial``: it had not told all, so for a window keys may be unknown here."""
         if partial:
-            self.unsure_until_ms = now_ms + window_ms + self.limits.key_late_ms
+            self.unsure_until_ms = now_ms + window_ms + self.limits.max_repeat_delay_ms
             self.lost_ms, self.marked = now_ms, marked
         lost: list[Step] = [End(follower, Outcome.ERROR) for follower in self.keys.lose()]
         return lost + self._done(self.agreement.alone())
--- a/flintshift/lifecycle/config.py
+++ b/flintshift/lifecycle/config.py
@@ -136,7 +136,7 @@
             vault=address(vault) if vault else None,
             seed=int(str(told["seed"]), 16),
             settings=settings,
-            limits=replace(limits, key_bytes=limits.memory_mb * (1 << 20) // 6),
+            limits=replace(limits, max_key_result_bytes=limits.memory_mb * (1 << 20) // 6),
             gauge_names=[GAUGES.get(name) for name in pairs.get("familyInfo.gauges", "").split(",")],
             operators=operators,
             told=told,
--- a/flintshift/lifecycle/copied_claims.py
+++ b/flintshift/lifecycle/copied_claims.py
@@ -57,7 +57,7 @@
         return False
 
     def ask(self, attempt: Attempt) -> None:
-        spare = attempt.due_ms - self.limits.claim_spare_ms - self.wall_ms()
+        spare = attempt.due_ms - self.limits.claim_reserve_ms - self.wall_ms()
         key = key_of(attempt)
         self.keys[attempt.id] = key
         self.tell(
@@ -66,7 +66,7 @@
                 attempt.id,
                 fingerprint(attempt),
                 self._keep_ms(attempt),
-                self.now_ms() + min(self.limits.claim_ms, max(spare, 0.0)),
+                self.now_ms() + min(self.limits.claim_timeout_ms, max(spare, 0.0)),
                 attempt.again or not self.decisions.catalogue.decided.marks_repeats,
             )
         )
@@ -77,12 +77,12 @@
 
     def _promised_ms(self, kind: RequestClass) -> float:
         """From a try's arrival until nothing is promised of it any more."""
-        return kind.repeat_window_ms + kind.deadline_ms + self.limits.key_margin_ms + self.limits.key_late_ms
+        return kind.repeat_window_ms + kind.deadline_ms + self.limits.key_margin_ms + self.limits.max_repeat_delay_ms
 
     def longest_keep_ms(self) -> float:
         """The same for the class that is kept longest, as clocks of members may differ."""
         promised = (self._promised_ms(kind) for kind in self.decisions.catalogue.decided.classes)
-        least = self.limits.key_margin_ms + self.limits.key_late_ms
+        least = self.limits.key_margin_ms + self.limits.max_repeat_delay_ms
         return max(promised, default=least) + self.limits.clock_skew_ms
 
     def departed(self, request: str) -> None:
@@ -94,7 +94,7 @@
         """The table holds its entry; the holders have its claim."""
 
     def keeps(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
-        due = attempt.due_ms - self.limits.claim_spare_ms - self.wall_ms()
+        due = attempt.due_ms - self.limits.claim_reserve_ms - self.wall_ms()
         self.tell(
             Finish(
                 key_of(attempt),
@@ -125,7 +125,7 @@
                 self.keys.pop(owner, None)
                 pending.append(at.Agreed(owner, True))
             case Known(waiting, key, value):
-                until = self.wall_ms() + self.limits.clock_skew_ms + self.limits.claim_ms
+                until = self.wall_ms() + self.limits.clock_skew_ms + self.limits.claim_timeout_ms
                 held = Held(value.owner, until, value.print, value.outcome, value.result, other=True)
                 pending.extend(at.RunOver(follower, Outcome.ERROR) for follower in keys.adopt(key, held, -math.inf))
                 for owner in waiting:
--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/copying.py
@@ -248,7 +248,7 @@
                     )
                     if value.outcome is Outcome.ERROR:
                         self.taken_over[key] = value.owner
-                        while len(self.taken_over) > self.limits.claims:
+                        while len(self.taken_over) > self.limits.max_open_claims:
                             del self.taken_over[next(iter(self.taken_over))]
                 case _ if self.in_turn:
                     self.decisions.pending.append(at.Told(action))
@@ -392,13 +392,13 @@
         await self.store.holding.wait()
         while True:
             try:
-                raw = listening(self.listen, self.limits.backlog)
+                raw = listening(self.listen, self.limits.listen_backlog)
                 break
             except OSError as error:
                 # A guest's address is held until the process before it ends, however long that takes.
                 if not (may_pass(error) if self.guest else self.again(error)):
                     raise
-            await anyio.sleep(self.limits.bind_again_ms / 1000)
+            await anyio.sleep(self.limits.start_retry_delay_ms / 1000)
         await self.front.serve(raw)
 
     async def _visit(self) -> None:
@@ -406,7 +406,7 @@
         async with anyio.create_task_group() as visit:
             visit.start_soon(self.links[self.name].run)
             while self.store.folder is None:
-                await anyio.sleep(self.limits.bind_again_ms / 1000)
+                await anyio.sleep(self.limits.start_retry_delay_ms / 1000)
                 if self.name not in self.reached:
                     try:
                         self.store.open()
--- a/flintshift/lifecycle/drain.py
+++ b/flintshift/lifecycle/drain.py
@@ -75,7 +75,7 @@
         await self.decisions.report(Notice(max(0.0, last_ms - self.now_ms())))
         self._tell("drain.began", notice_ms, kill_ms=kill_ms)
         if not succeeded:
-            await self._until(lambda: False, min(notice_ms + grace_ms, last_ms - self.limits.unlisten_ms))
+            await self._until(lambda: False, min(notice_ms + grace_ms, last_ms - self.limits.stop_accepting_ms))
         for front in self.fronts:
             front.stop_listening(self.alone())
         self._tell("drain.listens_no_more", notice_ms)
@@ -86,7 +86,7 @@
         # The last answers are to be taken, and what crosses them read to its end, for as long as the kill is away; and
         # where the notice was heard after the kill was due, what was read is answered all the same.
         await self._until(
-            self.done, max(last_ms + self.limits.stop_margin_ms / 2, self.now_ms() + self.limits.crossing_ms)
+            self.done, max(last_ms + self.limits.stop_margin_ms / 2, self.now_ms() + self.limits.close_crossing_ms)
         )
         self._tell("drain.ended", notice_ms)
 
@@ -102,4 +102,4 @@
 
     async def _until(self, true: Callable[[], bool], latest_ms: float) -> None:
         while self.now_ms() < latest_ms and not true():
-            await anyio.sleep(self.limits.drain_step_ms / 1000)
+            await anyio.sleep(self.limits.drain_check_interval_ms / 1000)
--- a/flintshift/lifecycle/fair_door.py
+++ b/flintshift/lifecycle/fair_door.py
@@ -48,11 +48,11 @@
     def __init__(self, settings: api.Settings, limits: Limits, counters: Counters, now_ms: Callable[[], float]) -> None:
         self.counters, self.now_ms, self.draw = counters, now_ms, random.random
         bounds = Bounds(
-            limits.door_callers,
-            limits.door_buckets,
-            limits.door_open,
-            limits.door_rekey_ms,
-            CalendarBounds(limits.door_slot_ms, limits.door_slots, limits.door_places),
+            limits.max_known_callers,
+            limits.caller_buckets,
+            limits.max_tracked_requests,
+            limits.bucket_rekey_interval_ms,
+            CalendarBounds(limits.reservation_slot_ms, limits.reservation_slots, limits.reservations_per_slot),
         )
         self.shares = Shares(weighed(settings), os.urandom(16), bounds)
         self.rank_ms = self.shares.rank_ms  # asked for all that is held at each choice: no call between
--- a/flintshift/lifecycle/start_retry.py
+++ b/flintshift/lifecycle/start_retry.py
@@ -13,7 +13,7 @@
 
 Result = TypeVar("Result")
 
-WAIT_S = Limits().bind_again_ms / 1000  # between two tries
+WAIT_S = Limits().start_retry_delay_ms / 1000  # between two tries
 
 
 class ToldToLeaveError(Exception):
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        most_s: float = Limits().ready_ms / 1000,
+        most_s: float = Limits().ready_timeout_ms / 1000,
         monotonic_s: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], None] = time.sleep,
         told_to_leave: Callable[[], bool] = signals.told_to_leave,
--- a/flintshift/lifecycle/status_socket.py
+++ b/flintshift/lifecycle/status_socket.py
@@ -45,7 +45,7 @@
                 self.counters.add(f"{self.part}.no_socket")
                 self.warn(f"nobody is told {self.what}: {self.path}: {cause}; it is tried again")
                 self.told = cause
-            await anyio.sleep(self.limits.door_again_ms / 1000)
+            await anyio.sleep(self.limits.status_listen_retry_delay_ms / 1000)
 
     async def _serve(self) -> str:
         """Until cancelled; else why it can't."""
@@ -72,7 +72,7 @@
         assert isinstance(stream, SocketStream)
         try:
             async with stream:
-                with anyio.move_on_after(self.limits.door_show_ms / 1000):
+                with anyio.move_on_after(self.limits.status_write_timeout_ms / 1000):
                     await stream.send(json.dumps(self.shown()).encode() + b"\n")
         except BROKEN:
             self.counters.add(f"{self.part}.show_broken")
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -122,11 +122,11 @@
                 break
             self.phases = Phases(False, runs_ms, calls_ms)
             try:
-                self.sockets = [listening(at_, self.limits.backlog) for _, at_ in self.node.fronts]
+                self.sockets = [listening(at_, self.limits.listen_backlog) for _, at_ in self.node.fronts]
             except OSError as error:  # held by one that leaves and gives no word any more, or refused for a moment
                 if not self.node.retry.again(error):
                     raise
-                await anyio.sleep(self.limits.bind_again_ms / 1000)
+                await anyio.sleep(self.limits.start_retry_delay_ms / 1000)
         if self.phases.phase is Phase.ALONE:
             self.opened.set()
             for front, _ in self.node.fronts:
@@ -162,7 +162,7 @@
                     told = str(error)
                     self.node.counters.add("upgrade.no_path")
                     self.node.warn(f"no successor can take over: {self.path}: {told}; it is tried again")
-            await anyio.sleep(self.limits.door_again_ms / 1000)
+            await anyio.sleep(self.limits.status_listen_retry_delay_ms / 1000)
 
     async def _welcome(self, listener: SocketListener, links: TaskGroup) -> None:
         try:
@@ -252,7 +252,7 @@
     def tick(self) -> None:
         now = self.now_ms()
         self._do(self.shared.expire(now))
-        if now >= self.used_ms + self.limits.shed_ms:
+        if now >= self.used_ms + self.limits.load_report_interval_ms:
             self.used_ms = now
             used = self.decisions.used()
             connections = sum(len(front.connections) for front, _ in self.node.fronts)
--- a/flintshift/startup/registration.py
+++ b/flintshift/startup/registration.py
@@ -30,13 +30,13 @@
 
     def __init__(self, lists: Sequence[ListService], limits: Limits, nodes: int, uniform: Uniform) -> None:
         pace = ReportPace(
-            limits.report_every_ms,
-            again_ms=limits.report_again_ms,
-            again_most_ms=limits.report_again_most_ms,
+            limits.report_interval_ms,
+            again_ms=limits.report_retry_delay_ms,
+            again_most_ms=limits.max_report_retry_delay_ms,
             nodes=nodes,
         )
         self.taken = 0  # reports, since the start
-        self.lists = [(listed, Reports(pace, uniform), Mailbox[Said](limits.list_box)) for listed in lists]
+        self.lists = [(listed, Reports(pace, uniform), Mailbox[Said](limits.list_mailbox_size)) for listed in lists]
 
     def say(self, serving: bool | None, last: bool = False) -> None:
         """From now on say this, again and again; None: nothing. The last word is said until it was taken once."""
--- a/flintshift/usage/keeper.py
+++ b/flintshift/usage/keeper.py
@@ -2,7 +2,7 @@
 
 - A period turns when the ledger's time leaves it, and never to one that has closed.
 - It closes once, in the order of time, a grace after its end, when no answer of it is on its way any more: a front
-  writes no answer for longer than ``Limits.write_ms``, so this ends.
+  writes no answer for longer than ``Limits.write_timeout_ms``, so this ends.
 - While documents can't be written, at most ``Bounds.documents`` are made and ``Bounds.periods`` are open: the last
   one then goes on past its end, and the next begins where the time is by then.
 - A change of the length takes effect at the end of the period that is open then; the next one is cut to its grid.
--- a/flintshift/wire/acceptor.py
+++ b/flintshift/wire/acceptor.py
@@ -199,8 +199,8 @@
     while True:
         # A list of errors to try again on would hold those that somebody has met: the rule is by class (`failures`).
         try:
-            return listening(at, limits.backlog)
+            return listening(at, limits.listen_backlog)
         except OSError as error:
             if not again(error):
                 raise
-        await anyio.sleep(limits.bind_again_ms / 1000)
+        await anyio.sleep(limits.start_retry_delay_ms / 1000)
--- a/flintshift/wire/caller_stream.py
+++ b/flintshift/wire/caller_stream.py
@@ -18,7 +18,7 @@
 
 PEER_ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 TAKE_AGAIN_S = 0.005  # between two tries to take a connection that was accepted
-TAKE_MOST_S = Limits().read_ms / 1000  # as long as its first request may take to come
+TAKE_MOST_S = Limits().request_read_timeout_ms / 1000  # as long as its first request may take to come
 
 
 class CallerStream(AsyncioSocketStream):
--- a/flintshift/wire/connection.py
+++ b/flintshift/wire/connection.py
@@ -126,9 +126,9 @@
         # uvloop raises a RuntimeError where the connection is closed already.
         with contextlib.suppress(*BROKEN, RuntimeError):
             await self.stream.send_eof()
-            with anyio.move_on_after(limits.write_ms / 1000):
+            with anyio.move_on_after(limits.write_timeout_ms / 1000):
                 while self.stream.unsent:
                     await anyio.sleep(LOOK_S)
             with anyio.move_on_after(linger_ms / 1000):
-                for _ in range(limits.linger_reads):
-                    self.discarded += len(await self.stream.receive(limits.read))
+                for _ in range(limits.max_linger_reads):
+                    self.discarded += len(await self.stream.receive(limits.read_chunk_bytes))
--- a/flintshift/wire/control_front.py
+++ b/flintshift/wire/control_front.py
@@ -88,10 +88,10 @@
     async def _make_room(self) -> None:
         """Close what has brought no whole call, but none that had no time to: newcomers wait so long."""
         stayed = list(self.calls)
-        await anyio.sleep(max(0.0, stayed[0].since_ms + self.limits.control_rest_ms - self.now_ms()) / 1000)
+        await anyio.sleep(max(0.0, stayed[0].since_ms + self.limits.control_displace_after_ms - self.now_ms()) / 1000)
         for _ in range(TURNS):  # in a busy node, time passes without a turn
             await checkpoint()
-        before = self.now_ms() - self.limits.control_rest_ms
+        before = self.now_ms() - self.limits.control_displace_after_ms
         for call in stayed:
             if call in self.calls and call.since_ms <= before:
                 del self.calls[call]
@@ -104,7 +104,7 @@
             with call.scope:
                 stream = await caller_stream(call.raw)
                 async with stream:
-                    with anyio.move_on_after(self.limits.control_read_ms / 1000):
+                    with anyio.move_on_after(self.limits.control_call_timeout_ms / 1000):
                         status, reason = await self._outcome(stream)
                         body = f"{reason}\n".encode()
                         self.counters.add(f"control.status_{status}")
@@ -129,7 +129,7 @@
                 call.raw.close()
 
     async def _outcome(self, stream: SocketStream) -> tuple[int, str]:
-        conn = h11.Connection(h11.SERVER, self.limits.control_head)
+        conn = h11.Connection(h11.SERVER, self.limits.max_control_head_bytes)
         try:
             request = await self._request(conn, stream)
         except UnusableError as error:
@@ -152,12 +152,12 @@
         while True:
             event = conn.next_event()
             if event is h11.NEED_DATA:
-                conn.receive_data(await stream.receive(self.limits.control_head))
+                conn.receive_data(await stream.receive(self.limits.max_control_head_bytes))
             elif isinstance(event, h11.Request):
                 request = event
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > self.limits.control_head:
+                if size > self.limits.max_control_head_bytes:
                     raise UnusableError(400, "the call is too large")
             elif isinstance(event, h11.EndOfMessage) and request is not None:
                 return request
--- a/flintshift/wire/dnssd.py
+++ b/flintshift/wire/dnssd.py
@@ -48,14 +48,14 @@
     async def _asked(self, message: dns.message.Message) -> dns.message.Message:
         """One exchange. What this machine's own system refuses for a moment, a socket, say, is tried again: one look at
         the app servers is several exchanges, and all of them must go well."""
-        for _ in range(self.limits.dns_tries - 1):
+        for _ in range(self.limits.max_dns_tries - 1):
             with contextlib.suppress(OSError):
                 return await self._ask(message)
             await anyio.sleep(self.limits.backoff_ms / 1000)
         return await self._ask(message)
 
     async def _ask(self, message: dns.message.Message) -> dns.message.Message:
-        return await dns.asyncquery.udp(message, self.at[0], port=self.at[1], timeout=self.limits.dns_ms / 1000)
+        return await dns.asyncquery.udp(message, self.at[0], port=self.at[1], timeout=self.limits.dns_timeout_ms / 1000)
 
     async def find(self, name: dns.name.Name, kind: RdataType) -> list[Any]:
         reply = await self.exchange(dns.message.make_query(name, kind))
@@ -71,7 +71,7 @@
     ) -> None:
         self.resolver, self.limits, self.counters, self.uniform = resolver, limits, counters, uniform
         self.service = dns.name.from_text(service, dns.name.from_text(domain))
-        self.known = KnownServers[Server](limits.browse_empty_looks)
+        self.known = KnownServers[Server](limits.confirming_empty_browses)
         self.turn = itertools.count()
 
     def servers(self, class_name: str) -> list[tuple[str, int]]:
@@ -81,7 +81,7 @@
         return [server.at for server in sorted(fit[turn:] + fit[:turn], key=lambda server: server.priority)]
 
     async def run(self) -> None:
-        waits = Backoff(self.limits.browse_again_ms, self.limits.browse_ms, self.uniform)
+        waits = Backoff(self.limits.browse_retry_delay_ms, self.limits.browse_interval_ms, self.uniform)
         while True:
             try:
                 if self.known.looked(await self._browse()):
@@ -93,7 +93,7 @@
             # What is known stands, so a resolver that fails is not asked more often for it; one that names nobody is.
             if self.known.servers and not self.known.doubted:
                 waits.reset()
-                wait_ms = self.limits.browse_ms * self.uniform(0.95, 1.05)
+                wait_ms = self.limits.browse_interval_ms * self.uniform(0.95, 1.05)
             else:
                 wait_ms = waits.next_ms()
             await anyio.sleep(wait_ms / 1000)
--- a/flintshift/wire/fields.py
+++ b/flintshift/wire/fields.py
@@ -72,18 +72,18 @@
                 raise UnusableError(400, f"{name} is impossible")
             return found
 
-        if len(body) > self.limits.body:
+        if len(body) > self.limits.max_body_bytes:
             raise UnusableError(413, "the body is too large")
         item, kind = get("X-Item"), self.catalogue.find(class_name)
         keyed = kind is not None and kind.effect is Effect.KEYED
         number("X-Precedence", 0, 1)  # no decision uses it, but one that is no rank is a fault of the caller
         if get("X-Size-Ms") is not None:
-            number("X-Size-Ms", 0, self.limits.oldest_ms)  # the same holds for this one
+            number("X-Size-Ms", 0, self.limits.max_request_age_ms)  # the same holds for this one
         return Attempt(
             id=text("X-Job-Id", HEX16),
             class_name=class_name,
             door_ms=self._door_ms(number("X-Door-Time", 0, UNIX_MS_MOST, True)),
-            allow_ms=number("X-Allow-Ms", 0, self.limits.oldest_ms) if get("X-Allow-Ms") is not None else None,
+            allow_ms=number("X-Allow-Ms", 0, self.limits.max_request_age_ms) if get("X-Allow-Ms") is not None else None,
             held_kb=number("X-Ram-Kb", math.nextafter(0, 1), 2000),
             caller=int(number("X-Sender", 0, 2**31, True)),
             body=body,
@@ -97,7 +97,7 @@
     def _door_ms(self, unix_ms: float) -> float:
         """When a request came to the machine, by the node's clock: no later than now, whatever its caller's says."""
         age_ms = self.age_ms(unix_ms)
-        if not -self.limits.clock_skew_ms < age_ms <= self.limits.oldest_ms:
+        if not -self.limits.clock_skew_ms < age_ms <= self.limits.max_request_age_ms:
             raise UnusableError(400, "X-Door-Time is impossible")
         return self.now_ms() - max(0.0, age_ms)
 
--- a/flintshift/wire/front.py
+++ b/flintshift/wire/front.py
@@ -108,7 +108,7 @@
         if self.takes_queue:
             if self.alone:
                 await listener.refuse_new()
-            listener.take_queued(self._accepted, tasks, self.limits.queued)
+            listener.take_queued(self._accepted, tasks, self.limits.max_backlog_accepts)
         listener.close()
 
     def leave(self) -> None:
@@ -193,7 +193,9 @@
         """Close the idlest connection for a new one. Guards the descriptors, which peers and fronts share,
         without shutting usual callers out for those that stay and ask nothing: these go first if they never
         spoke. One that came or spoke just now may have a request on its way."""
-        for idle, least_ms in zip(self.idle, (self.limits.silent_ms, self.limits.rested_ms), strict=True):
+        for idle, least_ms in zip(
+            self.idle, (self.limits.displace_silent_after_ms, self.limits.displace_idle_after_ms), strict=True
+        ):
             connection = next(iter(idle), None)
             if connection is not None and self.now_ms() - connection.since_ms >= least_ms:
                 self._stir(connection)
@@ -214,7 +216,7 @@
         elif connection.state is ConnectionState.HALF_CLOSED:
             connection.close_for(CloseReason.IDLE)
             if connection.spoke or self.draining:
-                await connection.await_peer(self.limits.crossing_ms)
+                await connection.await_peer(self.limits.close_crossing_ms)
         else:
             connection.close_for(CloseReason.LAST_ANSWER)
             await connection.shut(self.limits, self.limits.linger_ms)
@@ -234,9 +236,9 @@
         or a request takes too long: the first one from the opening on, the next from their first byte."""
         wait_s = None
         if connection.busy or not connection.spoke:
-            wait_s = max(0.0, connection.since_ms + self.limits.read_ms - self.now_ms()) / 1000
+            wait_s = max(0.0, connection.since_ms + self.limits.request_read_timeout_ms - self.now_ms()) / 1000
         if self.closing:
-            wait_s = self.limits.last_read_ms / 1000
+            wait_s = self.limits.last_read_timeout_ms / 1000
         with anyio.move_on_after(wait_s) as connection.reading:
             try:
                 return await self._receive(connection)
@@ -247,7 +249,7 @@
     def _end_or_take(self, connection: Connection) -> bytes | None:
         """End a resting connection, unless bytes of a request have come: these are returned, and answered as the last
         on it. Nothing is awaited between the look and the end, so that nothing is read there."""
-        data = connection.stream.unread(self.limits.read)
+        data = connection.stream.unread(self.limits.read_chunk_bytes)
         if not data:
             connection.end()
             return None
@@ -258,7 +260,7 @@
     async def _receive(self, connection: Connection) -> bytes:
         """The next bytes of a request; b"" at their end."""
         try:
-            data = await connection.stream.receive(self.limits.read)
+            data = await connection.stream.receive(self.limits.read_chunk_bytes)
         except anyio.EndOfStream:
             connection.at_end = True
             return b""
@@ -301,10 +303,10 @@
         early = 0
         while exchange.answer is None:
             with anyio.CancelScope() as exchange.reading:
-                if early > self.limits.head:  # what comes before the answer is kept, up to a bound
+                if early > self.limits.max_head_bytes:  # what comes before the answer is kept, up to a bound
                     await anyio.sleep_forever()
                 try:
-                    data = await connection.stream.receive(self.limits.read)
+                    data = await connection.stream.receive(self.limits.read_chunk_bytes)
                 except BROKEN:
                     if self.books is not None:
                         self.books.departed(attempt, self.name)
@@ -340,12 +342,12 @@
         """Close connections that have carried nothing for as long as was decided, and those whose callers
         take no answer: they must not be held for ever."""
         while True:
-            await anyio.sleep(self.limits.sweep_ms / 1000)
+            await anyio.sleep(self.limits.sweep_interval_ms / 1000)
             idle_ms, now = self.posture.idle_ms, self.now_ms()
             for connection in self.connections:
                 if idle_ms and not connection.busy and now - connection.since_ms >= idle_ms:
                     connection.stop_reading()
-                if now - connection.writing_ms >= self.limits.write_ms:
+                if now - connection.writing_ms >= self.limits.write_timeout_ms:
                     connection.close_for(CloseReason.NOT_TAKEN)
                     self.counters.add(f"{self.name}.answers_not_taken")
                     connection.scope.cancel()
--- a/flintshift/wire/handover.py
+++ b/flintshift/wire/handover.py
@@ -56,7 +56,7 @@
 
     def __init__(self, stream: UNIXSocketStream, limits: Limits) -> None:
         self.stream, self.limits = stream, limits
-        self.outbox: Mailbox[Word | bytes] = Mailbox(limits.outbox)
+        self.outbox: Mailbox[Word | bytes] = Mailbox(limits.outbox_size)
         self.copy: Iterator[Known] | None = None
         self.unpacker, self.early = Unpacker(), list[Word]()
         self.watched = _watch(stream.extra(anyio.abc.SocketAttribute.raw_socket))
@@ -90,10 +90,10 @@
     async def close(self) -> None:
         """Say what is left to say, then end the link: the other hears it now and not in the middle of a read."""
         self.send(Left())
-        with anyio.move_on_after(self.limits.left_ms / 1000):
+        with anyio.move_on_after(self.limits.final_send_timeout_ms / 1000):
             await self.left.wait()
         self.break_off()
-        with anyio.move_on_after(self.limits.last_read_ms / 1000):
+        with anyio.move_on_after(self.limits.last_read_timeout_ms / 1000):
             await self.over.wait()
 
     def break_off(self) -> None:
@@ -128,7 +128,7 @@
                     for word in self.early:
                         await heard(word)
                     while True:
-                        for word in self.unpacker.feed(await self.stream.receive(self.limits.read)):
+                        for word in self.unpacker.feed(await self.stream.receive(self.limits.read_chunk_bytes)):
                             await heard(word)
                 except (FrameError, *BROKEN) as error:
                     self.broken, cause = True, f"{type(error).__name__} {error}".strip()
@@ -152,14 +152,14 @@
                     batch = bytearray()
                     for entry in self.copy or ():
                         batch += packed(entry)
-                        if len(batch) >= self.limits.read:
+                        if len(batch) >= self.limits.read_chunk_bytes:
                             await self.stream.send(bytes(batch))
                             batch.clear()
                     await self.stream.send(bytes(batch) + packed(word))
                     continue
                 batch = bytearray(word if isinstance(word, bytes) else packed(word))
                 while (
-                    len(batch) < self.limits.read
+                    len(batch) < self.limits.read_chunk_bytes
                     and self.outbox.items
                     and not isinstance(more := self.outbox.items[0], Copied | Welcome | Left)
                 ):
@@ -178,7 +178,7 @@
         UpgradeError: there is one, and it does not hand over.
     """
     try:
-        with anyio.fail_after(limits.welcome_ms / 1000), short(path) as name:
+        with anyio.fail_after(limits.welcome_timeout_ms / 1000), short(path) as name:
             stream = await anyio.connect_unix(name)
     except TimeoutError as error:
         raise mute(limits) from error
@@ -186,10 +186,10 @@
         return None
     link = Link(stream, limits)
     try:
-        with anyio.fail_after(limits.welcome_ms / 1000):
+        with anyio.fail_after(limits.welcome_timeout_ms / 1000):
             await stream.send(packed(Hello(VERSION)))
             while not link.early:
-                data, found = await stream.receive_fds(limits.read, SOCKETS_MOST)
+                data, found = await stream.receive_fds(limits.read_chunk_bytes, SOCKETS_MOST)
                 link.sockets += [socket.socket(fileno=one) for one in found]
                 link.early += link.unpacker.feed(data)
     except TimeoutError as error:
@@ -204,6 +204,6 @@
 
 def mute(limits: Limits) -> UpgradeError:
     return UpgradeError(
-        f"the process that serves took the call and said nothing for {limits.welcome_ms:g} ms; "
+        f"the process that serves took the call and said nothing for {limits.welcome_timeout_ms:g} ms; "
         "it lives, so its address can't be shared: look at it, and end it if it hangs"
     )
--- a/flintshift/wire/http_front.py
+++ b/flintshift/wire/http_front.py
@@ -31,7 +31,7 @@
     async def converse(self, connection: Connection) -> None:
         early = b""  # of the next request, come before this one's answer
         while True:
-            conn, more, keep = h11.Connection(h11.SERVER, self.limits.head), list[bytes](), False
+            conn, more, keep = h11.Connection(h11.SERVER, self.limits.max_head_bytes), list[bytes](), False
             if early:
                 self.begun(connection)
                 conn.receive_data(early)
@@ -77,11 +77,11 @@
                 # Guards against a request hidden in the body: with both, peers differ on where it ends.
                 if b"content-length" in headers and b"transfer-encoding" in headers:
                     raise UnusableError(400, "Content-Length and Transfer-Encoding exclude each other")
-                if int(headers.get(b"content-length", b"0")) > self.limits.body:
+                if int(headers.get(b"content-length", b"0")) > self.limits.max_body_bytes:
                     raise UnusableError(413, "the body is too large")
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > self.limits.body:
+                if len(body) > self.limits.max_body_bytes:
                     raise UnusableError(413, "the body is too large")
             elif isinstance(event, h11.EndOfMessage) and request is not None:
                 return request, body
--- a/flintshift/wire/link.py
+++ b/flintshift/wire/link.py
@@ -29,7 +29,7 @@
         OSError, TimeoutError: there is none to be had; also where the host is no name that could be looked up.
     """
     try:
-        with anyio.fail_after(limits.connect_ms / 1000):
+        with anyio.fail_after(limits.connect_timeout_ms / 1000):
             return await anyio.connect_tcp(*to)
     except UnicodeError as error:
         raise OSError(f"{to[0]} is no name of a host") from error
--- a/flintshift/wire/names.py
+++ b/flintshift/wire/names.py
@@ -27,7 +27,7 @@
         """One report; True when it counts, as it does once it has arrived whole, answered or not."""
         sent, word = anyio.Event(), "not_taken"
         try:
-            with anyio.fail_after(self.limits.report_wait_ms / 1000):
+            with anyio.fail_after(self.limits.report_timeout_ms / 1000):
                 async with await connect(self.to, self.limits) as stream:
                     body = json.dumps({"serving": "yes" if serving else "no"})
                     if await self._put(stream, body.encode(), sent):
@@ -52,6 +52,6 @@
         while True:
             event = conn.next_event()
             if event is h11.NEED_DATA:
-                conn.receive_data(await stream.receive(self.limits.read))
+                conn.receive_data(await stream.receive(self.limits.read_chunk_bytes))
             elif isinstance(event, h11.Response):
                 return event.status_code == 204
--- a/flintshift/wire/peer_link.py
+++ b/flintshift/wire/peer_link.py
@@ -121,7 +121,7 @@
     # To be sent.
 
     def put(self, word: Word) -> None:
-        if len(self.words) >= self.limits.peer_outbox:
+        if len(self.words) >= self.limits.peer_outbox_size:
             self.end("the other end does not read")
             return
         self.words.append(word)
@@ -205,17 +205,17 @@
 
     def watch(self, now_ms: float) -> None:
         """Break it off where an answer is owed for too long: what breaks is found at once, what hangs is not."""
-        if self.wire is not None and now_ms - self.asked_ms > self.limits.peer_silent_ms:
+        if self.wire is not None and now_ms - self.asked_ms > self.limits.peer_timeout_ms:
             self.counters.add("peers.links_silent")
             self.wire.end("an answer was owed for too long")
 
     async def run(self) -> None:
-        waits = Backoff(self.limits.backoff_ms, self.limits.peer_backoff_most_ms, self.draw.uniform)
+        waits = Backoff(self.limits.backoff_ms, self.limits.max_peer_backoff_ms, self.draw.uniform)
         while True:
             wire = Wire(self.limits, self._got)
             refused = ""
             try:
-                with anyio.fail_after(self.limits.connect_ms / 1000):
+                with anyio.fail_after(self.limits.connect_timeout_ms / 1000):
                     await asyncio.get_running_loop().create_connection(lambda wire=wire: wire, *self.to)  # type: ignore[misc]
                     wire.send(self.greeting.hello(*self.stores(self.member)))
                     await wire.met.wait()
@@ -235,7 +235,7 @@
                 self.counters.add("peers.links_failed")
             self.down(self.member, refused or wire.cause)
             # Many that lost one member at once do not come back to it at once.
-            wait_ms = self.draw.uniform(0.5, 1.0) * self.limits.backoff_most_ms if refused else waits.next_ms()
+            wait_ms = self.draw.uniform(0.5, 1.0) * self.limits.max_backoff_ms if refused else waits.next_ms()
             self.wanted = anyio.Event()
             with anyio.move_on_after(wait_ms / 1000):
                 await self.wanted.wait()
@@ -278,7 +278,7 @@
         server = await asyncio.get_running_loop().create_server(self._new, sock=raw)
         try:
             while True:
-                await anyio.sleep(self.limits.connect_ms / 1000)
+                await anyio.sleep(self.limits.connect_timeout_ms / 1000)
                 self._sweep()
         finally:
             server.close()
@@ -288,7 +288,7 @@
     def _new(self) -> Wire:
         wire = Accepted(self.limits, self._got, self)
         self.open[wire] = asyncio.get_running_loop().time()
-        if len(self.open) > self.limits.peer_links:
+        if len(self.open) > self.limits.max_peer_links:
             self.counters.add("peers.links_refused")
             asyncio.get_running_loop().call_soon(wire.end, "too many links")
         return wire
@@ -297,7 +297,7 @@
         """Whoever connects and never says who it is makes room."""
         now = asyncio.get_running_loop().time()
         for wire, since in list(self.open.items()):
-            if wire.greeted is None and now - since > self.limits.connect_ms / 1000:
+            if wire.greeted is None and now - since > self.limits.connect_timeout_ms / 1000:
                 wire.end("it did not say who it is")
 
     def _got(self, wire: Wire, batch: pb.Batch) -> None:
--- a/flintshift/wire/pool.py
+++ b/flintshift/wire/pool.py
@@ -48,8 +48,8 @@
         self.uniform = uniform
         self.to, self.gauge_names, self.limits = to, gauge_names, limits
         self.counters, self.report = counters, report
-        self.outbox: Mailbox[Command] = Mailbox(limits.outbox)
-        self.unheard = Unheard(limits.unsure_ms, limits.unheard)
+        self.outbox: Mailbox[Command] = Mailbox(limits.outbox_size)
+        self.unheard = Unheard(limits.pool_in_doubt_ms, limits.max_unconfirmed_commands)
         self.read_no = 0  # the last notice that was read
         self.junk = JunkNotices()
         self.bound = self.linked = False  # now, and ever
@@ -57,7 +57,7 @@
         self.waiting: dict[str, Callable[[Answered], None]] = {}  # by mark: who asked
         self.again: tuple[str, list[Command]] | None = None  # at that mark: what is made good
         self.heard_ms = 0.0  # when something last came on the link in use
-        self.silence = Silence(limits.pool_quiet_looks)
+        self.silence = Silence(limits.max_silent_pool_checks)
         self.over = anyio.Event()  # the link in use broke, or another address is to be linked to
         self.resting: anyio.CancelScope | None = None  # its writer waits for commands
 
@@ -89,7 +89,7 @@
         return Gauges(**{name: value for name, value in pairs if name})
 
     async def verify(self) -> bool:
-        with anyio.move_on_after(self.limits.verify_ms / 1000):
+        with anyio.move_on_after(self.limits.verify_timeout_ms / 1000):
             told = await self._ask("verify")
             return isinstance(told, codec.Verified) and told.good
         return False
@@ -121,7 +121,7 @@
             self.resting.cancel()
 
     async def run(self) -> None:
-        backoff = Backoff(self.limits.backoff_ms, self.limits.backoff_most_ms, self.uniform)
+        backoff = Backoff(self.limits.backoff_ms, self.limits.max_backoff_ms, self.uniform)
         async with anyio.create_task_group() as links:
             while True:
                 self.over = anyio.Event()
@@ -163,7 +163,7 @@
         await stream.send(codec.bind(self.read_no))
         reader = BufferedByteReceiveStream(stream)
         if self.linked:  # at the start, the pool may come up long after the node
-            with anyio.fail_after(self.limits.pool_bound_ms / 1000):
+            with anyio.fail_after(self.limits.pool_bind_timeout_ms / 1000):
                 first = await self._next(reader)
         else:
             first = await self._next(reader)
@@ -173,7 +173,9 @@
                 await self._take(await self._next(reader), stream, over, backoff, tasks)
 
     async def _next(self, reader: BufferedByteReceiveStream) -> codec.Notice:
-        return codec.notice_of(await reader.receive_until(b"\n", self.limits.line), self.limits.result)
+        return codec.notice_of(
+            await reader.receive_until(b"\n", self.limits.max_line_bytes), self.limits.max_result_bytes
+        )
 
     async def _take(
         self,
@@ -222,7 +224,7 @@
             SilentError: it has said nothing for too many looks.
         """
         while not over.is_set():
-            await anyio.sleep(self.limits.pool_look_ms / 1000)
+            await anyio.sleep(self.limits.pool_check_interval_ms / 1000)
             if not over.is_set() and self.silence.looked():
                 raise SilentError("the worker pool does not answer")
 
@@ -233,7 +235,7 @@
             if self.resting.cancelled_caught:
                 return
             batch = self._written(command)
-            while len(batch) < self.limits.read and (more := self.outbox.take_now()) is not None:
+            while len(batch) < self.limits.read_chunk_bytes and (more := self.outbox.take_now()) is not None:
                 batch += self._written(more)
             await stream.send(batch)
 
--- a/flintshift/wire/uwsgi_apps.py
+++ b/flintshift/wire/uwsgi_apps.py
@@ -30,7 +30,7 @@
     ) -> None:
         self.browser, self.limits, self.counters = browser, limits, counters
         self.report, self.now_ms = report, now_ms
-        self.outbox: Mailbox[Attempt] = Mailbox(limits.outbox)
+        self.outbox: Mailbox[Attempt] = Mailbox(limits.outbox_size)
         self.room = anyio.CapacityLimiter(limits.app_connections)  # guards the descriptors
 
     def spawn(self, attempt: Attempt) -> bool:
@@ -70,7 +70,7 @@
                 continue
             try:
                 async with stream:
-                    with anyio.fail_after(self.limits.app_run_ms / 1000):
+                    with anyio.fail_after(self.limits.app_run_timeout_ms / 1000):
                         return await self._ask(stream, attempt)
             except TimeoutError:
                 return OUTCOMES["link", "silent"], b""
@@ -79,7 +79,7 @@
         return OUTCOMES["link", "refused"], b""
 
     async def _ask(self, stream: SocketStream, attempt: Attempt) -> tuple[Outcome, bytes]:
-        conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=self.limits.head)
+        conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=self.limits.max_head_bytes)
         # uwsgi asks in its own way and answers as HTTP does: only the answer is h11's.
         conn.send(h11.Request(method="POST", target="/", headers=[("Host", "app")]))
         conn.send(h11.EndOfMessage())
@@ -89,14 +89,14 @@
             event = conn.next_event()
             if event is h11.NEED_DATA:
                 try:
-                    conn.receive_data(await stream.receive(self.limits.read))
+                    conn.receive_data(await stream.receive(self.limits.read_chunk_bytes))
                 except anyio.EndOfStream:
                     conn.receive_data(b"")
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 result += event.data
-                if len(result) > self.limits.result:
+                if len(result) > self.limits.max_result_bytes:
                     self.counters.add("apps.junk")
                     return Outcome.ERROR, b""
             elif isinstance(event, h11.EndOfMessage):
--- a/flintshift/wire/uwsgi_front.py
+++ b/flintshift/wire/uwsgi_front.py
@@ -38,9 +38,9 @@
 
         try:
             head = await take(uwsgi.HEAD.size)
-            block = await take(uwsgi.block_size(head, self.limits.vars))
+            block = await take(uwsgi.block_size(head, self.limits.max_uwsgi_vars_bytes))
             variables = uwsgi.unpack(block)
-            body = await take(uwsgi.body_size(variables, self.limits.body))
+            body = await take(uwsgi.body_size(variables, self.limits.max_body_bytes))
         except StoppedError:
             if connection.busy:  # half read: nothing of it was run
                 connection.close_for(CloseReason.UNFINISHED)
--- a/flintshift/wire/vault.py
+++ b/flintshift/wire/vault.py
@@ -73,7 +73,7 @@
     ) -> None:
         self.to, self.limits, self.counters = to, limits, counters
         self.report, self.now_ms = report, now_ms
-        self.outbox: Mailbox[Ask | str] = Mailbox(limits.outbox)
+        self.outbox: Mailbox[Ask | str] = Mailbox(limits.outbox_size)
         self.out: dict[str, Ask] = {}  # calls under way
         self.wary_until_ms = 0.0  # a connection that was used before broke lately
         self.idle: list[Line] = []  # the one used last at the end
@@ -128,7 +128,7 @@
             end = await self._on(line, ask)
             if end is not BROKEN_OFF:
                 return end
-            self.wary_until_ms = self.now_ms() + self.limits.vault_wary_ms
+            self.wary_until_ms = self.now_ms() + self.limits.vault_new_links_ms
             if ask.once:
                 return end
             self.counters.add("vault.made_again")
@@ -168,7 +168,7 @@
     def _free_line(self, request: str) -> Line | None:
         """A connection that was in use a moment ago. Guards against one that the vault closes or forgets
         while it is idle, and against a second copy of this request's last reply."""
-        since = self.now_ms() - self.limits.vault_fresh_ms
+        since = self.now_ms() - self.limits.max_vault_idle_ms
         fit = [line for line in self.idle if line.used_ms >= since and line.to == self.to and line.request != request]
         if not fit:
             return None
@@ -184,11 +184,13 @@
         line.request = ask.request
         head = f"ask {ask.request} {left_ms} {len(ask.payload)}\r\n"
         await line.stream.send(head.encode() + ask.payload + b"\r\n")
-        for _ in range(self.limits.strays):
+        for _ in range(self.limits.max_unmatched_replies):
             if not line.reader.buffer:
-                line.reader.feed_data(await line.stream.receive(self.limits.read))
+                line.reader.feed_data(await line.stream.receive(self.limits.read_chunk_bytes))
             try:
-                with anyio.fail_after(self.limits.vault_rest_ms / 1000):  # a reply comes whole, or is junk
+                with anyio.fail_after(
+                    self.limits.vault_reply_rest_timeout_ms / 1000
+                ):  # a reply comes whole, or is junk
                     request, word, reply = await self._reply(line.reader)
             except TimeoutError as error:
                 raise JunkError("a reply without end") from error
@@ -198,7 +200,7 @@
         raise JunkError("strays without end")
 
     async def _reply(self, reader: BufferedByteReceiveStream) -> tuple[str, str, bytes]:
-        parts = (await reader.receive_until(b"\r\n", self.limits.vault_line)).decode("latin-1").split(" ")
+        parts = (await reader.receive_until(b"\r\n", self.limits.max_vault_line_bytes)).decode("latin-1").split(" ")
         word = parts[1] if len(parts) > 1 else ""
         if (
             word == "yes"
@@ -206,7 +208,7 @@
             and parts[2].isascii()
             and parts[2].isdecimal()
             and len(parts[2]) < 9
-            and int(parts[2]) <= self.limits.line
+            and int(parts[2]) <= self.limits.max_line_bytes
         ):
             reply = await reader.receive_exactly(int(parts[2]))
             if await reader.receive_exactly(2) != b"\r\n":
@@ -219,8 +221,8 @@
     async def _sweep(self) -> None:
         """Close what has been idle: nothing is owed on it."""
         while True:
-            await anyio.sleep(self.limits.vault_fresh_ms / 1000)
-            since = self.now_ms() - self.limits.vault_fresh_ms
+            await anyio.sleep(self.limits.max_vault_idle_ms / 1000)
+            since = self.now_ms() - self.limits.max_vault_idle_ms
             past = [line for line in self.idle if line.used_ms < since or line.to != self.to]
             self.idle = [line for line in self.idle if line not in past]
             for line in past:
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -37,7 +37,7 @@
 
 
 def test_the_grace_of_a_drain_counts_from_when_the_notice_was_given_not_heard():
-    node = Planner(notice_late_ms=200.0)  # of the grace of 300 ms
+    node = Planner(max_notice_delay_ms=200.0)  # of the grace of 300 ms
     node.planner.handle(at.Notice(3000.0))
     node.now += 150.0
     node.submit("late")
@@ -50,7 +50,7 @@
 )
 @pytest.mark.parametrize("read_late_ms", [0.0, 30.0])
 def test_what_comes_on_either_side_of_the_grace_runs_or_is_refused_by_its_door_time(after_ms, runs, read_late_ms):
-    node = Planner(notice_late_ms=0.0)
+    node = Planner(max_notice_delay_ms=0.0)
     grace_ms = 300.0  # of the planner's settings
     notice_ms = node.now
     node.planner.handle(at.Notice(6000.0))
@@ -134,7 +134,7 @@
 
 
 def test_a_full_key_table_starts_no_keyed_work_and_forgets_no_live_key():
-    node = Planner(keys=2)
+    node = Planner(max_keys=2)
     for request in "ab":
         node.submit(request, "pay", unique=request)
         node.planner.handle(at.RunOver(request, Outcome.OK, 1.0, request.encode()))
@@ -146,7 +146,7 @@
 
 
 def test_results_are_booked_at_their_largest_until_they_are_known():
-    limits = Limits(result=100, key_bytes=250)
+    limits = Limits(max_result_bytes=100, max_key_result_bytes=250)
     keys = KeyTable(limits)
     attempts = [Attempt(str(turn), "pay", 0.0, 1.0, 1, b"", unique=str(turn)) for turn in range(3)]
     for attempt in attempts[:2]:
@@ -171,7 +171,7 @@
 
 
 def test_a_full_mailbox_refuses_new_work_and_keeps_room_for_the_rest():
-    node = Planner(mailbox=4, mailbox_spare=2)
+    node = Planner(mailbox_size=4, mailbox_reserve=2)
     told = []
     attempts = [Attempt(request, "look", node.now, 1.0, 1, b"", tell=told.append) for request in "abcd"]
     for attempt in attempts:
@@ -183,7 +183,7 @@
 
 
 def test_a_full_mailbox_does_not_refuse_the_repeat_of_what_has_run():
-    node = Planner(mailbox=4, mailbox_spare=2)
+    node = Planner(mailbox_size=4, mailbox_reserve=2)
     node.submit("a", "pay", unique="k")
     node.planner.handle(at.RunOver("a", Outcome.OK, 1.0, b"x"))
     told = []
--- a/tests/core/test_repeats.py
+++ b/tests/core/test_repeats.py
@@ -105,7 +105,7 @@
 
 
 def test_a_full_key_table_turns_away_new_keys_and_answers_the_repeats_of_those_it_holds():
-    node = Planner(keys=1)
+    node = Planner(max_keys=1)
     node.submit("a", "pay", unique="k")
     ended(node, "a")
     node.submit("b", "pay", unique="other")
--- a/tests/core/test_waiting_claims.py
+++ b/tests/core/test_waiting_claims.py
@@ -123,7 +123,7 @@
     [(None, 750.0), (400.0, 250.0), (100.0, -50.0), (5000.0, 750.0)],
 )
 def test_a_claim_waits_for_the_other_process_until_shortly_before_its_own_answer_is_due(allow_ms, waits_ms):
-    limits = Limits(claim_ms=1000.0, claim_spare_ms=150.0)
+    limits = Limits(claim_timeout_ms=1000.0, claim_reserve_ms=150.0)
     shared, now = SharedKeys(KeyTable(limits), limits), 1e6
     one = at.Attempt("a", "pay", now, 10.0, 1, b"", unique="k", allow_ms=allow_ms)
     one.kind = RequestClass("pay", 500.0, 900.0, 1.0, Effect.KEYED, repeat_window_ms=1e6)
--- a/tests/lifecycle/test_signals.py
+++ b/tests/lifecycle/test_signals.py
@@ -21,7 +21,7 @@
 
 pytestmark = pytest.mark.anyio
 STORM_S = 0.0005
-READY_S = Limits().ready_ms / 1000
+READY_S = Limits().ready_timeout_ms / 1000
 
 
 async def started(config, program=("flintshift",), environment=None, **more):
--- a/tests/settings/test_shape.py
+++ b/tests/settings/test_shape.py
@@ -143,7 +143,9 @@
 
 
 def test_a_dropped_class_is_taken_a_while_then_known_for_its_window_then_forgotten():
-    limits = Limits(dropped_ms=2500.0, key_late_ms=5000.0, lost_run_ms=100.0, dropped_classes=2)
+    limits = Limits(
+        dropped_class_grace_ms=2500.0, max_repeat_delay_ms=5000.0, lost_run_timeout_ms=100.0, max_dropped_classes=2
+    )
     now, later = (
         made(told, "FILE", Operators()).settings
         for told in (configuration(), changed("settings.classes.3.name", "submit-time-next"))
--- a/tests/startup/test_reconnects.py
+++ b/tests/startup/test_reconnects.py
@@ -30,7 +30,7 @@
     async def told(report):
         pass
 
-    draws, limits = Draws(), Limits(backoff_ms=4.0, backoff_most_ms=40.0)
+    draws, limits = Draws(), Limits(backoff_ms=4.0, max_backoff_ms=40.0)
     pool = PoolLink(("127.0.0.1", free_ports(1)[0]), [], limits, Counters(), told, draws)
     with anyio.move_on_after(0.5):
         await pool.run()
--- a/tests/wire/test_closing.py
+++ b/tests/wire/test_closing.py
@@ -110,7 +110,7 @@
 
 
 async def test_a_drain_keeps_a_resting_connection_until_its_last_moment_and_answers_what_comes_on_it():
-    async with Fronted(stop_margin_ms=100.0, unlisten_ms=100.0, crossing_ms=20.0) as fronted:
+    async with Fronted(stop_margin_ms=100.0, stop_accepting_ms=100.0, close_crossing_ms=20.0) as fronted:
         raw, later = await fronted.rested(), await fronted.rested()
         drain = Drain([fronted.front], fronted.decided, fronted.limits, now_ms)
         began = now_ms()
@@ -127,7 +127,7 @@
 
 
 async def test_a_drain_that_heard_of_its_notice_late_ends_so_much_sooner():
-    async with Fronted(stop_margin_ms=100.0, unlisten_ms=100.0, crossing_ms=20.0) as fronted:
+    async with Fronted(stop_margin_ms=100.0, stop_accepting_ms=100.0, close_crossing_ms=20.0) as fronted:
         resting = await calling(await fronted.rested())
         drain = Drain([fronted.front], fronted.decided, fronted.limits, now_ms)
         began = now_ms()
@@ -139,7 +139,7 @@
 
 async def test_a_drain_that_heard_of_its_notice_after_the_kill_was_due_still_answers_what_was_read():
     """The kill may come later than it may at the earliest: a configuration on a disk that hangs holds the loop."""
-    async with Fronted(stop_margin_ms=100.0, unlisten_ms=100.0) as fronted:
+    async with Fronted(stop_margin_ms=100.0, stop_accepting_ms=100.0) as fronted:
         raw = await fronted.rested()
         drain = Drain([fronted.front], fronted.decided, fronted.limits, now_ms)
         raw.send(PING)
@@ -170,7 +170,7 @@
 
 async def test_grace_and_the_time_that_is_left_count_from_the_notice_however_late_it_is_heard():
     heard = Heard()
-    drain = Drain([], heard, Limits(stop_margin_ms=100.0, unlisten_ms=100.0), now_ms)
+    drain = Drain([], heard, Limits(stop_margin_ms=100.0, stop_accepting_ms=100.0), now_ms)
     began = now_ms()
     await drain.run(300.0, 700.0, False, 250.0)
     assert 45 < now_ms() - began < 250  # 50 ms of the grace are left
@@ -188,7 +188,7 @@
                 raise OSError(errno.ENFILE, "too many open files in system")
             return super().accept()
 
-    async with Fronted(last_read_ms=500.0) as fronted:
+    async with Fronted(last_read_timeout_ms=500.0) as fronted:
         await fronted.rested()
         raw = fronted.connect()
         raw.send(PING)
@@ -241,7 +241,7 @@
 
 async def test_a_connection_that_is_queued_when_the_listener_closes_is_answered():
     for _ in range(REPEATS):
-        async with Fronted(last_read_ms=500.0) as fronted:
+        async with Fronted(last_read_timeout_ms=500.0) as fronted:
             await fronted.rested()  # it accepts
             queued = [fronted.connect() for _ in range(5)]
             for raw in queued:
@@ -320,7 +320,9 @@
 
 
 async def test_a_peer_that_neither_reads_nor_closes_holds_its_connection_for_a_bounded_time():
-    async with Fronted(write_ms=50.0, sweep_ms=10.0, linger_ms=50.0, crossing_ms=50.0) as fronted:
+    async with Fronted(
+        write_timeout_ms=50.0, sweep_interval_ms=10.0, linger_ms=50.0, close_crossing_ms=50.0
+    ) as fronted:
         resting, asking = await fronted.rested(), fronted.connect()
         asking.send(whole())
         await fronted.until(lambda: fronted.decided.taken)
@@ -354,7 +356,7 @@
 
 async def test_a_drain_that_finds_nothing_open_still_answers_what_is_queued_at_its_end():
     for _ in range(REPEATS):
-        async with Fronted(stop_ms=2000.0, stop_margin_ms=200.0, last_read_ms=500.0, linger_ms=10.0) as fronted:
+        async with Fronted(stop_ms=2000.0, stop_margin_ms=200.0, last_read_timeout_ms=500.0, linger_ms=10.0) as fronted:
             await fronted.until(lambda fronted=fronted: fronted.front.listener is not None)
             drain = Drain([fronted.front], fronted.decided, fronted.limits, now_ms)
             raw = fronted.connect()  # queued: the loop has no turn before the front is told to finish
--- a/tests/wire/test_connections.py
+++ b/tests/wire/test_connections.py
@@ -89,7 +89,7 @@
 
 
 async def test_a_full_table_closes_the_idlest_for_a_newcomer_and_first_what_never_spoke():
-    async with Desk(silent_ms=0.0, rested_ms=0.0, read_ms=60_000.0) as desk:
+    async with Desk(displace_silent_after_ms=0.0, displace_idle_after_ms=0.0, request_read_timeout_ms=60_000.0) as desk:
         kept, idler = await desk.open(desk.ping), await desk.open(desk.ping)
         silent = await desk.open()
         new = await desk.open(desk.ping)
@@ -106,7 +106,7 @@
 
 
 async def test_where_nobody_may_go_for_a_newcomer_it_is_answered_and_then_goes():
-    async with Desk(read_ms=60_000.0) as desk:
+    async with Desk(request_read_timeout_ms=60_000.0) as desk:
         kept = [await desk.open(desk.ping) for _ in range(3)]
         newcomer = await desk.open()
         newcomer.send(desk.ping)
@@ -118,7 +118,7 @@
 
 
 async def test_a_newcomer_waits_until_those_that_went_for_it_are_closed_and_no_more_go_than_it_needs():
-    async with Desk(most=16, silent_ms=0.0, rested_ms=0.0) as desk:
+    async with Desk(most=16, displace_silent_after_ms=0.0, displace_idle_after_ms=0.0) as desk:
         kept, desk.front.most = [await desk.open(desk.ping) for _ in range(16)], 14
         newcomer = await desk.open()
         newcomer.send(desk.ping)
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("front", FRONTS)
 async def test_what_is_silent_half_said_or_dribbled_is_closed_in_time_but_not_what_is_kept_alive(front):
-    async with Desk(front, read_ms=150.0) as desk:
+    async with Desk(front, request_read_timeout_ms=150.0) as desk:
         if front == "http":
             kept = await desk.open(desk.ping)
         assert await (await desk.open()).ended()
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("front", FRONTS)
 async def test_a_caller_that_takes_no_answer_does_not_hold_its_connection(front):
-    async with Desk(front, write_ms=50.0, sweep_ms=20.0, linger_ms=1.0) as desk:
+    async with Desk(front, write_timeout_ms=50.0, sweep_interval_ms=20.0, linger_ms=1.0) as desk:
 
         class Stuck:  # a stream whose peer reads nothing
             async def receive(self, most):
--- a/tests/wire/test_lists.py
+++ b/tests/wire/test_lists.py
@@ -93,7 +93,7 @@
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    service = NameService(server.sockets[0].getsockname(), "n3", Limits(report_wait_ms=WAIT_MS), Counters())
+    service = NameService(server.sockets[0].getsockname(), "n3", Limits(report_timeout_ms=WAIT_MS), Counters())
     before = len(os.listdir("/proc/self/fd"))
     for _ in range(20):
         began = time.monotonic()
--- a/tests/wire/test_name_service.py
+++ b/tests/wire/test_name_service.py
@@ -18,7 +18,7 @@
 
 
 async def test_a_report_without_an_answer_counts_and_does_not_delay_the_next():
-    names, counters, limits = Names(tells=True), Counters(), Limits(report_wait_ms=200.0, report_every_ms=200.0)
+    names, counters, limits = Names(tells=True), Counters(), Limits(report_timeout_ms=200.0, report_interval_ms=200.0)
     names.mute = True
     await names.start()
     service, began = NameService(("127.0.0.1", names.port), "n3", limits, counters), time.time()
--- a/tests/wire/test_pool.py
+++ b/tests/wire/test_pool.py
@@ -205,7 +205,12 @@
 
 @pytest.mark.anyio
 async def test_a_silent_link_is_made_anew_and_what_was_written_on_it_made_good():
-    async with linked(pool_look_ms=20.0, pool_quiet_looks=5, unsure_ms=20.0) as (pool, link, told, counters):
+    async with linked(pool_check_interval_ms=20.0, max_silent_pool_checks=5, pool_in_doubt_ms=20.0) as (
+        pool,
+        link,
+        told,
+        counters,
+    ):
         old, pool.deaf = set(pool.links), True
         assert link.spawn(attempt("run"))
         await pool.log.until(lambda entry: entry.get("rid") == "run")
@@ -223,7 +228,7 @@
 
 @pytest.mark.anyio
 async def test_a_link_that_rests_and_owes_nothing_is_left_as_it_is():
-    async with linked(pool_look_ms=5.0, pool_quiet_looks=3) as (_, link, _, counters):
+    async with linked(pool_check_interval_ms=5.0, max_silent_pool_checks=3) as (_, link, _, counters):
         assert await link.poll() is not None
         assert link.spawn(attempt("long"))
         await asyncio.sleep(0.2)
@@ -232,7 +237,7 @@
 
 @pytest.mark.anyio
 async def test_a_pool_that_takes_a_new_link_and_never_answers_its_bind_is_linked_to_again():
-    async with linked(pool_bound_ms=50.0) as (pool, _, told, _):
+    async with linked(pool_bind_timeout_ms=50.0) as (pool, _, told, _):
         whole = pool.say
         pool.say = lambda writer, message: None
         pool.cut()
--- a/tests/wire/test_unforeseen_errors.py
+++ b/tests/wire/test_unforeseen_errors.py
@@ -22,7 +22,7 @@
 
 pytestmark = pytest.mark.anyio
 
-LIMITS = Limits(backoff_ms=1.0, backoff_most_ms=2.0, browse_again_ms=1.0, browse_ms=2.0)
+LIMITS = Limits(backoff_ms=1.0, max_backoff_ms=2.0, browse_retry_delay_ms=1.0, browse_interval_ms=2.0)
 
 
 class UnforeseenError(Exception):
