--- a/flintshift/core/attempts.py
+++ b/flintshift/core/attempts.py
@@ -24,7 +24,7 @@
 class Answer:
     verdict: Verdict
     body: bytes = b""
-    wait_ms: float = 0.0  # how long the caller should stay away
+    retry_after_ms: float = 0.0  # how long the caller should stay away
     terminal: bool = False  # the wish that no other node be tried
 
 
@@ -34,53 +34,55 @@
 
     id: str
     class_name: str
-    door_ms: float  # when it came to the machine, by the node's clock
-    held_kb: float
+    arrival_ms: float  # when it came to the machine, by the node's clock
+    memory_kb: float
     caller: int
     body: bytes
     tenant: str | None = None
-    again: bool = False
-    unique: str | None = None  # in keyed classes, and there alone: the same for all tries
+    marked_repeat: bool = False
+    request_key: str | None = None  # in keyed classes, and there alone: the same for all tries
     subject: int | None = None
-    allow_ms: float | None = None  # how long its caller waits from then on, where it tells
-    kind: RequestClass | None = None  # as the settings held it when the request was taken
+    caller_timeout_ms: float | None = None  # how long its caller waits from then on, where it tells
+    request_class: RequestClass | None = None  # as the settings held it when the request was taken
     workers: str = "pool"  # where it is run
     head: bytes = b""  # what goes before the body there, as it came
-    tell: Callable[[Answer], None] = lambda answer: None
+    on_answer: Callable[[Answer], None] = lambda answer: None
     answer: Answer | None = None
-    gone: bool = False
+    caller_disconnected: bool = False
     running: bool = False
     ran: bool = False
-    calling: bool = False
-    call_no: int = 0  # the notice that asked for the call it stands at
-    payload: bytes = b""  # of that call
-    over_ms: float = 0.0  # when it was answered or its caller went
+    call_pending: bool = False
+    call_notice: int = 0  # the notice that asked for the call it stands at
+    call_payload: bytes = b""  # of that call
+    settled_ms: float = 0.0  # when it was answered or its caller went
     run_ms: float = 0.0  # of its own run, once over
-    calls: int = 0  # it made below
-    kept: bool = False  # it gets the result of an earlier try
-    poorer: bool = False  # a call was left out
+    call_count: int = 0  # it made below
+    reuses_result: bool = False  # it gets the result of an earlier try
+    call_skipped: bool = False  # a call was left out
     ticket: Any = None  # of whoever books it
 
     @property
-    def over(self) -> bool:
-        return self.gone or self.answer is not None
+    def settled(self) -> bool:
+        return self.caller_disconnected or self.answer is not None
 
     @property
-    def due_ms(self) -> float:
+    def deadline_at_ms(self) -> float:
         """When its final answer is due, by the clock of ``door_ms``: its class's deadline, or sooner where its caller
         waits for less. Without a class there is none."""
-        deadline_ms = self.kind.deadline_ms if self.kind is not None else math.inf
-        return self.door_ms + (deadline_ms if self.allow_ms is None else min(self.allow_ms, deadline_ms))
+        deadline_ms = self.request_class.deadline_ms if self.request_class is not None else math.inf
+        return self.arrival_ms + (
+            deadline_ms if self.caller_timeout_ms is None else min(self.caller_timeout_ms, deadline_ms)
+        )
 
     def settle(self, answer: Answer, now_ms: float) -> bool:
         """Give the final answer. Guards against a second one, against an answer to a caller that went, and
         against a refusal of what has run: that becomes a failure."""
-        if self.over:
+        if self.settled:
             return False
         if answer.verdict is Verdict.REFUSED and self.ran:
             answer = Answer(Verdict.FAILED)
-        self.answer, self.over_ms = answer, now_ms
-        self.tell(answer)
+        self.answer, self.settled_ms = answer, now_ms
+        self.on_answer(answer)
         return True
 
 
@@ -93,14 +95,14 @@
 
 
 @dataclass(slots=True)
-class Departed:
+class CallerDisconnected:
     """The caller stopped waiting. It names the attempt itself: two that are open may bear the same id."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True)
-class RunOver:
+class RunFinished:
     request: str
     outcome: Outcome
     took_ms: float = 0.0
@@ -108,22 +110,22 @@
 
 
 @dataclass(slots=True)
-class CallWanted:
+class CallRequested:
     request: str
-    no: int
-    payload: bytes
+    notice: int
+    call_payload: bytes
 
 
 @dataclass(slots=True)
-class ReplyUnsure:
+class ReplyInDoubt:
     """The reply to the call at this notice may never have reached the run."""
 
     request: str
-    no: int
+    notice: int
 
 
 @dataclass(slots=True)
-class CallOver:
+class CallFinished:
     request: str
     outcome: Outcome
     took_ms: float = 0.0
@@ -131,7 +133,7 @@
 
 
 @dataclass(slots=True)
-class Notice:
+class ShutdownNotice:
     """The notice to leave."""
 
     stops_in_ms: float
@@ -144,31 +146,31 @@
 
 
 @dataclass(slots=True)
-class Up:
+class WorkersUp:
     """Work can be run from now on."""
 
 
 @dataclass(slots=True)
-class Changed:
+class CatalogueChanged:
     """The catalogue is not what it was."""
 
 
 @dataclass(slots=True)
-class Taught:
+class LearnedStateReceived:
     """What another process of this node has learned of its machine."""
 
     learned: Learned
 
 
 @dataclass(slots=True)
-class Told:
+class MessageReceived:
     """A word of, or about, another process of this node."""
 
-    word: Any
+    message: Any
 
 
 @dataclass(slots=True)
-class Agreed:
+class ClaimAnswered:
     """Whether an attempt may run under its key. None: that can't be known: it may have run elsewhere, unless it
     ``never_ran``."""
 
@@ -178,7 +180,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class OutcomeRecorded:
     """How a run ended, as it is kept for all tries of its request. None: that can't be known in time for its caller."""
 
     request: str
@@ -186,7 +188,19 @@
     result: bytes = b""
 
 
-RunReport = RunOver | CallWanted | ReplyUnsure | CallOver
+RunReport = RunFinished | CallRequested | ReplyInDoubt | CallFinished
 """Of a run that goes on, or has just ended."""
 
-Report = Submitted | Departed | RunReport | Notice | Tick | Up | Changed | Told | Agreed | Kept | Taught
+Report = (
+    Submitted
+    | CallerDisconnected
+    | RunReport
+    | ShutdownNotice
+    | Tick
+    | WorkersUp
+    | CatalogueChanged
+    | MessageReceived
+    | ClaimAnswered
+    | OutcomeRecorded
+    | LearnedStateReceived
+)
--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -64,14 +64,14 @@
         self.handlers: dict[type, Callable[[Any], api.Event | None]] = {
             at.Submitted: self._submitted,
             at.Tick: self._ticked,
-            at.Up: self._came_up,
-            at.Told: self._told,
-            at.Taught: self._taught,
-            at.Agreed: self._agreed,
-            at.Kept: self.runs.kept,
-            at.Departed: self._departed,
-            at.Changed: self._changed,
-            at.Notice: self._noticed,
+            at.WorkersUp: self._came_up,
+            at.MessageReceived: self._told,
+            at.LearnedStateReceived: self._taught,
+            at.ClaimAnswered: self._agreed,
+            at.OutcomeRecorded: self.runs.kept,
+            at.CallerDisconnected: self._departed,
+            at.CatalogueChanged: self._changed,
+            at.ShutdownNotice: self._noticed,
         }
 
     # For the forwarders.
@@ -103,14 +103,14 @@
         """Go on under new settings from this very turn on; else why not. What is open ends under those it came with."""
         fault = self.catalogue.change(settings, self.now_ms())
         if fault is None:
-            self.handle(at.Changed())
+            self.handle(at.CatalogueChanged())
         return fault
 
     def keep_to(self, share: LimitShare) -> None:
         """Use no more of the node's limits than this from now on: another process has the rest."""
         if share != self.share:
             self.share = share
-            self.pending.append(at.Changed())
+            self.pending.append(at.CatalogueChanged())
 
     def rank_by(self, ranks: Ranks) -> None:
         """Have what waits ranked by this port."""
@@ -181,36 +181,36 @@
             self.attempts.ranks.tick()
         return api.Woken(report.token, report.gauges)
 
-    def _came_up(self, _: at.Up) -> api.Event | None:
+    def _came_up(self, _: at.WorkersUp) -> api.Event | None:
         if self.posture.up:  # the link came back: the controller goes on
             return None
         self.posture.up = True
         self.list()
         return api.Started()
 
-    def _told(self, report: at.Told) -> None:
+    def _told(self, report: at.MessageReceived) -> None:
         if self.waiting.claims is not None:
-            self.waiting.claims.heard(report.word)
+            self.waiting.claims.heard(report.message)
 
     @staticmethod
-    def _taught(report: at.Taught) -> api.Event:
+    def _taught(report: at.LearnedStateReceived) -> api.Event:
         return report.learned
 
-    def _changed(self, _: at.Changed) -> api.Event:
+    def _changed(self, _: at.CatalogueChanged) -> api.Event:
         settings = self._settings()
         self.posture.wait_ms = settings.advice_max_ms * settings.advice_allowed
         return api.Changed(settings)
 
-    def _noticed(self, report: at.Notice) -> api.Event:
+    def _noticed(self, report: at.ShutdownNotice) -> api.Event:
         self.posture.leaving = True
         self.list()
         return api.Leaving(report.stops_in_ms)
 
     # Reports of a request, wherever it stands.
 
-    def _departed(self, report: at.Departed) -> api.Event | None:
+    def _departed(self, report: at.CallerDisconnected) -> api.Event | None:
         attempt = report.attempt
-        if attempt.over:
+        if attempt.settled:
             return None
         self.attempts.leave(attempt)
         if self.waiting.departed(attempt):
@@ -224,7 +224,7 @@
         self.counters.add("read")
         return self._taken(report.attempt, agreed=False)
 
-    def _agreed(self, report: at.Agreed) -> None:
+    def _agreed(self, report: at.ClaimAnswered) -> None:
         """The others' word on a key has come, or can't come any more."""
         granted, never_ran = report.granted, report.never_ran
         attempt = self.waiting.agreed(report.request)
@@ -246,13 +246,13 @@
 
     def _taken(self, attempt: Attempt, agreed: bool) -> api.Event | None:
         """Hand an attempt to the controller, unless it is settled without it. ``agreed``: the others were asked."""
-        attempt.kind = self.catalogue.find(attempt.class_name)
-        entry = self.keys.find(attempt) if attempt.unique is not None else None
+        attempt.request_class = self.catalogue.find(attempt.class_name)
+        entry = self.keys.find(attempt) if attempt.request_key is not None else None
         answer = self._unfit(attempt, entry)
         if answer is not None:
             self.attempts.settle(attempt, answer)
             return None
-        if entry is None and attempt.unique is not None and not agreed:
+        if entry is None and attempt.request_key is not None and not agreed:
             asked = self.waiting.ask(attempt)
             if asked is Asked.UNSURE:
                 self.counters.add("claims.unsure")
@@ -269,10 +269,10 @@
         known = attempt.id in self.attempts or attempt.id in self.waiting
         if known or (entry is not None and entry.print != fingerprint(attempt)):
             return Answer(Verdict.CONFLICT)
-        if attempt.kind is None:  # dropped for good while it waited here
+        if attempt.request_class is None:  # dropped for good while it waited here
             self.counters.add("refused.class_dropped")
             return self.attempts.refusal()
-        if entry is None and attempt.unique is not None and self.keys.full():
+        if entry is None and attempt.request_key is not None and self.keys.full():
             self.counters.add("refused.keys_full")
             return Answer(Verdict.FAILED) if self._may_have_run(attempt) else self.attempts.refusal()
         return None
@@ -282,20 +282,20 @@
         return api.Arrived(
             attempt.id,
             attempt.class_name,
-            attempt.held_kb,
-            now - attempt.door_ms,
+            attempt.memory_kb,
+            now - attempt.arrival_ms,
             attempt.caller,
             attempt.tenant,
             entry.owner if entry else None,
-            attempt.again,
+            attempt.marked_repeat,
             # Past its due time already, it is answered at once: no time left would stand for a caller that tells none.
-            None if attempt.allow_ms is None else max(attempt.due_ms - now, LEAST_PATIENCE_MS),
+            None if attempt.caller_timeout_ms is None else max(attempt.deadline_at_ms - now, LEAST_PATIENCE_MS),
             attempt.subject,
         )
 
     def _repeats(self, attempt: Attempt) -> bool:
         """An earlier try of it may have run, here or elsewhere."""
-        return attempt.unique is not None and (self._may_have_run(attempt) or self.keys.find(attempt) is not None)
+        return attempt.request_key is not None and (self._may_have_run(attempt) or self.keys.find(attempt) is not None)
 
     def _may_have_run(self, attempt: Attempt) -> bool:
         return self.waiting.may_have_run(attempt, self.catalogue.settings.marks_repeats)
@@ -307,12 +307,12 @@
         self.purged_ms = now
         # A run whose end was lost with its link would hold its place for ever.
         for attempt in self.attempts:
-            if attempt.running and attempt.over and now > attempt.over_ms + self.limits.lost_run_timeout_ms:
+            if attempt.running and attempt.settled and now > attempt.settled_ms + self.limits.lost_run_timeout_ms:
                 self.counters.add("lost_runs")
-                self.pending.append(at.RunOver(attempt.id, Outcome.STOPPED))
+                self.pending.append(at.RunFinished(attempt.id, Outcome.STOPPED))
         self.keys.purge(now, itertools.chain(self.attempts.table, self.waiting.keeping))
         if self.catalogue.purge(now):
-            self.pending.append(at.Changed())
+            self.pending.append(at.CatalogueChanged())
 
     @property
     def open(self) -> int:
--- a/flintshift/core/keys.py
+++ b/flintshift/core/keys.py
@@ -58,8 +58,8 @@
     def find(self, attempt: Attempt) -> Entry | None:
         """The entry that this attempt repeats, by when it came to the machine and not by when it was read. A try that
         is still open here is repeated however long ago it came: a window may be shorter than a deadline."""
-        entry = self.entries.get((attempt.class_name, attempt.unique or ""))
-        if entry is None or (attempt.door_ms > entry.live_until_ms and not entry.runs_here):
+        entry = self.entries.get((attempt.class_name, attempt.request_key or ""))
+        if entry is None or (attempt.arrival_ms > entry.live_until_ms and not entry.runs_here):
             return None
         return entry
 
@@ -69,9 +69,9 @@
         return len(self.entries) >= self.limits.max_keys or self.booked > most
 
     def keep(self, attempt: Attempt, until_ms: float) -> None:
-        key = (attempt.class_name, attempt.unique or "")
+        key = (attempt.class_name, attempt.request_key or "")
         entry = self.entries.get(key)
-        until_ms = max(until_ms, attempt.door_ms) + self.limits.key_margin_ms
+        until_ms = max(until_ms, attempt.arrival_ms) + self.limits.key_margin_ms
         if entry is not None and entry.owner == attempt.id:
             entry.live_until_ms = max(entry.live_until_ms, until_ms)
             return
@@ -81,7 +81,7 @@
         self.booked += self.limits.max_result_bytes
 
     def owned(self, attempt: Attempt) -> Entry | None:
-        entry = self.entries.get((attempt.class_name, attempt.unique or ""))
+        entry = self.entries.get((attempt.class_name, attempt.request_key or ""))
         return entry if entry is not None and entry.owner == attempt.id else None
 
     def end(self, entry: Entry, outcome: Outcome, result: bytes) -> list[str]:
@@ -97,7 +97,7 @@
         entry = self.owned(attempt)
         if entry is None:
             return []
-        self._drop((attempt.class_name, attempt.unique or ""))
+        self._drop((attempt.class_name, attempt.request_key or ""))
         return entry.followers
 
     # What other processes tell: the node's other one in an upgrade, and holders of copies.
--- a/flintshift/core/open_attempts.py
+++ b/flintshift/core/open_attempts.py
@@ -27,7 +27,7 @@
 
     @property
     def unanswered(self) -> int:
-        return sum(not attempt.over for attempt in self.table.values())
+        return sum(not attempt.settled for attempt in self.table.values())
 
     def get(self, request: str) -> Attempt | None:
         return self.table.get(request)
@@ -47,7 +47,7 @@
     def sweep(self) -> None:
         """Only now, after all that was decided of them: out of the table go those that are over."""
         for attempt in self.closing:
-            if attempt.over and not attempt.running:
+            if attempt.settled and not attempt.running:
                 self.remove(attempt)
                 if self.ranks is not None:
                     self.ranks.left(attempt.id)
@@ -71,9 +71,9 @@
 
     def refusal(self) -> Answer:
         """A refusal that no decision was asked for: it tells the time that the settings name."""
-        return Answer(Verdict.REFUSED, wait_ms=self.posture.wait_ms)
+        return Answer(Verdict.REFUSED, retry_after_ms=self.posture.wait_ms)
 
     def leave(self, attempt: Attempt) -> None:
         """Its caller has gone: no answer is owed any longer."""
-        attempt.gone, attempt.over_ms = True, self.now_ms()
+        attempt.caller_disconnected, attempt.settled_ms = True, self.now_ms()
         self.counters.add("departed")
--- a/flintshift/core/runs.py
+++ b/flintshift/core/runs.py
@@ -39,10 +39,10 @@
         self.below: Below
         self.books: Books | None = None
         self.handlers: dict[type, Callable[[Attempt, Any], api.Event | None]] = {
-            at.CallWanted: self._call_wanted,
-            at.ReplyUnsure: self._reply_unsure,
-            at.CallOver: self._call_over,
-            at.RunOver: self._run_over,
+            at.CallRequested: self._call_wanted,
+            at.ReplyInDoubt: self._reply_unsure,
+            at.CallFinished: self._call_over,
+            at.RunFinished: self._run_over,
         }
         self.action_handlers: dict[type, Callable[[Attempt, Any], None]] = {
             api.Run: self._run,
@@ -75,38 +75,38 @@
     # Reports.
 
     @staticmethod
-    def _call_wanted(attempt: Attempt, report: at.CallWanted) -> api.Event:
-        attempt.call_no, attempt.payload = report.no, report.payload
+    def _call_wanted(attempt: Attempt, report: at.CallRequested) -> api.Event:
+        attempt.call_notice, attempt.call_payload = report.notice, report.call_payload
         return api.CallNeeded(attempt.id)
 
-    def _reply_unsure(self, attempt: Attempt, report: at.ReplyUnsure) -> None:
+    def _reply_unsure(self, attempt: Attempt, report: at.ReplyInDoubt) -> None:
         """Without the reply the run would stand there for ever: where the call may be left out, it goes on poorer if
         the reply was lost. Elsewhere the reply can't be repeated: it might meet the next call of the run."""
         self.counters.add("replies_unsure")
-        skippable = attempt.kind is not None and attempt.kind.skip_worth
-        if skippable and attempt.call_no == report.no and not attempt.over:
-            self._workers(attempt).go_on(attempt.id, report.no)
-            attempt.poorer = True
+        skippable = attempt.request_class is not None and attempt.request_class.skip_worth
+        if skippable and attempt.call_notice == report.notice and not attempt.settled:
+            self._workers(attempt).go_on(attempt.id, report.notice)
+            attempt.call_skipped = True
 
-    def _call_over(self, attempt: Attempt, report: at.CallOver) -> api.Event | None:
-        if not attempt.calling:  # given up meanwhile
+    def _call_over(self, attempt: Attempt, report: at.CallFinished) -> api.Event | None:
+        if not attempt.call_pending:  # given up meanwhile
             return None
-        attempt.calling = False
+        attempt.call_pending = False
         if report.outcome is Outcome.OK and not self._workers(attempt).supply(
-            attempt.id, attempt.call_no, report.reply
+            attempt.id, attempt.call_notice, report.reply
         ):
             self.counters.add("dropped.supply")
         return api.CallEnded(attempt.id, report.outcome, report.took_ms)
 
-    def _run_over(self, attempt: Attempt, report: at.RunOver) -> api.Event:
+    def _run_over(self, attempt: Attempt, report: at.RunFinished) -> api.Event:
         attempt.running = False
         attempt.run_ms += report.took_ms
         if self.attempts.ranks is not None:
             self.attempts.ranks.ended(attempt.id, report.took_ms)
-        if attempt.over and self.books is not None:
+        if attempt.settled and self.books is not None:
             self.books.ran_on(attempt, report.took_ms)
-        if attempt.calling:
-            attempt.calling = False
+        if attempt.call_pending:
+            attempt.call_pending = False
             self.below.give_up(attempt.id)
         entry = self.keys.owned(attempt)
         if report.outcome in NEVER_RAN:
@@ -122,7 +122,7 @@
         self.attempts.remove(attempt)
         return api.RunEnded(attempt.id, report.outcome, report.took_ms)
 
-    def kept(self, report: at.Kept) -> None:
+    def kept(self, report: at.OutcomeRecorded) -> None:
         """How a run ended is kept elsewhere too, or can't be in time for its caller."""
         outcome, result = report.outcome, report.result
         attempt = self.waiting.kept(report.request, outcome)
@@ -139,12 +139,12 @@
 
     def _ended(self, entry: Entry, outcome: Outcome, result: bytes) -> None:
         for follower in self.keys.end(entry, outcome, result):
-            self.pending.append(at.RunOver(follower, outcome, 0.0, result))
+            self.pending.append(at.RunFinished(follower, outcome, 0.0, result))
 
     # Actions.
 
     def _run(self, attempt: Attempt, _: api.Run) -> None:
-        if attempt.ran or attempt.over:  # guards against a second run and a run that nobody wants
+        if attempt.ran or attempt.settled:  # guards against a second run and a run that nobody wants
             return
         attempt.ran = attempt.running = True
         self.counters.add("run")
@@ -152,7 +152,7 @@
             self.attempts.ranks.began(attempt.id)
         if not self._workers(attempt).spawn(attempt):
             self.counters.add("dropped.spawn")
-            self.pending.append(at.RunOver(attempt.id, Outcome.REJECTED))
+            self.pending.append(at.RunFinished(attempt.id, Outcome.REJECTED))
 
     def _refuse(self, attempt: Attempt, action: api.Refuse) -> None:
         stay_away_ms = action.stay_away_ms
@@ -163,28 +163,28 @@
 
     def _fail(self, attempt: Attempt, _: api.Fail) -> None:
         self.attempts.settle(attempt, Answer(Verdict.FAILED))
-        if attempt.calling:
-            attempt.calling = False
+        if attempt.call_pending:
+            attempt.call_pending = False
             self.below.give_up(attempt.id)
         self.attempts.close(attempt)
 
     def _call(self, attempt: Attempt, action: api.Call) -> None:
-        attempt.calling = True
-        attempt.calls += 1
+        attempt.call_pending = True
+        attempt.call_count += 1
         self.counters.add("called")
-        once = attempt.kind is not None and attempt.kind.effect is not Effect.SAFE
-        if not self.below.ask(attempt.id, action.limit_ms, attempt.payload, once):
+        once = attempt.request_class is not None and attempt.request_class.effect is not Effect.SAFE
+        if not self.below.ask(attempt.id, action.limit_ms, attempt.call_payload, once):
             self.counters.add("dropped.call")
-            self.pending.append(at.CallOver(attempt.id, Outcome.REJECTED))
+            self.pending.append(at.CallFinished(attempt.id, Outcome.REJECTED))
 
     def _skip_call(self, attempt: Attempt, _: api.SkipCall) -> None:
         self.counters.add("skipped")
-        attempt.poorer = True
-        if not self._workers(attempt).go_on(attempt.id, attempt.call_no):
+        attempt.call_skipped = True
+        if not self._workers(attempt).go_on(attempt.id, attempt.call_notice):
             self.counters.add("dropped.pass")
 
     def _keep(self, attempt: Attempt, action: api.Keep) -> None:
-        if attempt.unique is None:  # reads are kept only where answers may be shared
+        if attempt.request_key is None:  # reads are kept only where answers may be shared
             return
         self.keys.keep(attempt, self.now_ms() + action.for_ms)
         self.waiting.claimed(attempt)
@@ -199,13 +199,13 @@
         """Answer with the end of the try that it repeats, now or once that has ended."""
         entry = self.keys.find(attempt)
         self.counters.add("repeats")
-        attempt.kept = True
+        attempt.reuses_result = True
         if self.attempts.ranks is not None:
             self.attempts.ranks.left(attempt.id)
         if entry is None:
-            self.pending.append(at.RunOver(attempt.id, Outcome.ERROR))
+            self.pending.append(at.RunFinished(attempt.id, Outcome.ERROR))
         elif entry.outcome is not None:
-            self.pending.append(at.RunOver(attempt.id, entry.outcome, 0.0, entry.result))
+            self.pending.append(at.RunFinished(attempt.id, entry.outcome, 0.0, entry.result))
         else:
             entry.followers.append(attempt.id)
 
@@ -213,5 +213,5 @@
         """It never ran, so its key is free; those that waited for it never ran either."""
         if not attempt.ran and self.keys.owned(attempt) is not None:
             for follower in self.keys.forget(attempt):
-                self.pending.append(at.RunOver(follower, Outcome.REJECTED))
+                self.pending.append(at.RunFinished(follower, Outcome.REJECTED))
             self.waiting.freed(attempt)
--- a/flintshift/core/waiting_claims.py
+++ b/flintshift/core/waiting_claims.py
@@ -36,11 +36,11 @@
     @property
     def open(self) -> int:
         """Requests that wait here and are owed an answer."""
-        return len(self.awaiting) + sum(not attempt.over for attempt in self.keeping.values())
+        return len(self.awaiting) + sum(not attempt.settled for attempt in self.keeping.values())
 
     def may_have_run(self, attempt: Attempt, marks_repeats: bool) -> bool:
         """An earlier try of it may have run where this process can't see it; ``marks_repeats``: callers mark tries."""
-        return self.elsewhere and (attempt.again or not marks_repeats)
+        return self.elsewhere and (attempt.marked_repeat or not marks_repeats)
 
     # Before a run.
 
--- a/flintshift/handover/shared_keys.py
+++ b/flintshift/handover/shared_keys.py
@@ -42,22 +42,24 @@
         death, and is not marked as a further try, can't have."""
         if now_ms >= self.unsure_until_ms:
             return False
-        return attempt.again or not self.marked or attempt.door_ms <= self.lost_ms + self.limits.key_margin_ms
+        return (
+            attempt.marked_repeat or not self.marked or attempt.arrival_ms <= self.lost_ms + self.limits.key_margin_ms
+        )
 
     # What happens here.
 
     def ask(self, now_ms: float, attempt: Attempt) -> list[Step]:
-        kind, limits = attempt.kind, self.limits
+        kind, limits = attempt.request_class, self.limits
         window = kind.repeat_window_ms if kind is not None else 0.0
         claim = Claimed(
             key_of(attempt),
             attempt.id,
-            attempt.door_ms,
+            attempt.arrival_ms,
             now_ms + limits.claim_timeout_ms + window + limits.key_margin_ms,
             fingerprint(attempt),
         )
         # Its answer has a due time too: it is given up a few ticks before.
-        until = min(now_ms + limits.claim_timeout_ms, attempt.due_ms - limits.claim_reserve_ms)
+        until = min(now_ms + limits.claim_timeout_ms, attempt.deadline_at_ms - limits.claim_reserve_ms)
         return self._done(self.agreement.ask(claim, until))
 
     def told_entry(self, attempt: Attempt) -> list[Step]:
@@ -124,7 +126,7 @@
 
 
 def key_of(attempt: Attempt) -> Key:
-    return attempt.class_name, attempt.unique or ""
+    return attempt.class_name, attempt.request_key or ""
 
 
 def known(key: Key, entry: Entry) -> Known:
--- a/flintshift/lab/model.py
+++ b/flintshift/lab/model.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from flintshift import interface as api
-from flintshift.core.attempts import Attempt, RunOver, Submitted, Tick, Up, Verdict
+from flintshift.core.attempts import Attempt, RunFinished, Submitted, Tick, Verdict, WorkersUp
 from flintshift.core.catalogue import Catalogue
 from flintshift.core.counters import Counters
 from flintshift.core.decisions import Decisions
@@ -68,7 +68,7 @@
             self.fair = FairDoor(settings, limits, self.counters, self.clock)
             self.fair.log = lambda level, event, **more: self.log.append((level, event, more))
             self.decisions.rank_by(self.fair)
-        self.decisions.handle(Up())
+        self.decisions.handle(WorkersUp())
 
     def clock(self) -> float:
         return self.now
@@ -100,7 +100,7 @@
 
     def end(self, attempt: Attempt, took_ms: float = 100.0) -> None:
         """The run of a class that ends by itself never, ends now."""
-        self.decisions.handle(RunOver(attempt.id, api.Outcome.OK, took_ms, b"done"))
+        self.decisions.handle(RunFinished(attempt.id, api.Outcome.OK, took_ms, b"done"))
 
     # Callers and time.
 
@@ -110,10 +110,10 @@
             "id": f"{next(self.numbers):016x}",
             "class_name": "look",
             "body": b"",
-            "door_ms": self.now,
+            "arrival_ms": self.now,
             "caller": 1,
             "tenant": club,
-            "held_kb": 1.0,
+            "memory_kb": 1.0,
         }
         attempt = Attempt(**given | more)
         self.decisions.handle(Submitted(attempt))
@@ -136,7 +136,7 @@
             if run:
                 self.busy -= 1
                 took_ms = self.took_ms[self.decisions.attempts.table[name].class_name]
-                self.decisions.handle(RunOver(name, api.Outcome.OK, took_ms, b"done"))
+                self.decisions.handle(RunFinished(name, api.Outcome.OK, took_ms, b"done"))
                 self._begin()
             else:
                 wanting = self.busy + len(self.queue)
@@ -151,4 +151,6 @@
 
 def waits_ms(asked: list[Attempt]) -> list[float]:
     """What those that were turned away were told."""
-    return [one.answer.wait_ms for one in asked if one.answer is not None and one.answer.verdict is Verdict.REFUSED]
+    return [
+        one.answer.retry_after_ms for one in asked if one.answer is not None and one.answer.verdict is Verdict.REFUSED
+    ]
--- a/flintshift/lifecycle/books.py
+++ b/flintshift/lifecycle/books.py
@@ -84,21 +84,23 @@
         return self.bases[None, attempt.class_name, front] if base is None else base
 
     def hold(self, attempt: Attempt, front: str) -> None:
-        attempt.tell = partial(self._told, attempt, front, attempt.tell)
+        attempt.on_answer = partial(self._told, attempt, front, attempt.on_answer)
 
     def _told(self, attempt: Attempt, front: str, tell: Callable[[Answer], None], answer: Answer) -> None:
-        attempt.tell = nobody  # guards against the circle of attempt and tell, which only the collector would free
-        outcome = POORER if attempt.poorer and answer.verdict is Verdict.SERVED else WORDS[answer.verdict]
+        attempt.on_answer = (
+            nobody  # guards against the circle of attempt and callback, which only the collector would free
+        )
+        outcome = POORER if attempt.call_skipped and answer.verdict is Verdict.SERVED else WORDS[answer.verdict]
         attempt.ticket = self.ledger.claim(
             bytes.fromhex(attempt.id),
             self._row(attempt, front) + outcome,
-            (AGAIN if attempt.again else 0) | (KEPT if attempt.kept else 0),
+            (AGAIN if attempt.marked_repeat else 0) | (KEPT if attempt.reuses_result else 0),
             int(attempt.run_ms * 1000),
-            attempt.calls,
+            attempt.call_count,
             len(attempt.body),
             len(answer.body),
             partial(tell, answer),
-            self.steady_ms(attempt.due_ms),
+            self.steady_ms(attempt.deadline_at_ms),
         )
 
     def delivered(self, attempt: Attempt, arrived: bool) -> None:
@@ -106,16 +108,16 @@
             self.ledger.mark(attempt.ticket, arrived)
 
     def departed(self, attempt: Attempt, front: str) -> None:
-        attempt.tell = nobody  # guards against a second claim, where it is answered all the same
+        attempt.on_answer = nobody  # guards against a second claim, where it is answered all the same
         if attempt.ticket is not None:  # its answer was on its way
             self.ledger.mark(attempt.ticket, False)
             return
         attempt.ticket = self.ledger.claim(
             bytes.fromhex(attempt.id),
             self._row(attempt, front) + GONE,
-            FINAL | (AGAIN if attempt.again else 0) | (KEPT if attempt.kept else 0),
+            FINAL | (AGAIN if attempt.marked_repeat else 0) | (KEPT if attempt.reuses_result else 0),
             int(attempt.run_ms * 1000),
-            attempt.calls,
+            attempt.call_count,
             len(attempt.body),
             0,
             None,
--- a/flintshift/lifecycle/copied_claims.py
+++ b/flintshift/lifecycle/copied_claims.py
@@ -57,7 +57,7 @@
         return False
 
     def ask(self, attempt: Attempt) -> None:
-        spare = attempt.due_ms - self.limits.claim_reserve_ms - self.wall_ms()
+        spare = attempt.deadline_at_ms - self.limits.claim_reserve_ms - self.wall_ms()
         key = key_of(attempt)
         self.keys[attempt.id] = key
         self.tell(
@@ -67,13 +67,13 @@
                 fingerprint(attempt),
                 self._keep_ms(attempt),
                 self.now_ms() + min(self.limits.claim_timeout_ms, max(spare, 0.0)),
-                attempt.again or not self.decisions.catalogue.decided.marks_repeats,
+                attempt.marked_repeat or not self.decisions.catalogue.decided.marks_repeats,
             )
         )
 
     def _keep_ms(self, attempt: Attempt) -> float:
-        assert attempt.kind is not None
-        return self._promised_ms(attempt.kind)
+        assert attempt.request_class is not None
+        return self._promised_ms(attempt.request_class)
 
     def _promised_ms(self, kind: RequestClass) -> float:
         """From a try's arrival until nothing is promised of it any more."""
@@ -94,7 +94,7 @@
         """The table holds its entry; the holders have its claim."""
 
     def keeps(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
-        due = attempt.due_ms - self.limits.claim_reserve_ms - self.wall_ms()
+        due = attempt.deadline_at_ms - self.limits.claim_reserve_ms - self.wall_ms()
         self.tell(
             Finish(
                 key_of(attempt),
@@ -123,21 +123,21 @@
         match word:
             case Granted(owner):
                 self.keys.pop(owner, None)
-                pending.append(at.Agreed(owner, True))
+                pending.append(at.ClaimAnswered(owner, True))
             case Known(waiting, key, value):
                 until = self.wall_ms() + self.limits.clock_skew_ms + self.limits.claim_timeout_ms
                 held = Held(value.owner, until, value.print, value.outcome, value.result, other=True)
-                pending.extend(at.RunOver(follower, Outcome.ERROR) for follower in keys.adopt(key, held, -math.inf))
+                pending.extend(at.RunFinished(follower, Outcome.ERROR) for follower in keys.adopt(key, held, -math.inf))
                 for owner in waiting:
                     self.keys.pop(owner, None)
-                    pending.append(at.Agreed(owner, False))
+                    pending.append(at.ClaimAnswered(owner, False))
             case NoWord(owner, may_have_run, cause):
                 self.keys.pop(owner, None)
                 self.counters.add("copies.no_word")
                 # Without the request's id, so that a flood of them is told as one with its count.
                 self.log("warning", "copies.no_word", name=cause, may_have_run=may_have_run)
                 self.log("debug", "copies.no_word_for", request=owner, may_have_run=may_have_run, cause=cause)
-                pending.append(at.Agreed(owner, None, not may_have_run))
+                pending.append(at.ClaimAnswered(owner, None, not may_have_run))
             case Settled(key, owner, outcome, result, ours):
                 if not ours:
                     self.counters.add("copies.fenced")
@@ -149,21 +149,22 @@
                         outcome=outcome.value,
                         cause="another member settled this run while this one was out of reach",
                     )
-                pending.append(at.Kept(owner, outcome, result))
+                pending.append(at.OutcomeRecorded(owner, outcome, result))
             case Overdue(owner):
-                pending.append(at.Kept(owner, None))
+                pending.append(at.OutcomeRecorded(owner, None))
             case Told(key, value):
                 other = keys.others(key, value.owner)
                 if other is None:
                     return
                 if value.stage is Stage.FREE:
-                    pending.extend(at.RunOver(one, Outcome.REJECTED) for one in keys.free(key, value.owner))
+                    pending.extend(at.RunFinished(one, Outcome.REJECTED) for one in keys.free(key, value.owner))
                 else:
                     outcome = value.outcome or Outcome.ERROR
                     pending.extend(
-                        at.RunOver(one, outcome, 0.0, value.result) for one in keys.end(other, outcome, value.result)
+                        at.RunFinished(one, outcome, 0.0, value.result)
+                        for one in keys.end(other, outcome, value.result)
                     )
 
 
 def key_of(attempt: Attempt) -> Key:
-    return attempt.class_name, attempt.unique or ""
+    return attempt.class_name, attempt.request_key or ""
--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/copying.py
@@ -251,7 +251,7 @@
                         while len(self.taken_over) > self.limits.max_open_claims:
                             del self.taken_over[next(iter(self.taken_over))]
                 case _ if self.in_turn:
-                    self.decisions.pending.append(at.Told(action))
+                    self.decisions.pending.append(at.MessageReceived(action))
                 case _:
                     self.words.append(action)
                     self.worded.set()
@@ -424,7 +424,7 @@
             while not self.words:
                 self.worded = anyio.Event()
                 await self.worded.wait()
-            await self.decisions.report(at.Told(self.words.popleft()))
+            await self.decisions.report(at.MessageReceived(self.words.popleft()))
 
     def _tick(self) -> None:
         now = self.now_ms()
--- a/flintshift/lifecycle/fair_door.py
+++ b/flintshift/lifecycle/fair_door.py
@@ -78,7 +78,8 @@
 
     def arrived(self, attempt: Attempt) -> None:
         self.shares.handle(
-            self.now_ms(), Arrived(attempt.id, attempt.tenant, attempt.caller, attempt.class_name, attempt.again)
+            self.now_ms(),
+            Arrived(attempt.id, attempt.tenant, attempt.caller, attempt.class_name, attempt.marked_repeat),
         )
         self.surges.asked(attempt.tenant, self.shares.cost_ms.get(attempt.class_name, FIRST_MS))
 
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -193,14 +193,14 @@
 
     async def _meet(self, link: Link) -> None:
         async def heard(word: Word) -> None:
-            await self.decisions.report(at.Told((link, word)))
+            await self.decisions.report(at.MessageReceived((link, word)))
 
         async def gone() -> None:
-            await self.decisions.report(at.Told((link, PeerGone())))
+            await self.decisions.report(at.MessageReceived((link, PeerGone())))
 
         async def ended(cause: str) -> None:
             self.log("info", "upgrade.link_ended", phase=self.phases.phase.value, cause=cause)
-            await self.decisions.report(at.Told((link, LinkEnded(cause))))
+            await self.decisions.report(at.MessageReceived((link, LinkEnded(cause))))
 
         with anyio.CancelScope() as self.meeting:
             await link.run(heard, gone, ended)
@@ -305,7 +305,7 @@
                 for front, _ in self.node.fronts:
                     front.others = others
             case Learn(learned):
-                self.decisions.pending.append(at.Taught(api.Learned(learned.limit, learned.run_ms)))
+                self.decisions.pending.append(at.LearnedStateReceived(api.Learned(learned.limit, learned.run_ms)))
             case LosePeer(partial):
                 self._lose(partial)
             case Serve(out):
@@ -331,11 +331,11 @@
                 case Say(word):
                     self._send(word)
                 case GoOn(request, granted):
-                    self.decisions.pending.append(at.Agreed(request, granted))
+                    self.decisions.pending.append(at.ClaimAnswered(request, granted))
                 case GiveUp(request):
-                    self.decisions.pending.append(at.Agreed(request, None))
+                    self.decisions.pending.append(at.ClaimAnswered(request, None))
                 case End(request, outcome, result):
-                    self.decisions.pending.append(at.RunOver(request, outcome, 0.0, result))
+                    self.decisions.pending.append(at.RunFinished(request, outcome, 0.0, result))
 
     def _send(self, word: Word) -> None:
         if self.link is not None:
--- a/flintshift/wire/fields.py
+++ b/flintshift/wire/fields.py
@@ -82,16 +82,18 @@
         return Attempt(
             id=text("X-Job-Id", HEX16),
             class_name=class_name,
-            door_ms=self._door_ms(number("X-Door-Time", 0, UNIX_MS_MOST, True)),
-            allow_ms=number("X-Allow-Ms", 0, self.limits.max_request_age_ms) if get("X-Allow-Ms") is not None else None,
-            held_kb=number("X-Ram-Kb", math.nextafter(0, 1), 2000),
+            arrival_ms=self._door_ms(number("X-Door-Time", 0, UNIX_MS_MOST, True)),
+            caller_timeout_ms=number("X-Allow-Ms", 0, self.limits.max_request_age_ms)
+            if get("X-Allow-Ms") is not None
+            else None,
+            memory_kb=number("X-Ram-Kb", math.nextafter(0, 1), 2000),
             caller=int(number("X-Sender", 0, 2**31, True)),
             body=body,
             tenant=self._tenant(get("X-Team")),
-            again=get("X-Again") is not None and text("X-Again", re.compile("[01]")) == "1",
-            unique=text("X-Unique", TOKEN) if keyed else None,
+            marked_repeat=get("X-Again") is not None and text("X-Again", re.compile("[01]")) == "1",
+            request_key=text("X-Unique", TOKEN) if keyed else None,
             subject=int(text("X-Item", HEX16), 16) if item is not None else None,
-            tell=tell,
+            on_answer=tell,
         )
 
     def _door_ms(self, unix_ms: float) -> float:
@@ -140,8 +142,8 @@
     if posture.free_value is not None:
         headers.append(("X-Advice", f"{posture.free_value:g}"))
     if answer is not None and answer.verdict is Verdict.REFUSED:
-        if answer.wait_ms > 0:
-            headers.append(("X-Wait-Ms", str(math.ceil(answer.wait_ms))))
+        if answer.retry_after_ms > 0:
+            headers.append(("X-Wait-Ms", str(math.ceil(answer.retry_after_ms))))
         if answer.terminal:
             headers.append(("X-Terminal", "1"))
     if close:
--- a/flintshift/wire/front.py
+++ b/flintshift/wire/front.py
@@ -10,7 +10,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from flintshift.core.attempts import Answer, Attempt, Departed, Verdict
+from flintshift.core.attempts import Answer, Attempt, CallerDisconnected, Verdict
 from flintshift.core.counters import Counters
 from flintshift.core.decisions import Decisions
 from flintshift.core.limits import Limits
@@ -310,7 +310,7 @@
                 except BROKEN:
                     if self.books is not None:
                         self.books.departed(attempt, self.name)
-                    await self.decisions.report(Departed(attempt))
+                    await self.decisions.report(CallerDisconnected(attempt))
                     return None
                 early += len(data)
                 more(data)
@@ -335,7 +335,7 @@
                     class_name=attempt.class_name,
                     verdict=answer.verdict.value,
                     arrived=arrived,
-                    age_ms=round(self.now_ms() - attempt.door_ms, 1),
+                    age_ms=round(self.now_ms() - attempt.arrival_ms, 1),
                 )
 
     async def sweep(self) -> None:
--- a/flintshift/wire/pool.py
+++ b/flintshift/wire/pool.py
@@ -10,7 +10,7 @@
 from anyio.abc import SocketStream, TaskGroup
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from flintshift.core.attempts import Attempt, CallWanted, ReplyUnsure, Report, RunOver, Up
+from flintshift.core.attempts import Attempt, CallRequested, ReplyInDoubt, Report, RunFinished, WorkersUp
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.core.mailbox import Mailbox
@@ -207,12 +207,12 @@
         else:
             self.unheard.settled()
         self.bound = self.linked = True
-        await self.report(Up())
+        await self.report(WorkersUp())
 
     async def _make_good(self, commands: list[Command]) -> None:
         for command in filter(self.unheard.still, commands):
             if command.kind is CommandKind.SUPPLY:
-                await self.report(ReplyUnsure(command.request, command.notice))
+                await self.report(ReplyInDoubt(command.request, command.notice))
             else:
                 self._offer(command)
         self.unheard.settled()
@@ -260,16 +260,16 @@
                 self.counters.add("pool.unknown")
                 if command == CommandKind.SPAWN.value:
                     self.unheard.heard(request)
-                    await self.report(RunOver(request, OUTCOMES["run", "unknown"]))
+                    await self.report(RunFinished(request, OUTCOMES["run", "unknown"]))
 
     async def _read_numbered(self, notice: codec.Numbered) -> None:
         match notice:
             case codec.Finished(_, request, outcome, took_ms, result):
                 self.unheard.heard(request)
-                await self.report(RunOver(request, outcome, took_ms, result))
+                await self.report(RunFinished(request, outcome, took_ms, result))
             case codec.Blocked(number, request, payload):
                 self.unheard.heard(request)
-                await self.report(CallWanted(request, number, payload))
+                await self.report(CallRequested(request, number, payload))
 
     async def _answered(self, notice: Answered) -> None:
         if self.again is not None and self.again[0] == notice.mark:
--- a/flintshift/wire/uwsgi_apps.py
+++ b/flintshift/wire/uwsgi_apps.py
@@ -8,7 +8,7 @@
 import h11
 from anyio.abc import SocketStream
 
-from flintshift.core.attempts import Attempt, Report, RunOver
+from flintshift.core.attempts import Attempt, Report, RunFinished
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.core.mailbox import Mailbox
@@ -59,7 +59,7 @@
         finally:
             self.room.release_on_behalf_of(attempt)
         self.counters.add(f"apps.{outcome.value}")
-        await self.report(RunOver(attempt.id, outcome, self.now_ms() - began_ms, result))
+        await self.report(RunFinished(attempt.id, outcome, self.now_ms() - began_ms, result))
 
     async def _on_some_server(self, attempt: Attempt) -> tuple[Outcome, bytes]:
         for at in self.browser.servers(attempt.class_name):
--- a/flintshift/wire/vault.py
+++ b/flintshift/wire/vault.py
@@ -13,7 +13,7 @@
 from anyio.abc import SocketStream
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from flintshift.core.attempts import CallOver, Report
+from flintshift.core.attempts import CallFinished, Report
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.core.mailbox import Mailbox
@@ -116,7 +116,7 @@
             if self.out.get(ask.request) is ask:
                 del self.out[ask.request]
             self.counters.add(f"vault.{end.word}")
-            await self.report(CallOver(ask.request, end.outcome, self.now_ms() - ask.asked_ms, end.reply))
+            await self.report(CallFinished(ask.request, end.outcome, self.now_ms() - ask.asked_ms, end.reply))
 
     async def _end_of(self, ask: Ask) -> CallEnd:
         """How the call ended. The vault may have forgotten a connection that was used before, which it resets
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -26,22 +26,22 @@
 def test_there_is_one_final_answer_whatever_follows():
     node = Planner()
     node.submit("a")
-    node.planner.handle(at.RunOver("a", Outcome.OK, 1.0, b"x"))
-    node.planner.handle(at.RunOver("a", Outcome.ERROR))
+    node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
+    node.planner.handle(at.RunFinished("a", Outcome.ERROR))
     node.leave("a")
     assert node.told["a"] == [Answer(Verdict.SERVED, b"x")]
     attempt = node.submit("b")
     node.leave("b")
-    node.planner.handle(at.RunOver("b", Outcome.OK))
+    node.planner.handle(at.RunFinished("b", Outcome.OK))
     assert "b" not in node.told and not attempt.settle(Answer(Verdict.FAILED), 0.0)
 
 
 def test_the_grace_of_a_drain_counts_from_when_the_notice_was_given_not_heard():
     node = Planner(max_notice_delay_ms=200.0)  # of the grace of 300 ms
-    node.planner.handle(at.Notice(3000.0))
+    node.planner.handle(at.ShutdownNotice(3000.0))
     node.now += 150.0
     node.submit("late")
-    node.submit("early", door_ms=node.now - 100.0)
+    node.submit("early", arrival_ms=node.now - 100.0)
     assert node.spawned() == ["early"] and node.verdicts("late") == [Verdict.REFUSED]
 
 
@@ -53,10 +53,10 @@
     node = Planner(max_notice_delay_ms=0.0)
     grace_ms = 300.0  # of the planner's settings
     notice_ms = node.now
-    node.planner.handle(at.Notice(6000.0))
+    node.planner.handle(at.ShutdownNotice(6000.0))
     door_ms = notice_ms + grace_ms + after_ms
     node.now = door_ms + read_late_ms
-    node.submit("a", door_ms=door_ms)
+    node.submit("a", arrival_ms=door_ms)
     assert node.spawned() == (["a"] if runs else [])
     assert node.verdicts("a") == ([] if runs else [Verdict.REFUSED])
 
@@ -64,7 +64,14 @@
 def test_a_class_that_was_dropped_for_good_while_its_request_waited_is_refused_and_ends_nothing():
     node = Planner()
     late = Attempt(
-        "late", "pay", node.now, 10.0, 1, b"", unique="k", tell=lambda answer: node.told["late"].append(answer)
+        "late",
+        "pay",
+        node.now,
+        10.0,
+        1,
+        b"",
+        request_key="k",
+        on_answer=lambda answer: node.told["late"].append(answer),
     )
     node.told["late"] = []
     settings = node.planner.catalogue.settings
@@ -77,27 +84,27 @@
 
 def test_what_has_run_is_never_turned_away():
     told = []
-    attempt = Attempt("a", "pay", 0.0, 1.0, 1, b"", ran=True, tell=told.append)
-    assert attempt.settle(Answer(Verdict.REFUSED, wait_ms=5.0), 1.0)
+    attempt = Attempt("a", "pay", 0.0, 1.0, 1, b"", ran=True, on_answer=told.append)
+    assert attempt.settle(Answer(Verdict.REFUSED, retry_after_ms=5.0), 1.0)
     assert told == [Answer(Verdict.FAILED)]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.MOOT, Outcome.UNREACHABLE])
 def test_a_run_proven_not_begun_is_refused_and_frees_its_key_and_its_followers(outcome):
     node = Planner()
-    node.submit("a", "pay", unique="k")
-    node.submit("b", "pay", unique="k")
-    node.planner.handle(at.RunOver("a", outcome))
+    node.submit("a", "pay", request_key="k")
+    node.submit("b", "pay", request_key="k")
+    node.planner.handle(at.RunFinished("a", outcome))
     assert node.verdicts("a") == node.verdicts("b") == [Verdict.REFUSED]
-    assert node.told["a"][0].wait_ms == 800.0
-    node.submit("c", "pay", unique="k")
+    assert node.told["a"][0].retry_after_ms == 800.0
+    node.submit("c", "pay", request_key="k")
     assert node.spawned() == ["a", "c"]
 
 
 def test_a_command_that_no_worker_takes_refuses_the_request_and_starts_nothing():
     node = Planner()
     node.ports.room = False
-    node.submit("a", "pay", unique="k")
+    node.submit("a", "pay", request_key="k")
     assert node.verdicts("a") == [Verdict.REFUSED] and not node.planner.keys.entries
 
 
@@ -105,7 +112,7 @@
     node = Planner()
     node.submit("a")
     node.ports.room = False
-    node.planner.handle(at.CallWanted("a", 7, b""))
+    node.planner.handle(at.CallRequested("a", 7, b""))
     assert ("pass", "a", 7) in node.ports.sent
 
 
@@ -113,7 +120,7 @@
     node = Planner()
     held = [f"r{turn}" for turn in range(4)]
     for request in held:
-        node.submit(request, "pay", unique=request)
+        node.submit(request, "pay", request_key=request)
     waiting = next(request for request in held if request not in node.spawned())
     node.leave(waiting)
     assert ("pay", waiting) not in node.planner.keys.entries and not node.verdicts(waiting)
@@ -122,24 +129,24 @@
 def test_a_repeat_is_known_by_when_it_came_not_by_when_it_is_read():
     node = Planner()
     door = node.now
-    node.submit("a", "pay", unique="k")
-    node.planner.handle(at.RunOver("a", Outcome.OK, 1.0, b"x"))
+    node.submit("a", "pay", request_key="k")
+    node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
     node.now += 4000.0
     node.planner.handle(at.Tick("tick"))
-    node.submit("b", "pay", unique="k", door_ms=door + 1999.0)
-    node.submit("other", "look", unique="k")  # keys are scoped by class
+    node.submit("b", "pay", request_key="k", arrival_ms=door + 1999.0)
+    node.submit("other", "look", request_key="k")  # keys are scoped by class
     assert node.spawned() == ["a", "other"] and node.verdicts("b") == [Verdict.SERVED]
-    node.submit("c", "pay", unique="k")
+    node.submit("c", "pay", request_key="k")
     assert node.spawned() == ["a", "other", "c"]
 
 
 def test_a_full_key_table_starts_no_keyed_work_and_forgets_no_live_key():
     node = Planner(max_keys=2)
     for request in "ab":
-        node.submit(request, "pay", unique=request)
-        node.planner.handle(at.RunOver(request, Outcome.OK, 1.0, request.encode()))
-    node.submit("c", "pay", unique="c")
-    node.submit("d", "pay", unique="a")
+        node.submit(request, "pay", request_key=request)
+        node.planner.handle(at.RunFinished(request, Outcome.OK, 1.0, request.encode()))
+    node.submit("c", "pay", request_key="c")
+    node.submit("d", "pay", request_key="a")
     node.submit("e")
     assert node.verdicts("c") == [Verdict.REFUSED] and node.told["d"] == [Answer(Verdict.SERVED, b"a")]
     assert node.spawned() == ["a", "b", "e"]
@@ -148,7 +155,7 @@
 def test_results_are_booked_at_their_largest_until_they_are_known():
     limits = Limits(max_result_bytes=100, max_key_result_bytes=250)
     keys = KeyTable(limits)
-    attempts = [Attempt(str(turn), "pay", 0.0, 1.0, 1, b"", unique=str(turn)) for turn in range(3)]
+    attempts = [Attempt(str(turn), "pay", 0.0, 1.0, 1, b"", request_key=str(turn)) for turn in range(3)]
     for attempt in attempts[:2]:
         assert not keys.full()
         keys.keep(attempt, 10.0)
@@ -162,7 +169,7 @@
 
 def test_a_run_never_heard_of_again_gives_its_place_back():
     node = Planner()
-    node.submit("a", "pay", unique="k")
+    node.submit("a", "pay", request_key="k")
     for _ in range(40):
         node.now += 1000.0
         node.planner.handle(at.Tick("tick"))
@@ -173,22 +180,22 @@
 def test_a_full_mailbox_refuses_new_work_and_keeps_room_for_the_rest():
     node = Planner(mailbox_size=4, mailbox_reserve=2)
     told = []
-    attempts = [Attempt(request, "look", node.now, 1.0, 1, b"", tell=told.append) for request in "abcd"]
+    attempts = [Attempt(request, "look", node.now, 1.0, 1, b"", on_answer=told.append) for request in "abcd"]
     for attempt in attempts:
         node.planner.submit(attempt)
     assert [answer.verdict for answer in told] == [Verdict.REFUSED, Verdict.REFUSED]
-    assert told[0].wait_ms == 800.0 and node.planner.mailbox.offer(at.Departed(attempts[0]))
+    assert told[0].retry_after_ms == 800.0 and node.planner.mailbox.offer(at.CallerDisconnected(attempts[0]))
     box = Mailbox(1)
     assert (box.offer(1), box.offer(2), box.take_now(), box.take_now()) == (True, False, 1, None)
 
 
 def test_a_full_mailbox_does_not_refuse_the_repeat_of_what_has_run():
     node = Planner(mailbox_size=4, mailbox_reserve=2)
-    node.submit("a", "pay", unique="k")
-    node.planner.handle(at.RunOver("a", Outcome.OK, 1.0, b"x"))
+    node.submit("a", "pay", request_key="k")
+    node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
     told = []
     for request, class_name in (("b", "look"), ("c", "look"), ("d", "pay"), ("e", "pay"), ("f", "pay")):
-        node.planner.submit(Attempt(request, class_name, node.now, 1.0, 1, b"", unique="k", tell=told.append))
+        node.planner.submit(Attempt(request, class_name, node.now, 1.0, 1, b"", request_key="k", on_answer=told.append))
     assert [answer.verdict for answer in told] == [Verdict.FAILED]
     for _ in range(4):
         node.planner.handle(node.planner.mailbox.take_now())
@@ -274,14 +281,16 @@
 def test_what_is_turned_away_for_want_of_a_connection_is_refused_unless_an_earlier_try_ran(again, verdict):
     node = Planner()
     if again:
-        node.submit("first", "pay", unique="k")
+        node.submit("first", "pay", request_key="k")
     told = []
-    attempt = Attempt("second", "pay", node.now, 10.0, 1, b"", unique="k", again=again, tell=told.append)
+    attempt = Attempt(
+        "second", "pay", node.now, 10.0, 1, b"", request_key="k", marked_repeat=again, on_answer=told.append
+    )
     node.planner.turn_away(attempt)
     assert [answer.verdict for answer in told] == [verdict]
     assert "second" not in node.spawned()
     if verdict is Verdict.REFUSED:
-        assert told[0].wait_ms == 800.0
+        assert told[0].retry_after_ms == 800.0
 
 
 @pytest.mark.anyio
@@ -289,9 +298,9 @@
     """On a busy node hundreds of arrivals wait, and requests past their due time behind them."""
     node = Planner()
     attempt = node.submit("a")  # its run never ends
-    node.now = attempt.due_ms - 50.0
+    node.now = attempt.deadline_at_ms - 50.0
     for number in range(200):
-        node.planner.submit(Attempt(f"b{number}", "look", node.now, 10.0, 1, b"", tell=lambda answer: None))
+        node.planner.submit(Attempt(f"b{number}", "look", node.now, 10.0, 1, b"", on_answer=lambda answer: None))
     gauges = GaugePlanner(Limits(), lambda: node.now)
     gauges.wake_at(node.now, "tick")
     async with anyio.create_task_group() as tasks:
--- a/tests/core/test_limit_share.py
+++ b/tests/core/test_limit_share.py
@@ -17,7 +17,7 @@
     node = Planner()
     node.planner.keep_to(LimitShare(0.0, 0.0, 0.0))
     node.planner.handle(at.Tick("tick"))
-    node.submit("a", class_name, unique="k" if class_name == "pay" else None)
+    node.submit("a", class_name, request_key="k" if class_name == "pay" else None)
     began = node.now
     while not node.verdicts("a") and node.now < began + DEADLINE_MS:  # it is held, as room may come in its time
         node.now += 40.0
@@ -25,7 +25,7 @@
     assert node.verdicts("a") == [Verdict.REFUSED] and node.spawned() == []
     node.planner.keep_to(WHOLE)
     node.planner.handle(at.Tick("tick"))
-    node.submit("b", class_name, unique="l" if class_name == "pay" else None)
+    node.submit("b", class_name, request_key="l" if class_name == "pay" else None)
     assert node.spawned() == ["b"]
 
 
--- a/tests/core/test_patience.py
+++ b/tests/core/test_patience.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("class_name", ["look", "pay"])
 def test_a_run_without_an_end_fails_when_its_caller_stops_waiting_or_its_class_gives_up(class_name, allow_ms, due_ms):
     node = Planner()
-    node.submit("a", class_name, unique="k" if class_name == "pay" else None, allow_ms=allow_ms)
+    node.submit("a", class_name, request_key="k" if class_name == "pay" else None, caller_timeout_ms=allow_ms)
     assert node.spawned() == ["a"]
     assert due_ms - 3 * TICK_MS <= answered_after_ms(node, "a") <= due_ms
     assert node.verdicts("a") == [Verdict.FAILED]
@@ -37,22 +37,22 @@
 @pytest.mark.parametrize(("allow_ms", "age_ms"), [(0.0, 0.0), (100.0, 100.0), (100.0, 700.0), (0.0, 50.0)])
 def test_what_is_past_its_time_when_it_is_read_is_refused_at_once_and_never_run(allow_ms, age_ms):
     node = Planner()
-    node.submit("a", allow_ms=allow_ms, door_ms=node.now - age_ms)
+    node.submit("a", caller_timeout_ms=allow_ms, arrival_ms=node.now - age_ms)
     assert node.verdicts("a") == [Verdict.REFUSED] and node.spawned() == []
 
 
 def test_a_repeat_fails_when_its_own_caller_stops_waiting_and_the_first_try_runs_on():
     node = Planner()
-    node.submit("a", "pay", unique="k")
-    node.submit("b", "pay", unique="k", again=True, allow_ms=200.0)
+    node.submit("a", "pay", request_key="k")
+    node.submit("b", "pay", request_key="k", marked_repeat=True, caller_timeout_ms=200.0)
     assert answered_after_ms(node, "b") <= 200.0 and node.verdicts("b") == [Verdict.FAILED]
-    node.planner.handle(at.RunOver("a", Outcome.OK, 1.0, b"x"))
+    node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
     assert node.verdicts("a") == [Verdict.SERVED] and node.spawned() == ["a"]
 
 
 def test_a_repeat_past_its_time_still_gets_the_result_that_is_kept():
     node = Planner()
-    node.submit("a", "pay", unique="k")
-    node.planner.handle(at.RunOver("a", Outcome.OK, 1.0, b"x"))
-    node.submit("b", "pay", unique="k", again=True, allow_ms=0.0)
+    node.submit("a", "pay", request_key="k")
+    node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
+    node.submit("b", "pay", request_key="k", marked_repeat=True, caller_timeout_ms=0.0)
     assert node.told["b"][0].body == b"x"
--- a/tests/core/test_waiting_claims.py
+++ b/tests/core/test_waiting_claims.py
@@ -45,7 +45,9 @@
 
 
 def attempt(node, told):
-    return at.Attempt("a", "pay", node.now, 10.0, 1, b"", unique="k", tell=lambda answer: told.append(answer.verdict))
+    return at.Attempt(
+        "a", "pay", node.now, 10.0, 1, b"", request_key="k", on_answer=lambda answer: told.append(answer.verdict)
+    )
 
 
 def asking():
@@ -61,14 +63,14 @@
 
 def test_the_caller_of_a_second_try_under_an_id_that_waits_for_a_claim_goes_and_the_first_goes_on():
     node, told, second = asking()
-    node.planner.handle(at.Departed(second))
+    node.planner.handle(at.CallerDisconnected(second))
     assert node.claims.left == []
-    node.planner.handle(at.Agreed("a", True))
+    node.planner.handle(at.ClaimAnswered("a", True))
     assert node.spawned() == ["a"]
-    node.planner.handle(at.RunOver("a", Outcome.OK, 1.0, b"x"))
+    node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
     assert node.claims.kept_ends == ["a"] and told == []  # its end is to be kept first
-    node.planner.handle(at.Departed(second))
-    node.planner.handle(at.Kept("a", Outcome.OK, b"x"))
+    node.planner.handle(at.CallerDisconnected(second))
+    node.planner.handle(at.OutcomeRecorded("a", Outcome.OK, b"x"))
     assert told == [Verdict.SERVED] and node.planner.open == 0
 
 
@@ -98,11 +100,11 @@
     node, told, _ = asking()
     ranks = Ranks()
     node.planner.rank_by(ranks)
-    node.planner.handle(at.Agreed("a", True))
-    node.planner.handle(at.RunOver("a", Outcome.OK, 1.0, b"x"))
-    node.planner.handle(at.Departed(node.planner.waiting.keeping["a"]))
+    node.planner.handle(at.ClaimAnswered("a", True))
+    node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
+    node.planner.handle(at.CallerDisconnected(node.planner.waiting.keeping["a"]))
     assert ranks.told == ["arrived", "began", "ended"] and told == []
-    node.planner.handle(at.Kept("a", Outcome.OK, b"x"))
+    node.planner.handle(at.OutcomeRecorded("a", Outcome.OK, b"x"))
     assert told == [] and node.planner.counters["departed"] == 1 and not node.planner.waiting.keeping
 
 
@@ -111,10 +113,10 @@
     node, told, second = asking()
     first = node.planner.waiting.awaiting["a"]
     if again_before:
-        node.planner.handle(at.Departed(second))
-    node.planner.handle(at.Departed(first))
+        node.planner.handle(at.CallerDisconnected(second))
+    node.planner.handle(at.CallerDisconnected(first))
     assert node.claims.left == ["a"]
-    node.planner.handle(at.Agreed("a", True))  # the word comes late
+    node.planner.handle(at.ClaimAnswered("a", True))  # the word comes late
     assert node.spawned() == [] and told == [] and node.planner.open == 0
 
 
@@ -125,8 +127,8 @@
 def test_a_claim_waits_for_the_other_process_until_shortly_before_its_own_answer_is_due(allow_ms, waits_ms):
     limits = Limits(claim_timeout_ms=1000.0, claim_reserve_ms=150.0)
     shared, now = SharedKeys(KeyTable(limits), limits), 1e6
-    one = at.Attempt("a", "pay", now, 10.0, 1, b"", unique="k", allow_ms=allow_ms)
-    one.kind = RequestClass("pay", 500.0, 900.0, 1.0, Effect.KEYED, repeat_window_ms=1e6)
+    one = at.Attempt("a", "pay", now, 10.0, 1, b"", request_key="k", caller_timeout_ms=allow_ms)
+    one.request_class = RequestClass("pay", 500.0, 900.0, 1.0, Effect.KEYED, repeat_window_ms=1e6)
     shared.ask(now, one)
     (claim,) = shared.agreement.pending.values()
     assert claim.waiting == {"a": now + waits_ms}
--- a/tests/door/test_fair_door.py
+++ b/tests/door/test_fair_door.py
@@ -140,8 +140,8 @@
 
 def test_a_repeat_that_waits_for_the_run_of_another_try_waits_for_no_core():
     node = node_of()
-    first = node.arrive(class_name="pay", unique="k")
-    repeat = node.arrive(class_name="pay", unique="k", again=True)
+    first = node.arrive(class_name="pay", request_key="k")
+    repeat = node.arrive(class_name="pay", request_key="k", marked_repeat=True)
     assert len(node.runs) == 1 and list(node.fair.shares.open) == [first.id]
     node.end(first)
     assert repeat.answer == first.answer == Answer(Verdict.SERVED, b"done") and not node.fair.shares.open
--- a/tests/handover/test_model.py
+++ b/tests/handover/test_model.py
@@ -118,7 +118,9 @@
 
     def attempt(self, request):
         again = any(side.attempts for side in self.sides)  # the first to come is not marked
-        return Attempt(request, "pay", self.sides[0].now, 1.0, 1, b"b", again=again, unique="k", kind=KIND)
+        return Attempt(
+            request, "pay", self.sides[0].now, 1.0, 1, b"b", marked_repeat=again, request_key="k", request_class=KIND
+        )
 
     def moves(self):
         for number, side in enumerate(self.sides):
--- a/tests/lifecycle/test_leftovers.py
+++ b/tests/lifecycle/test_leftovers.py
@@ -29,7 +29,7 @@
 async def test_nothing_is_left_where_all_was_answered():
     node = Planner()
     node.submit("a")
-    node.planner.handle(at.RunOver("a", at.Outcome.OK, 1.0, b"x"))
+    node.planner.handle(at.RunFinished("a", at.Outcome.OK, 1.0, b"x"))
     node.submit("b")
     node.leave("b")
     node.planner.mailbox.offer(at.Tick("tick"))  # no request waits for it
--- a/tests/planning.py
+++ b/tests/planning.py
@@ -63,18 +63,18 @@
             Catalogue(settings, sizes), 1, sizes, Counters(), lambda: self.now, lambda at_ms, token: None, lambda: None
         )
         self.planner.runs.workers, self.planner.runs.below = {"pool": self.ports}, self.ports
-        self.planner.handle(at.Up())
+        self.planner.handle(at.WorkersUp())
 
     def submit(self, request, class_name="look", **changes):
         attempt = Attempt(
             request,
             class_name,
-            changes.pop("door_ms", self.now),
+            changes.pop("arrival_ms", self.now),
             10.0,
             1,
             b"",
             **changes,
-            tell=lambda answer: self.told.setdefault(request, []).append(answer),
+            on_answer=lambda answer: self.told.setdefault(request, []).append(answer),
         )
         self.attempts[request] = attempt
         self.planner.handle(at.Submitted(attempt))
@@ -82,7 +82,7 @@
 
     def leave(self, request):
         """The caller of that attempt goes."""
-        self.planner.handle(at.Departed(self.attempts[request]))
+        self.planner.handle(at.CallerDisconnected(self.attempts[request]))
 
     def verdicts(self, request):
         return [answer.verdict for answer in self.told.get(request, [])]
--- a/tests/wire/fronted.py
+++ b/tests/wire/fronted.py
@@ -10,7 +10,7 @@
 import anyio
 from standins import BYTES, SETTINGS, Caller, job
 
-from flintshift.core.attempts import Answer, Attempt, Departed, Verdict
+from flintshift.core.attempts import Answer, Attempt, CallerDisconnected, Verdict
 from flintshift.core.catalogue import Catalogue
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
@@ -45,10 +45,10 @@
 
     def turn_away(self, attempt: Attempt) -> None:
         self.turned_away.append(attempt)
-        attempt.settle(Answer(Verdict.REFUSED, wait_ms=300.0), now_ms())
+        attempt.settle(Answer(Verdict.REFUSED, retry_after_ms=300.0), now_ms())
 
     async def report(self, report) -> None:
-        if isinstance(report, Departed):
+        if isinstance(report, CallerDisconnected):
             self.departed.append(report.attempt.id)
 
 
--- a/tests/wire/test_pool.py
+++ b/tests/wire/test_pool.py
@@ -11,7 +11,7 @@
 import anyio
 import pytest
 
-from flintshift.core.attempts import Attempt, CallWanted, ReplyUnsure, RunOver, Up
+from flintshift.core.attempts import Attempt, CallRequested, ReplyInDoubt, RunFinished, WorkersUp
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.interface import Outcome
@@ -173,7 +173,7 @@
     link = PoolLink(("127.0.0.1", pool.port), ["busy"], Limits(**limits), counters, told.add, lambda low, high: low)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
-        await told.until(lambda report: isinstance(report, Up))
+        await told.until(lambda report: isinstance(report, WorkersUp))
         yield pool, link, told, counters
         tasks.cancel_scope.cancel()
     await pool.stop()
@@ -199,7 +199,7 @@
             assert link.spawn(attempt("waits"))  # between two links
             await pool.log.until(lambda entry: entry.get("rid") == "left", 2)
             pool.finish("waits")
-            await told.until(lambda report: isinstance(report, RunOver))
+            await told.until(lambda report: isinstance(report, RunFinished))
             assert len(spawns(pool, "waits")) == 1 and len(spawns(pool, "left")) == 2
 
 
@@ -215,13 +215,13 @@
         assert link.spawn(attempt("run"))
         await pool.log.until(lambda entry: entry.get("rid") == "run")
         pool.tell("run", "blocked", {"b64": ""})
-        wanted = (await told.until(lambda report: isinstance(report, CallWanted)))[0]
+        wanted = (await told.until(lambda report: isinstance(report, CallRequested)))[0]
         whole = pool.say
         pool.say = lambda writer, message: None if writer in old else whole(writer, message)
-        assert link.supply("run", wanted.no, b"reply") and link.spawn(attempt("next"))
+        assert link.supply("run", wanted.notice, b"reply") and link.spawn(attempt("next"))
         with anyio.move_on_after(0.01):
             await link.poll()
-        await told.until(lambda report: isinstance(report, ReplyUnsure))
+        await told.until(lambda report: isinstance(report, ReplyInDoubt))
         await pool.log.until(lambda entry: entry.get("rid") == "next", 2)
         assert counters["pool.silent"] == 1
 
@@ -243,7 +243,7 @@
         pool.cut()
         await pool.log.until(lambda entry: entry["t"] == "bind", 4)
         pool.say = whole
-        await told.until(lambda report: isinstance(report, Up), 2)
+        await told.until(lambda report: isinstance(report, WorkersUp), 2)
 
 
 @pytest.mark.anyio
@@ -255,7 +255,7 @@
         for writer in list(pool.links):
             pool.say(writer, pool.notices[-1])
         pool.finish("run")
-        over = (await told.until(lambda report: isinstance(report, RunOver)))[0]
+        over = (await told.until(lambda report: isinstance(report, RunFinished)))[0]
         assert over.request == "run" and counters["pool.passed_over"] == 1
         assert counters["pool.junk"] == 2
 
@@ -268,5 +268,5 @@
         spawned = (await pool.log.until(lambda entry: entry["t"] == "spawn"))[0]
         assert base64.b64decode(spawned["b64"]) == body
         pool.tell("run", "blocked", {"b64": base64.b64encode(body).decode()})
-        wanted = (await told.until(lambda report: isinstance(report, CallWanted)))[0]
-        assert wanted.payload == body
+        wanted = (await told.until(lambda report: isinstance(report, CallRequested)))[0]
+        assert wanted.call_payload == body
--- a/tests/wire/test_unforeseen_errors.py
+++ b/tests/wire/test_unforeseen_errors.py
@@ -13,7 +13,7 @@
 import anyio
 import pytest
 
-from flintshift.core.attempts import Attempt, CallOver, RunOver
+from flintshift.core.attempts import Attempt, CallFinished, RunFinished
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.interface import Outcome
@@ -83,7 +83,7 @@
             link.ask(request, 100.0, b"", True)
         await until(lambda: len(told.reports) == 2)
         tasks.cancel_scope.cancel()
-    assert all(isinstance(report, CallOver) and report.outcome is Outcome.INTERRUPTED for report in told.reports)
+    assert all(isinstance(report, CallFinished) and report.outcome is Outcome.INTERRUPTED for report in told.reports)
     assert counters["vault.faults"] == 2
 
 
@@ -97,7 +97,7 @@
             apps.spawn(Attempt(request, "look", 0.0, 1.0, 1, b""))
         await until(lambda: len(told.reports) == 2)
         tasks.cancel_scope.cancel()
-    assert all(isinstance(report, RunOver) and report.outcome is Outcome.INTERRUPTED for report in told.reports)
+    assert all(isinstance(report, RunFinished) and report.outcome is Outcome.INTERRUPTED for report in told.reports)
     assert counters["apps.faults"] == 2
 
 
