--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -21,7 +21,7 @@
 from flintshift.core.catalogue import Catalogue
 from flintshift.core.counters import Counters
 from flintshift.core.keys import Entry, KeyTable, fingerprint
-from flintshift.core.limit_share import WHOLE, LimitShare, scaled, share_of
+from flintshift.core.limit_share import FULL_SHARE, LimitShare, scale_settings, usage_share
 from flintshift.core.limits import Limits
 from flintshift.core.mailbox import Mailbox
 from flintshift.core.open_attempts import OpenAttempts
@@ -50,7 +50,7 @@
     ) -> None:
         self.catalogue, self.limits, self.counters = catalogue, limits, counters
         self.now_ms, self.wake_at, self.list = now_ms, wake_at, list_
-        self.share = WHOLE  # of the node's limits, for this process
+        self.share = FULL_SHARE  # of the node's limits, for this process
         settings = self._settings()
         self.controller = Controller(settings, seed)
         self.mailbox: Mailbox[at.Report] = Mailbox(limits.mailbox_size)
@@ -118,10 +118,10 @@
 
     def used(self) -> LimitShare:
         """The share of the node's limits that this process uses now."""
-        return share_of(self.catalogue.decided, *self.controller.used())
+        return usage_share(self.catalogue.decided, *self.controller.used())
 
     def _settings(self) -> api.Settings:
-        settings = scaled(self.catalogue.decided, self.share)
+        settings = scale_settings(self.catalogue.decided, self.share)
         # The grace counts from when the notice was given, not from when it was heard.
         return replace(settings, drain_grace_ms=max(0.0, settings.drain_grace_ms - self.limits.max_notice_delay_ms))
 
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -258,7 +258,9 @@
             connections = sum(len(front.connections) for front, _ in self.node.fronts)
             learned = self.decisions.controller.learned()
             self._step(
-                Used(Load(used.crowd, used.memory, used.calls, connections), Learned(learned.limit, learned.run_ms))
+                Used(
+                    Load(used.concurrency, used.memory, used.calls, connections), Learned(learned.limit, learned.run_ms)
+                )
             )
 
     # What the node tells.
--- a/tests/core/test_limit_share.py
+++ b/tests/core/test_limit_share.py
@@ -7,7 +7,7 @@
 
 from flintshift.core import attempts as at
 from flintshift.core.attempts import Verdict
-from flintshift.core.limit_share import WHOLE, LimitShare, scaled
+from flintshift.core.limit_share import FULL_SHARE, LimitShare, scale_settings
 
 DEADLINE_MS = 900.0  # of both classes, as the planner's settings tell
 
@@ -23,7 +23,7 @@
         node.now += 40.0
         node.planner.handle(at.Tick("tick"))
     assert node.verdicts("a") == [Verdict.REFUSED] and node.spawned() == []
-    node.planner.keep_to(WHOLE)
+    node.planner.keep_to(FULL_SHARE)
     node.planner.handle(at.Tick("tick"))
     node.submit("b", class_name, request_key="l" if class_name == "pay" else None)
     assert node.spawned() == ["b"]
@@ -31,4 +31,4 @@
 
 def test_the_whole_of_the_limits_is_what_the_settings_tell():
     settings = Planner().planner.catalogue.decided
-    assert scaled(settings, WHOLE) is settings
+    assert scale_settings(settings, FULL_SHARE) is settings
