--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -25,7 +25,7 @@
 from flintshift.core.limits import Limits
 from flintshift.core.mailbox import Mailbox
 from flintshift.core.open_attempts import OpenAttempts
-from flintshift.core.ports import Posture, Ranks
+from flintshift.core.ports import FairRanking, ServingStatus
 from flintshift.core.runs import Runs
 from flintshift.core.waiting_claims import Asked, WaitingClaims
 from flintshift.interface import Outcome
@@ -54,7 +54,7 @@
         settings = self._settings()
         self.controller = Controller(settings, seed)
         self.mailbox: Mailbox[at.Report] = Mailbox(limits.mailbox_size)
-        self.posture = Posture(wait_ms=settings.advice_max_ms * settings.advice_allowed)
+        self.posture = ServingStatus(default_retry_after_ms=settings.advice_max_ms * settings.advice_allowed)
         self.attempts = OpenAttempts(counters, now_ms, self.posture)
         self.keys = KeyTable(limits)
         self.waiting = WaitingClaims()
@@ -89,8 +89,8 @@
             self.counters.add("refused.class_dropped")
             self.attempts.settle(attempt, self.attempts.refusal())
             return
-        if not self.posture.up or not self.mailbox.offer(at.Submitted(attempt), spare):
-            self.counters.add("full.mailbox" if self.posture.up else "full.not_up")
+        if not self.posture.workers_up or not self.mailbox.offer(at.Submitted(attempt), spare):
+            self.counters.add("full.mailbox" if self.posture.workers_up else "full.not_up")
             self.attempts.settle(attempt, Answer(Verdict.FAILED) if repeat else self.attempts.refusal())
 
     def turn_away(self, attempt: Attempt) -> None:
@@ -112,7 +112,7 @@
             self.share = share
             self.pending.append(at.CatalogueChanged())
 
-    def rank_by(self, ranks: Ranks) -> None:
+    def rank_by(self, ranks: FairRanking) -> None:
         """Have what waits ranked by this port."""
         self.attempts.ranks, self.controller.rank = ranks, ranks.rank_ms
 
@@ -157,11 +157,11 @@
             case api.WakeAt(at_ms, token):
                 self.wake_at(at_ms, token)
             case api.SetHealth(good, from_store):
-                self.posture.good, self.posture.from_store = good, from_store
+                self.posture.healthy, self.posture.health_is_cached = good, from_store
             case api.SetFreeValue(value):
                 self.posture.free_value = value
             case api.CloseIdle(idle_ms):
-                self.posture.idle_ms = idle_ms
+                self.posture.idle_timeout_ms = idle_ms
             case _:
                 self.runs.apply(action)
 
@@ -182,15 +182,15 @@
         return api.Woken(report.token, report.gauges)
 
     def _came_up(self, _: at.WorkersUp) -> api.Event | None:
-        if self.posture.up:  # the link came back: the controller goes on
+        if self.posture.workers_up:  # the link came back: the controller goes on
             return None
-        self.posture.up = True
+        self.posture.workers_up = True
         self.list()
         return api.Started()
 
     def _told(self, report: at.MessageReceived) -> None:
         if self.waiting.claims is not None:
-            self.waiting.claims.heard(report.message)
+            self.waiting.claims.on_message(report.message)
 
     @staticmethod
     def _taught(report: at.LearnedStateReceived) -> api.Event:
@@ -198,11 +198,11 @@
 
     def _changed(self, _: at.CatalogueChanged) -> api.Event:
         settings = self._settings()
-        self.posture.wait_ms = settings.advice_max_ms * settings.advice_allowed
+        self.posture.default_retry_after_ms = settings.advice_max_ms * settings.advice_allowed
         return api.Changed(settings)
 
     def _noticed(self, report: at.ShutdownNotice) -> api.Event:
-        self.posture.leaving = True
+        self.posture.draining = True
         self.list()
         return api.Leaving(report.stops_in_ms)
 
--- a/flintshift/core/gauges.py
+++ b/flintshift/core/gauges.py
@@ -9,7 +9,7 @@
 from flintshift.core.attempts import Tick
 from flintshift.core.limits import Limits
 from flintshift.core.mailbox import Mailbox
-from flintshift.core.ports import Gauged
+from flintshift.core.ports import GaugeSource
 from flintshift.interface import Gauges
 
 
@@ -23,7 +23,7 @@
         if not self.timers.offer((at_ms, token)):  # the controller sets one timer a tick
             raise RuntimeError("more timers than the node has room for")
 
-    async def run(self, gauged: Gauged, ticked: Callable[[Tick], None]) -> None:
+    async def run(self, gauged: GaugeSource, ticked: Callable[[Tick], None]) -> None:
         """``ticked`` handles a tick in the turn in which it comes."""
         while True:
             at_ms, token = await self.timers.take()
--- a/flintshift/core/open_attempts.py
+++ b/flintshift/core/open_attempts.py
@@ -6,16 +6,16 @@
 
 from flintshift.core.attempts import NEVER_RAN, Answer, Attempt, Verdict
 from flintshift.core.counters import Counters
-from flintshift.core.ports import Posture, Ranks
+from flintshift.core.ports import FairRanking, ServingStatus
 from flintshift.interface import Outcome
 
 
 class OpenAttempts:
     """By id. An attempt stays after its answer for as long as its run goes on: the end of that is still to be told."""
 
-    def __init__(self, counters: Counters, now_ms: Callable[[], float], posture: Posture) -> None:
+    def __init__(self, counters: Counters, now_ms: Callable[[], float], posture: ServingStatus) -> None:
         self.counters, self.now_ms, self.posture = counters, now_ms, posture
-        self.ranks: Ranks | None = None
+        self.ranks: FairRanking | None = None
         self.table: dict[str, Attempt] = {}
         self.closing: list[Attempt] = []  # that may be over, looked at once all is decided of them
 
@@ -35,7 +35,7 @@
     def add(self, attempt: Attempt) -> None:
         self.table[attempt.id] = attempt
         if self.ranks is not None:
-            self.ranks.arrived(attempt)
+            self.ranks.on_arrival(attempt)
 
     def remove(self, attempt: Attempt) -> None:
         self.table.pop(attempt.id, None)
@@ -50,7 +50,7 @@
             if attempt.settled and not attempt.running:
                 self.remove(attempt)
                 if self.ranks is not None:
-                    self.ranks.left(attempt.id)
+                    self.ranks.on_withdrawal(attempt.id)
         self.closing.clear()
 
     # Answers.
@@ -71,7 +71,7 @@
 
     def refusal(self) -> Answer:
         """A refusal that no decision was asked for: it tells the time that the settings name."""
-        return Answer(Verdict.REFUSED, retry_after_ms=self.posture.wait_ms)
+        return Answer(Verdict.REFUSED, retry_after_ms=self.posture.default_retry_after_ms)
 
     def leave(self, attempt: Attempt) -> None:
         """Its caller has gone: no answer is owed any longer."""
--- a/flintshift/core/runs.py
+++ b/flintshift/core/runs.py
@@ -15,7 +15,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.keys import Entry, KeyTable
 from flintshift.core.open_attempts import OpenAttempts
-from flintshift.core.ports import Below, Books, Posture, Workers
+from flintshift.core.ports import ServingStatus, UsageRecorder, VaultCalls, Workers
 from flintshift.core.waiting_claims import WaitingClaims
 from flintshift.interface import Effect, Outcome
 
@@ -29,15 +29,15 @@
         keys: KeyTable,
         waiting: WaitingClaims,
         pending: deque[at.Report],
-        posture: Posture,
+        posture: ServingStatus,
         counters: Counters,
         now_ms: Callable[[], float],
     ) -> None:
         self.attempts, self.keys, self.waiting = attempts, keys, waiting
         self.pending, self.posture, self.counters, self.now_ms = pending, posture, counters, now_ms
         self.workers: Mapping[str, Workers] = {}
-        self.below: Below
-        self.books: Books | None = None
+        self.below: VaultCalls
+        self.books: UsageRecorder | None = None
         self.handlers: dict[type, Callable[[Attempt, Any], api.Event | None]] = {
             at.CallRequested: self._call_wanted,
             at.ReplyInDoubt: self._reply_unsure,
@@ -85,7 +85,7 @@
         self.counters.add("replies_unsure")
         skippable = attempt.request_class is not None and attempt.request_class.skip_worth
         if skippable and attempt.call_notice == report.notice and not attempt.settled:
-            self._workers(attempt).go_on(attempt.id, report.notice)
+            self._workers(attempt).continue_run(attempt.id, report.notice)
             attempt.call_skipped = True
 
     def _call_over(self, attempt: Attempt, report: at.CallFinished) -> api.Event | None:
@@ -102,12 +102,12 @@
         attempt.running = False
         attempt.run_ms += report.took_ms
         if self.attempts.ranks is not None:
-            self.attempts.ranks.ended(attempt.id, report.took_ms)
+            self.attempts.ranks.on_end(attempt.id, report.took_ms)
         if attempt.settled and self.books is not None:
-            self.books.ran_on(attempt, report.took_ms)
+            self.books.record_late_run(attempt, report.took_ms)
         if attempt.call_pending:
             attempt.call_pending = False
-            self.below.give_up(attempt.id)
+            self.below.cancel_call(attempt.id)
         entry = self.keys.owned(attempt)
         if report.outcome in NEVER_RAN:
             attempt.ran = False
@@ -149,15 +149,17 @@
         attempt.ran = attempt.running = True
         self.counters.add("run")
         if self.attempts.ranks is not None:
-            self.attempts.ranks.began(attempt.id)
+            self.attempts.ranks.on_start(attempt.id)
         if not self._workers(attempt).spawn(attempt):
             self.counters.add("dropped.spawn")
             self.pending.append(at.RunFinished(attempt.id, Outcome.REJECTED))
 
     def _refuse(self, attempt: Attempt, action: api.Refuse) -> None:
         stay_away_ms = action.stay_away_ms
-        if self.attempts.ranks is not None and self.posture.wait_ms and not self.posture.leaving:
-            stay_away_ms = self.attempts.ranks.come_back_ms(attempt, stay_away_ms, self.posture.wait_ms)
+        if self.attempts.ranks is not None and self.posture.default_retry_after_ms and not self.posture.draining:
+            stay_away_ms = self.attempts.ranks.retry_after_ms(
+                attempt, stay_away_ms, self.posture.default_retry_after_ms
+            )
         self.attempts.settle(attempt, Answer(Verdict.REFUSED, b"", stay_away_ms, action.not_elsewhere))
         self.attempts.close(attempt)
 
@@ -165,7 +167,7 @@
         self.attempts.settle(attempt, Answer(Verdict.FAILED))
         if attempt.call_pending:
             attempt.call_pending = False
-            self.below.give_up(attempt.id)
+            self.below.cancel_call(attempt.id)
         self.attempts.close(attempt)
 
     def _call(self, attempt: Attempt, action: api.Call) -> None:
@@ -173,14 +175,14 @@
         attempt.call_count += 1
         self.counters.add("called")
         once = attempt.request_class is not None and attempt.request_class.effect is not Effect.SAFE
-        if not self.below.ask(attempt.id, action.limit_ms, attempt.call_payload, once):
+        if not self.below.start_call(attempt.id, action.limit_ms, attempt.call_payload, once):
             self.counters.add("dropped.call")
             self.pending.append(at.CallFinished(attempt.id, Outcome.REJECTED))
 
     def _skip_call(self, attempt: Attempt, _: api.SkipCall) -> None:
         self.counters.add("skipped")
         attempt.call_skipped = True
-        if not self._workers(attempt).go_on(attempt.id, attempt.call_notice):
+        if not self._workers(attempt).continue_run(attempt.id, attempt.call_notice):
             self.counters.add("dropped.pass")
 
     def _keep(self, attempt: Attempt, action: api.Keep) -> None:
@@ -201,7 +203,7 @@
         self.counters.add("repeats")
         attempt.reuses_result = True
         if self.attempts.ranks is not None:
-            self.attempts.ranks.left(attempt.id)
+            self.attempts.ranks.on_withdrawal(attempt.id)
         if entry is None:
             self.pending.append(at.RunFinished(attempt.id, Outcome.ERROR))
         elif entry.outcome is not None:
--- a/flintshift/core/waiting_claims.py
+++ b/flintshift/core/waiting_claims.py
@@ -48,12 +48,12 @@
         """Have the others say whether this attempt, of whose key nothing is known here, may run."""
         if self.claims is None:
             return Asked.NOT_NEEDED
-        if self.claims.unsure(attempt):
+        if self.claims.in_doubt(attempt):
             return Asked.UNSURE
-        if not self.claims.needed:
+        if not self.claims.required:
             return Asked.NOT_NEEDED
         self.awaiting[attempt.id] = attempt
-        self.claims.ask(attempt)
+        self.claims.request_claim(attempt)
         return Asked.WAITING
 
     def agreed(self, request: str) -> Attempt | None:
@@ -66,7 +66,7 @@
         if self.awaiting.pop(attempt.id, None) is None:
             return attempt.id in self.keeping
         if self.claims is not None:
-            self.claims.departed(attempt.id)
+            self.claims.cancel_claim(attempt.id)
         return True
 
     # What becomes of a key here.
@@ -74,21 +74,21 @@
     def claimed(self, attempt: Attempt) -> None:
         """The table holds the entry of its key."""
         if self.claims is not None:
-            self.claims.kept(attempt)
+            self.claims.on_key_claimed(attempt)
 
     def freed(self, attempt: Attempt) -> None:
         """It never ran, and the table holds nothing of it."""
         if self.claims is not None:
-            self.claims.freed(attempt)
+            self.claims.on_key_freed(attempt)
 
     def ended(self, attempt: Attempt) -> None:
         """Its run has ended, and the table holds how."""
         if self.claims is not None:
-            self.claims.over(attempt)
+            self.claims.on_run_ended(attempt)
 
     def keeps(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
         """The others are to keep how it ended before it is answered: the report `Kept` will tell."""
-        if self.claims is None or not self.claims.keeps(attempt, outcome, result):
+        if self.claims is None or not self.claims.record_outcome(attempt, outcome, result):
             return False
         self.keeping[attempt.id] = attempt
         return True
--- a/flintshift/lab/model.py
+++ b/flintshift/lab/model.py
@@ -88,7 +88,7 @@
     def supply(self, request: str, no: int, reply: bytes) -> bool:
         return False  # there are no calls here
 
-    def go_on(self, request: str, no: int) -> bool:
+    def continue_run(self, request: str, no: int) -> bool:
         return False
 
     def _begin(self) -> None:
--- a/flintshift/lifecycle/agreeing.py
+++ b/flintshift/lifecycle/agreeing.py
@@ -15,38 +15,38 @@
 class Agreeing:
     """The decision planner's port (``core.ports.Claims``)."""
 
-    needed = True
+    required = True
 
     def __init__(self, upgrade: Upgrade, claims: CopiedClaims) -> None:
         self.upgrade, self.claims = upgrade, claims
         upgrade.keys_elsewhere = True
 
-    def unsure(self, attempt: Attempt) -> bool:
-        return self.claims.unsure(attempt)
+    def in_doubt(self, attempt: Attempt) -> bool:
+        return self.claims.in_doubt(attempt)
 
-    def ask(self, attempt: Attempt) -> None:
-        self.claims.ask(attempt)
+    def request_claim(self, attempt: Attempt) -> None:
+        self.claims.request_claim(attempt)
 
-    def departed(self, request: str) -> None:
-        self.claims.departed(request)
+    def cancel_claim(self, request: str) -> None:
+        self.claims.cancel_claim(request)
 
-    def kept(self, attempt: Attempt) -> None:
-        self.claims.kept(attempt)
+    def on_key_claimed(self, attempt: Attempt) -> None:
+        self.claims.on_key_claimed(attempt)
 
-    def keeps(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
-        return self.claims.keeps(attempt, outcome, result)
+    def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
+        return self.claims.record_outcome(attempt, outcome, result)
 
-    def over(self, attempt: Attempt) -> None:
-        self.claims.over(attempt)
+    def on_run_ended(self, attempt: Attempt) -> None:
+        self.claims.on_run_ended(attempt)
 
-    def freed(self, attempt: Attempt) -> None:
-        self.claims.freed(attempt)
+    def on_key_freed(self, attempt: Attempt) -> None:
+        self.claims.on_key_freed(attempt)
 
-    def heard(self, word: Any) -> None:
+    def on_message(self, word: Any) -> None:
         if isinstance(word, tuple):  # of the other process, with the link it came by
-            self.upgrade.heard(word)
+            self.upgrade.on_message(word)
         else:
-            self.claims.heard(word)
+            self.claims.on_message(word)
 
     def tick(self) -> None:
         self.upgrade.tick()
--- a/flintshift/lifecycle/books.py
+++ b/flintshift/lifecycle/books.py
@@ -83,7 +83,7 @@
         base = self.bases.get((attempt.tenant, attempt.class_name, front))
         return self.bases[None, attempt.class_name, front] if base is None else base
 
-    def hold(self, attempt: Attempt, front: str) -> None:
+    def track(self, attempt: Attempt, front: str) -> None:
         attempt.on_answer = partial(self._told, attempt, front, attempt.on_answer)
 
     def _told(self, attempt: Attempt, front: str, tell: Callable[[Answer], None], answer: Answer) -> None:
@@ -103,11 +103,11 @@
             self.steady_ms(attempt.deadline_at_ms),
         )
 
-    def delivered(self, attempt: Attempt, arrived: bool) -> None:
+    def record_delivery(self, attempt: Attempt, arrived: bool) -> None:
         if attempt.ticket is not None:
             self.ledger.mark(attempt.ticket, arrived)
 
-    def departed(self, attempt: Attempt, front: str) -> None:
+    def record_disconnect(self, attempt: Attempt, front: str) -> None:
         attempt.on_answer = nobody  # guards against a second claim, where it is answered all the same
         if attempt.ticket is not None:  # its answer was on its way
             self.ledger.mark(attempt.ticket, False)
@@ -123,7 +123,7 @@
             None,
         )
 
-    def ran_on(self, attempt: Attempt, took_ms: float) -> None:
+    def record_late_run(self, attempt: Attempt, took_ms: float) -> None:
         if attempt.ticket is not None and took_ms > 0:
             self.ledger.add_late(attempt.ticket, int(took_ms * 1000), 0)
 
--- a/flintshift/lifecycle/copied_claims.py
+++ b/flintshift/lifecycle/copied_claims.py
@@ -37,7 +37,7 @@
     """``core.ports.Claims``. ``wall_ms`` is the node's clock, ``now_ms`` the one of the proposals, ``tell`` hands an
     event to them in a turn of the planner."""
 
-    needed = True
+    required = True
 
     def __init__(
         self,
@@ -53,10 +53,10 @@
         self.tell, self.counters, self.log = tell, counters, log
         self.keys: dict[str, Key] = {}  # of tries that wait for the holders' word
 
-    def unsure(self, attempt: Attempt) -> bool:
+    def in_doubt(self, attempt: Attempt) -> bool:
         return False
 
-    def ask(self, attempt: Attempt) -> None:
+    def request_claim(self, attempt: Attempt) -> None:
         spare = attempt.deadline_at_ms - self.limits.claim_reserve_ms - self.wall_ms()
         key = key_of(attempt)
         self.keys[attempt.id] = key
@@ -85,15 +85,15 @@
         least = self.limits.key_margin_ms + self.limits.max_repeat_delay_ms
         return max(promised, default=least) + self.limits.clock_skew_ms
 
-    def departed(self, request: str) -> None:
+    def cancel_claim(self, request: str) -> None:
         key = self.keys.pop(request, None)
         if key is not None:
             self.tell(Gone(key, request))
 
-    def kept(self, attempt: Attempt) -> None:
+    def on_key_claimed(self, attempt: Attempt) -> None:
         """The table holds its entry; the holders have its claim."""
 
-    def keeps(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
+    def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
         due = attempt.deadline_at_ms - self.limits.claim_reserve_ms - self.wall_ms()
         self.tell(
             Finish(
@@ -108,16 +108,16 @@
         )
         return True
 
-    def over(self, attempt: Attempt) -> None:
+    def on_run_ended(self, attempt: Attempt) -> None:
         """Its end is kept by the holders already."""
 
-    def freed(self, attempt: Attempt) -> None:
+    def on_key_freed(self, attempt: Attempt) -> None:
         self.tell(Free(key_of(attempt), attempt.id))
 
     def tick(self) -> None:
         """The proposals have a clock of their own."""
 
-    def heard(self, word: Action) -> None:
+    def on_message(self, word: Action) -> None:
         """In a turn of the planner."""
         pending, keys = self.decisions.pending, self.decisions.keys
         match word:
--- a/flintshift/lifecycle/drain.py
+++ b/flintshift/lifecycle/drain.py
@@ -14,7 +14,7 @@
 from flintshift.core.attempts import Notice
 from flintshift.core.decisions import Decisions
 from flintshift.core.limits import Limits
-from flintshift.core.ports import Log, silent
+from flintshift.core.ports import Log, log_nothing
 from flintshift.interface import RequestClass
 from flintshift.wire.front import Front
 
@@ -46,7 +46,7 @@
         limits: Limits,
         now_ms: Callable[[], float],
         alone: Callable[[], bool] = lambda: True,
-        log: Log = silent,
+        log: Log = log_nothing,
     ) -> None:
         self.fronts, self.decisions, self.limits = fronts, decisions, limits
         self.now_ms, self.alone, self.log = now_ms, alone, log
--- a/flintshift/lifecycle/fair_door.py
+++ b/flintshift/lifecycle/fair_door.py
@@ -15,7 +15,7 @@
 from flintshift.core.attempts import Attempt
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
-from flintshift.core.ports import Log, silent
+from flintshift.core.ports import Log, log_nothing
 from flintshift.door.messages import (
     Arrived,
     Began,
@@ -43,7 +43,7 @@
 
 
 class FairDoor:
-    """The decision planner's port (``core.ports.Ranks``)."""
+    """The decision planner's port (``core.ports.FairRanking``)."""
 
     def __init__(self, settings: api.Settings, limits: Limits, counters: Counters, now_ms: Callable[[], float]) -> None:
         self.counters, self.now_ms, self.draw = counters, now_ms, random.random
@@ -57,7 +57,7 @@
         self.shares = Shares(weighed(settings), os.urandom(16), bounds)
         self.rank_ms = self.shares.rank_ms  # asked for all that is held at each choice: no call between
         self.surges = Surges(self.shares.weights, now_ms())
-        self.log: Log = silent
+        self.log: Log = log_nothing
 
     def shown(self) -> dict[str, Any]:
         """How the clubs stand, for operators."""
@@ -76,26 +76,26 @@
         self.shares.handle(self.now_ms(), weighed(settings))
         self._tell(self.surges.weigh(self.now_ms(), self.shares.weights))
 
-    def arrived(self, attempt: Attempt) -> None:
+    def on_arrival(self, attempt: Attempt) -> None:
         self.shares.handle(
             self.now_ms(),
             Arrived(attempt.id, attempt.tenant, attempt.caller, attempt.class_name, attempt.marked_repeat),
         )
         self.surges.asked(attempt.tenant, self.shares.cost_ms.get(attempt.class_name, FIRST_MS))
 
-    def began(self, request: str) -> None:
+    def on_start(self, request: str) -> None:
         self.shares.handle(self.now_ms(), Began(request))
 
-    def left(self, request: str) -> None:
+    def on_withdrawal(self, request: str) -> None:
         self.shares.handle(self.now_ms(), Left(request))
 
-    def come_back_ms(self, attempt: Attempt, least_ms: float, most_ms: float) -> float:
+    def retry_after_ms(self, attempt: Attempt, least_ms: float, most_ms: float) -> float:
         self.surges.turned_away(attempt.tenant)
         (told,) = self.shares.handle(self.now_ms(), TurnedAway(attempt.id, least_ms, most_ms, self.draw()))
         self.counters.add("door.promised" if told.promised else "door.not_promised")
         return told.wait_ms
 
-    def ended(self, request: str, took_ms: float) -> None:
+    def on_end(self, request: str, took_ms: float) -> None:
         self.shares.handle(self.now_ms(), Ended(request, took_ms))
 
     def tick(self) -> None:
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -15,7 +15,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.decisions import Decisions
 from flintshift.core.gauges import GaugePlanner
-from flintshift.core.ports import Log, silent
+from flintshift.core.ports import Log, log_nothing
 from flintshift.lifecycle import signals
 from flintshift.lifecycle.clock import Clock
 from flintshift.lifecycle.config import Config
@@ -66,7 +66,7 @@
         self.retry = retry or StartRetry()
         self.config, self.limits = config, config.limits
         self.now_ms, self.counters = Clock(), Counters()
-        self.log: Log = silent
+        self.log: Log = log_nothing
         self.leave = anyio.Event()
         self.bound = False  # its addresses listen
         self.failed: OSError | None = None  # why it ends before it served
@@ -240,7 +240,7 @@
             settings.cold_ms if settings.cold else 0.0,
             lambda: Seen(
                 self.bound,
-                self.decisions.posture.up,
+                self.decisions.posture.workers_up,
                 self.registration.taken > 0,
                 permits is None or permits.starter.went,
             ),
@@ -374,13 +374,13 @@
 
     def not_ready(self) -> str | None:
         posture = self.decisions.posture
-        if posture.leaving:
+        if posture.draining:
             return "the node leaves"
-        if self.upgrade is not None and posture.up and not self.upgrade.phases.takes_clients:
+        if self.upgrade is not None and posture.workers_up and not self.upgrade.phases.takes_clients:
             return "another process of this node takes the clients"
-        if posture.out:
+        if posture.out_of_service:
             return "the node is out of service"
-        return None if posture.up else "the worker pool is not linked yet"
+        return None if posture.workers_up else "the worker pool is not linked yet"
 
     def out_of_service(self) -> str | None:
         return self._serve_clients(False)
@@ -389,10 +389,10 @@
         return self._serve_clients(True)
 
     def _serve_clients(self, serving: bool) -> str | None:
-        if serving and self.decisions.posture.leaving:
+        if serving and self.decisions.posture.draining:
             return "the node leaves"
-        if self.decisions.posture.out is serving:
-            self.decisions.posture.out = not serving
+        if self.decisions.posture.out_of_service is serving:
+            self.decisions.posture.out_of_service = not serving
             self.log("info", "node.in_service" if serving else "node.out_of_service", open=self.drain.open())
         self.tell_lists()
         if self.upgrade is not None:
@@ -401,7 +401,7 @@
 
     def _moved(self) -> None:
         """The pool is up for the first time, or the notice to leave has come."""
-        if self.upgrade is not None and self.decisions.posture.up and not self.upgrade.phases.up:
+        if self.upgrade is not None and self.decisions.posture.workers_up and not self.upgrade.phases.up:
             self.upgrade.pool_is_up()
         self.tell_lists()
 
@@ -413,14 +413,14 @@
             return  # the other process tells
         if (
             self.permits is not None
-            and posture.up
-            and not posture.leaving
+            and posture.workers_up
+            and not posture.draining
             and self.alone()
             and not self.permits.may_go()
         ):
             return  # told again once it may
-        if posture.up or posture.leaving:
-            self.registration.say(not (posture.leaving or posture.out), last=posture.leaving)
+        if posture.workers_up or posture.draining:
+            self.registration.say(not (posture.draining or posture.out_of_service), last=posture.draining)
 
     def give_up(self, error: OSError) -> None:
         """End at once: this process has taken no client."""
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -172,7 +172,7 @@
             await anyio.sleep(self.limits.backoff_ms / 1000)
             return
         assert isinstance(stream, UNIXSocketStream)
-        if not self.phases.welcomes or self.decisions.posture.leaving:
+        if not self.phases.welcomes or self.decisions.posture.draining:
             await stream.aclose()
             return
         try:
@@ -207,7 +207,7 @@
 
     # The planner's port. All of it happens in a turn of the planner.
 
-    def heard(self, told: tuple[Link | None, Event]) -> None:
+    def on_message(self, told: tuple[Link | None, Event]) -> None:
         link, word = told
         if link is not None and link is not self.link:
             return  # of a meeting that is over
@@ -222,30 +222,30 @@
         return self.phases.phase is Phase.SHEDDING
 
     @property
-    def needed(self) -> bool:
+    def required(self) -> bool:
         return self.phases.agreeing
 
-    def unsure(self, attempt: Attempt) -> bool:
+    def in_doubt(self, attempt: Attempt) -> bool:
         return self.shared.unsure(self.now_ms(), attempt)
 
-    def ask(self, attempt: Attempt) -> None:
+    def request_claim(self, attempt: Attempt) -> None:
         self._do(self.shared.ask(self.now_ms(), attempt))
 
-    def departed(self, request: str) -> None:
+    def cancel_claim(self, request: str) -> None:
         self.shared.agreement.departed(request)
 
-    def kept(self, attempt: Attempt) -> None:
+    def on_key_claimed(self, attempt: Attempt) -> None:
         if self.phases.tells_entries:
             self._do(self.shared.told_entry(attempt))
 
-    def keeps(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
+    def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
         return False  # the other is told of the end as the caller is answered
 
-    def over(self, attempt: Attempt) -> None:
+    def on_run_ended(self, attempt: Attempt) -> None:
         if self.phases.tells_ends:
             self._do(self.shared.told_end(attempt))
 
-    def freed(self, attempt: Attempt) -> None:
+    def on_key_freed(self, attempt: Attempt) -> None:
         if self.phases.tells_ends:
             self._send(Freed(key_of(attempt), attempt.id))
 
@@ -311,7 +311,7 @@
             case LosePeer(partial):
                 self._lose(partial)
             case Serve(out):
-                self.node.decisions.posture.out = out
+                self.node.decisions.posture.out_of_service = out
                 self.node.tell_lists()
             case GiveUpStart(cause):
                 self.node.give_up(UpgradeError(cause))
--- a/flintshift/wire/control_front.py
+++ b/flintshift/wire/control_front.py
@@ -18,7 +18,7 @@
 
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
-from flintshift.core.ports import Log, silent
+from flintshift.core.ports import Log, log_nothing
 from flintshift.wire.caller_stream import caller_stream
 from flintshift.wire.fields import UnusableError, written
 from flintshift.wire.link import BROKEN
@@ -54,7 +54,7 @@
 class ControlFront:
     def __init__(self, node: Operated, limits: Limits, counters: Counters, now_ms: Callable[[], float]) -> None:
         self.limits, self.counters, self.now_ms = limits, counters, now_ms
-        self.log: Log = silent
+        self.log: Log = log_nothing
         self.calls: dict[Call, None] = {}  # the oldest first
         self.table: dict[str, tuple[str, Callable[[], str | None]]] = {
             "/control/ready": ("GET", node.not_ready),
--- a/flintshift/wire/fields.py
+++ b/flintshift/wire/fields.py
@@ -11,7 +11,7 @@
 from flintshift.core.attempts import Answer, Attempt, Verdict
 from flintshift.core.catalogue import Catalogue
 from flintshift.core.limits import Limits
-from flintshift.core.ports import Posture
+from flintshift.core.ports import ServingStatus
 from flintshift.interface import Effect
 
 HEX16 = re.compile(r"[0-9a-fA-F]{16}")
@@ -123,8 +123,8 @@
 STATUS = {Verdict.SERVED: 200, Verdict.FAILED: 500, Verdict.CONFLICT: 409}
 
 
-def status_of(answer: Answer, posture: Posture) -> int:
-    return STATUS.get(answer.verdict) or (503 if posture.leaving or not posture.up else 429)
+def status_of(answer: Answer, posture: ServingStatus) -> int:
+    return STATUS.get(answer.verdict) or (503 if posture.draining or not posture.workers_up else 429)
 
 
 LINES = {status.value: f"HTTP/1.1 {status.value} {status.phrase}" for status in HTTPStatus}
@@ -136,7 +136,7 @@
     return "\r\n".join(lines).encode("latin-1") + body
 
 
-def headers_of(answer: Answer | None, body: bytes, posture: Posture, close: bool) -> list[tuple[str, str]]:
+def headers_of(answer: Answer | None, body: bytes, posture: ServingStatus, close: bool) -> list[tuple[str, str]]:
     """The headers of an answer, or of what is said to a health check or to what can't be taken."""
     headers = [("Content-Length", str(len(body)))]
     if posture.free_value is not None:
--- a/flintshift/wire/front.py
+++ b/flintshift/wire/front.py
@@ -14,7 +14,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.decisions import Decisions
 from flintshift.core.limits import Limits
-from flintshift.core.ports import Books, Log, Posture
+from flintshift.core.ports import Log, ServingStatus, UsageRecorder
 from flintshift.wire import faults
 from flintshift.wire.acceptor import Acceptor
 from flintshift.wire.caller_stream import CallerStream
@@ -55,7 +55,7 @@
         self.counters, self.now_ms, self.most, self.verify = counters, now_ms, most, verify
         self.connections: set[Connection] = set()
         self.idle: tuple[dict[Connection, None], ...] = ({}, {})  # that never spoke, that did; idlest first
-        self.books: Books | None = None
+        self.books: UsageRecorder | None = None
         self.log: Log | None = None  # of requests; None: not at this level
         self.listener: Acceptor | None = None
         self.accepting = anyio.CancelScope()
@@ -69,7 +69,7 @@
         self.closing = False  # all that is open gets its answer and is closed
 
     @property
-    def posture(self) -> Posture:
+    def posture(self) -> ServingStatus:
         return self.decisions.posture
 
     @property
@@ -226,8 +226,8 @@
         if method not in ("GET", "HEAD"):
             raise UnusableError(405, "only GET is taken here")
         self.counters.add(f"{self.name}.checks")
-        good = self.posture.up and self.posture.good and not self.posture.out
-        if good and parse_qs(query).get("all") == ["1"] and not self.posture.from_store:
+        good = self.posture.workers_up and self.posture.healthy and not self.posture.out_of_service
+        if good and parse_qs(query).get("all") == ["1"] and not self.posture.health_is_cached:
             return await self.verify()
         return good
 
@@ -295,7 +295,7 @@
         connection.enter(ConnectionState.ANSWERING)
         connection.request = attempt.id
         if self.books is not None:
-            self.books.hold(attempt, self.name)
+            self.books.track(attempt, self.name)
         if connection.turned_away:
             self.decisions.turn_away(attempt)
         else:
@@ -309,7 +309,7 @@
                     data = await connection.stream.receive(self.limits.read_chunk_bytes)
                 except BROKEN:
                     if self.books is not None:
-                        self.books.departed(attempt, self.name)
+                        self.books.record_disconnect(attempt, self.name)
                     await self.decisions.report(CallerDisconnected(attempt))
                     return None
                 early += len(data)
@@ -324,7 +324,7 @@
             arrived = True
         finally:
             if self.books is not None:
-                self.books.delivered(attempt, arrived)
+                self.books.record_delivery(attempt, arrived)
             if self.log is not None:
                 self.log(
                     "debug",
@@ -343,7 +343,7 @@
         take no answer: they must not be held for ever."""
         while True:
             await anyio.sleep(self.limits.sweep_interval_ms / 1000)
-            idle_ms, now = self.posture.idle_ms, self.now_ms()
+            idle_ms, now = self.posture.idle_timeout_ms, self.now_ms()
             for connection in self.connections:
                 if idle_ms and not connection.busy and now - connection.since_ms >= idle_ms:
                     connection.stop_reading()
--- a/flintshift/wire/http_front.py
+++ b/flintshift/wire/http_front.py
@@ -68,7 +68,7 @@
                 if data is None:
                     if connection.busy:  # half read: nothing of it was run
                         connection.close_for(CloseReason.UNFINISHED)
-                        status = 503 if self.posture.leaving else 408
+                        status = 503 if self.posture.draining else 408
                         await self._say(connection, False, status, b"", STOPPING)
                     return None
                 conn.receive_data(data)
--- a/flintshift/wire/pool.py
+++ b/flintshift/wire/pool.py
@@ -69,7 +69,7 @@
     def supply(self, request: str, no: int, reply: bytes) -> bool:
         return self._offer(codec.supply(request, no, reply))
 
-    def go_on(self, request: str, no: int) -> bool:
+    def continue_run(self, request: str, no: int) -> bool:
         return self._offer(codec.go_on(request, no))
 
     def _offer(self, command: Command) -> bool:
--- a/flintshift/wire/uwsgi_apps.py
+++ b/flintshift/wire/uwsgi_apps.py
@@ -39,7 +39,7 @@
     def supply(self, request: str, no: int, reply: bytes) -> bool:
         return True  # app servers make no calls through the node
 
-    def go_on(self, request: str, no: int) -> bool:
+    def continue_run(self, request: str, no: int) -> bool:
         return True
 
     async def run(self) -> None:
--- a/flintshift/wire/uwsgi_front.py
+++ b/flintshift/wire/uwsgi_front.py
@@ -44,7 +44,7 @@
         except StoppedError:
             if connection.busy:  # half read: nothing of it was run
                 connection.close_for(CloseReason.UNFINISHED)
-                await self._say(connection, 503 if self.posture.leaving else 408, b"", STOPPING)
+                await self._say(connection, 503 if self.posture.draining else 408, b"", STOPPING)
             return
         method, path = variables.get("REQUEST_METHOD", ""), variables.get("PATH_INFO", "")
         if path == "/ping":
--- a/flintshift/wire/vault.py
+++ b/flintshift/wire/vault.py
@@ -78,10 +78,10 @@
         self.wary_until_ms = 0.0  # a connection that was used before broke lately
         self.idle: list[Line] = []  # the one used last at the end
 
-    def ask(self, request: str, limit_ms: float, payload: bytes, once: bool) -> bool:
+    def start_call(self, request: str, limit_ms: float, payload: bytes, once: bool) -> bool:
         return self.outbox.offer(Ask(request, self.now_ms(), limit_ms, payload, once))
 
-    def give_up(self, request: str) -> None:
+    def cancel_call(self, request: str) -> None:
         if not self.outbox.offer(request):  # its reply will find nobody
             self.counters.add("vault.unask_dropped")
 
--- a/tests/core/test_waiting_claims.py
+++ b/tests/core/test_waiting_claims.py
@@ -16,31 +16,31 @@
 class Claims:
     """The others, whose word comes when the test says so."""
 
-    needed = True
+    required = True
 
     def __init__(self):
         self.asked, self.left, self.kept_ends = [], [], []
 
-    def unsure(self, attempt):
+    def in_doubt(self, attempt):
         return False
 
-    def ask(self, attempt):
+    def request_claim(self, attempt):
         self.asked.append(attempt.id)
 
-    def departed(self, request):
+    def cancel_claim(self, request):
         self.left.append(request)
 
-    def kept(self, attempt):
+    def on_key_claimed(self, attempt):
         pass
 
-    def keeps(self, attempt, outcome, result):
+    def record_outcome(self, attempt, outcome, result):
         self.kept_ends.append(attempt.id)
         return True
 
-    def over(self, attempt):
+    def on_run_ended(self, attempt):
         pass
 
-    def freed(self, attempt):
+    def on_key_freed(self, attempt):
         pass
 
 
@@ -83,16 +83,16 @@
     def rank_ms(self, request):
         return 0.0
 
-    def arrived(self, attempt):
+    def on_arrival(self, attempt):
         self.told.append("arrived")
 
-    def began(self, request):
+    def on_start(self, request):
         self.told.append("began")
 
-    def ended(self, request, took_ms):
+    def on_end(self, request, took_ms):
         self.told.append("ended")
 
-    def left(self, request):
+    def on_withdrawal(self, request):
         self.told.append("left")
 
 
--- a/tests/planning.py
+++ b/tests/planning.py
@@ -27,13 +27,13 @@
     def supply(self, request, no, reply):
         return self.take("supply", request, no, reply)
 
-    def go_on(self, request, no):
+    def continue_run(self, request, no):
         return self.take("pass", request, no)
 
-    def ask(self, request, limit_ms, payload, once):
+    def start_call(self, request, limit_ms, payload, once):
         return self.take("ask", request)
 
-    def give_up(self, request):
+    def cancel_call(self, request):
         self.take("unask", request)
 
 
--- a/tests/wire/fronted.py
+++ b/tests/wire/fronted.py
@@ -14,7 +14,7 @@
 from flintshift.core.catalogue import Catalogue
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
-from flintshift.core.ports import Posture
+from flintshift.core.ports import ServingStatus
 from flintshift.settings.platform import flat, settings_from
 from flintshift.wire.acceptor import Acceptor, listening
 from flintshift.wire.fields import Fields
@@ -31,7 +31,7 @@
 class Decided:
     """In the place of the decisions: what was handed over, answered when the test says so."""
 
-    posture: Posture = field(default_factory=lambda: Posture(up=True))
+    posture: ServingStatus = field(default_factory=lambda: ServingStatus(workers_up=True))
     taken: list[Attempt] = field(default_factory=list)
     turned_away: list[Attempt] = field(default_factory=list)
     departed: list[str] = field(default_factory=list)
--- a/tests/wire/test_connections.py
+++ b/tests/wire/test_connections.py
@@ -12,7 +12,7 @@
 
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
-from flintshift.core.ports import Posture
+from flintshift.core.ports import ServingStatus
 from flintshift.wire.acceptor import Acceptor, listening
 from flintshift.wire.front import Front
 from flintshift.wire.http_front import HttpFront
@@ -31,7 +31,7 @@
         self.limits, self.counters = Limits(**limits), Counters()
         self.front = {"http": HttpFront, "uwsgi": UwsgiFront}[name](
             None,
-            SimpleNamespace(posture=Posture(up=True)),
+            SimpleNamespace(posture=ServingStatus(workers_up=True)),
             self.limits,
             self.counters,
             lambda: time.time() * 1000,
--- a/tests/wire/test_unforeseen_errors.py
+++ b/tests/wire/test_unforeseen_errors.py
@@ -80,7 +80,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
         for request in ("a", "b"):
-            link.ask(request, 100.0, b"", True)
+            link.start_call(request, 100.0, b"", True)
         await until(lambda: len(told.reports) == 2)
         tasks.cancel_scope.cancel()
     assert all(isinstance(report, CallFinished) and report.outcome is Outcome.INTERRUPTED for report in told.reports)
--- a/tests/wire/test_vault.py
+++ b/tests/wire/test_vault.py
@@ -44,14 +44,14 @@
     link = VaultLink(("127.0.0.1", vault.port), limits, counters, told.add, lambda: time.time() * 1000)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
-        assert link.ask("a1", 50.0 if reply == b"" else 5000.0, b"body", False)
+        assert link.start_call("a1", 50.0 if reply == b"" else 5000.0, b"body", False)
         assert (await told.until(lambda over: over.request == "a1"))[0].outcome is outcome
         vault.reply = b"%b yes 4\r\nmore\r\n"
-        assert link.ask("b2", 5000.0, b"", False)
+        assert link.start_call("b2", 5000.0, b"", False)
         over = (await told.until(lambda over: over.request == "b2"))[0]
         assert (over.outcome, over.reply) == (Outcome.OK, b"more")
         # A second copy of a request's first reply must not be taken for the reply to its second call.
-        assert link.ask("b2", 5000.0, b"", False)
+        assert link.start_call("b2", 5000.0, b"", False)
         await told.until(lambda over: over.request == "b2", 2)
         assert counters["vault.links"] == links + 1
         tasks.cancel_scope.cancel()
@@ -68,7 +68,7 @@
         tasks.start_soon(link.run)
         for count, (request, once) in enumerate([("a1", False), ("b2", False), ("c3", True)], 1):
             vault.forgets = set(vault.links)  # all that is open is reset at its next call
-            assert link.ask(request, 5000.0, b"", once)
+            assert link.start_call(request, 5000.0, b"", once)
             await told.until(lambda over, request=request: over.request == request)
             assert counters["vault.links"] == count
         tasks.cancel_scope.cancel()
@@ -85,12 +85,12 @@
     )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
-        assert link.ask("a1", 5000.0, b"", False)
+        assert link.start_call("a1", 5000.0, b"", False)
         await vault.ended.until(lambda _: True)  # idle
         vault.reply = b""
-        assert link.ask("b2", 5000.0, b"", False)
+        assert link.start_call("b2", 5000.0, b"", False)
         await vault.log.until(lambda entry: entry[1] == "b2")
-        link.give_up("b2")
+        link.cancel_call("b2")
         await vault.ended.until(lambda _: True, 2)
         tasks.cancel_scope.cancel()
     await vault.stop()
