--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -20,7 +20,7 @@
 from flintshift.core.attempts import Answer, Attempt, Verdict
 from flintshift.core.catalogue import Catalogue
 from flintshift.core.counters import Counters
-from flintshift.core.keys import Entry, KeyTable, fingerprint
+from flintshift.core.keys import KeyEntry, KeyTable, fingerprint
 from flintshift.core.limit_share import FULL_SHARE, LimitShare, scale_settings, usage_share
 from flintshift.core.limits import Limits
 from flintshift.core.mailbox import Mailbox
@@ -241,7 +241,7 @@
         event = self._taken(attempt, granted)
         if event is not None:
             self._decide(event)
-        if granted and self.keys.owned(attempt) is None:
+        if granted and self.keys.owned_entry(attempt) is None:
             self.waiting.freed(attempt)  # it was turned away
 
     def _taken(self, attempt: Attempt, agreed: bool) -> api.Event | None:
@@ -262,22 +262,22 @@
         self.attempts.add(attempt)
         return self._arrived(attempt, entry)
 
-    def _unfit(self, attempt: Attempt, entry: Entry | None) -> Answer | None:
+    def _unfit(self, attempt: Attempt, entry: KeyEntry | None) -> Answer | None:
         """The answer to an attempt that can't be taken, whatever the load; ``entry`` is that of its key."""
         # An id is new with every try: answers could not be told apart. And the key of a request must never
         # get its result to another one.
         known = attempt.id in self.attempts or attempt.id in self.waiting
-        if known or (entry is not None and entry.print != fingerprint(attempt)):
+        if known or (entry is not None and entry.digest != fingerprint(attempt)):
             return Answer(Verdict.CONFLICT)
         if attempt.request_class is None:  # dropped for good while it waited here
             self.counters.add("refused.class_dropped")
             return self.attempts.refusal()
-        if entry is None and attempt.request_key is not None and self.keys.full():
+        if entry is None and attempt.request_key is not None and self.keys.is_full():
             self.counters.add("refused.keys_full")
             return Answer(Verdict.FAILED) if self._may_have_run(attempt) else self.attempts.refusal()
         return None
 
-    def _arrived(self, attempt: Attempt, entry: Entry | None) -> api.Event:
+    def _arrived(self, attempt: Attempt, entry: KeyEntry | None) -> api.Event:
         now = self.now_ms()
         return api.Arrived(
             attempt.id,
--- a/flintshift/core/keys.py
+++ b/flintshift/core/keys.py
@@ -21,14 +21,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class KeyEntry:
     owner: str  # the attempt that is held or has run
     live_until_ms: float  # repeats that came to the machine before belong to it
-    print: bytes  # of its tenant and body, which all tries of one request share
+    digest: bytes  # of its tenant and body, which all tries of one request share
     outcome: Outcome | None = None  # of its run, once over
     result: bytes = b""
     followers: list[str] = field(default_factory=list)  # attempts that wait for that run
-    other: bool = False  # the owner is an attempt of another process
+    foreign: bool = False  # the owner is an attempt of another process
 
     @property
     def stage(self) -> Stage:
@@ -37,11 +37,11 @@
     @property
     def runs_here(self) -> bool:
         """Nobody else may say how it ends."""
-        return self.stage is Stage.CLAIMED and not self.other
+        return self.stage is Stage.CLAIMED and not self.foreign
 
     @property
-    def runs_elsewhere(self) -> bool:
-        return self.stage is Stage.CLAIMED and self.other
+    def runs_in_other_process(self) -> bool:
+        return self.stage is Stage.CLAIMED and self.foreign
 
 
 def fingerprint(attempt: Attempt) -> bytes:
@@ -51,11 +51,11 @@
 class KeyTable:
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
-        self.entries: dict[tuple[str, str], Entry] = {}  # by class and key: keys are scoped by class
+        self.entries: dict[tuple[str, str], KeyEntry] = {}  # by class and key: keys are scoped by class
         # Bytes of results: the largest for each whose run is not over, so that what has started finds room.
-        self.booked = 0
+        self.reserved_bytes = 0
 
-    def find(self, attempt: Attempt) -> Entry | None:
+    def find(self, attempt: Attempt) -> KeyEntry | None:
         """The entry that this attempt repeats, by when it came to the machine and not by when it was read. A try that
         is still open here is repeated however long ago it came: a window may be shorter than a deadline."""
         entry = self.entries.get((attempt.class_name, attempt.request_key or ""))
@@ -63,12 +63,12 @@
             return None
         return entry
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """No further keyed work may start: a live key is never forgotten to make room."""
         most = self.limits.max_key_result_bytes - self.limits.max_result_bytes
-        return len(self.entries) >= self.limits.max_keys or self.booked > most
+        return len(self.entries) >= self.limits.max_keys or self.reserved_bytes > most
 
-    def keep(self, attempt: Attempt, until_ms: float) -> None:
+    def claim(self, attempt: Attempt, until_ms: float) -> None:
         key = (attempt.class_name, attempt.request_key or "")
         entry = self.entries.get(key)
         until_ms = max(until_ms, attempt.arrival_ms) + self.limits.key_margin_ms
@@ -77,22 +77,22 @@
             return
         if entry is not None:
             self._drop(key)
-        self.entries[key] = Entry(attempt.id, until_ms, fingerprint(attempt))
-        self.booked += self.limits.max_result_bytes
+        self.entries[key] = KeyEntry(attempt.id, until_ms, fingerprint(attempt))
+        self.reserved_bytes += self.limits.max_result_bytes
 
-    def owned(self, attempt: Attempt) -> Entry | None:
+    def owned_entry(self, attempt: Attempt) -> KeyEntry | None:
         entry = self.entries.get((attempt.class_name, attempt.request_key or ""))
         return entry if entry is not None and entry.owner == attempt.id else None
 
-    def end(self, entry: Entry, outcome: Outcome, result: bytes) -> list[str]:
+    def record_outcome(self, entry: KeyEntry, outcome: Outcome, result: bytes) -> list[str]:
         """The owner's run is over: keep how, and return the attempts that waited for it."""
         if entry.stage is Stage.CLAIMED:
-            self.booked += len(result) - self.limits.max_result_bytes
+            self.reserved_bytes += len(result) - self.limits.max_result_bytes
             entry.outcome, entry.result = outcome, result
         waiting, entry.followers = entry.followers, []
         return waiting
 
-    def forget(self, attempt: Attempt) -> list[str]:
+    def release(self, attempt: Attempt) -> list[str]:
         """The owner never ran: drop its entry and return the attempts that waited for it."""
         entry = self.owned(attempt)
         if entry is None:
@@ -102,7 +102,7 @@
 
     # What other processes tell: the node's other one in an upgrade, and holders of copies.
 
-    def adopt(self, key: tuple[str, str], entry: Entry, now_ms: float) -> list[str]:
+    def adopt(self, key: tuple[str, str], entry: KeyEntry, now_ms: float) -> list[str]:
         """Hold what another process holds; returns attempts that waited under an entry that this replaces. What runs
         here, and is not past ``now_ms``, stays: what another tells of it is older."""
         before = self.entries.get(key)
@@ -113,36 +113,36 @@
             if before.owner == entry.owner:
                 entry.followers, before.followers = before.followers, []
         self.entries[key] = entry
-        self.booked += self._room(entry)
+        self.reserved_bytes += self._room(entry)
         return before.followers if before is not None else []
 
-    def others(self, key: tuple[str, str], owner: str) -> Entry | None:
+    def foreign_entry(self, key: tuple[str, str], owner: str) -> KeyEntry | None:
         entry = self.entries.get(key)
-        return entry if entry is not None and entry.other and entry.owner == owner else None
+        return entry if entry is not None and entry.foreign and entry.owner == owner else None
 
-    def free(self, key: tuple[str, str], owner: str) -> list[str]:
+    def release_foreign(self, key: tuple[str, str], owner: str) -> list[str]:
         """The other's attempt never ran: drop its entry and return the attempts that waited for it."""
-        entry = self.others(key, owner)
+        entry = self.foreign_entry(key, owner)
         if entry is None:
             return []
         self._drop(key)
         return entry.followers
 
-    def lose(self) -> list[str]:
+    def fail_foreign_runs(self) -> list[str]:
         """The other process has ended. How its runs ended that were not over is known by nobody: they have failed,
         and are never run again. Returns the attempts that waited for them."""
         waiting: list[str] = []
         for entry in self.entries.values():
-            if entry.runs_elsewhere:
-                waiting += self.end(entry, Outcome.ERROR, b"")
-            entry.other = False
+            if entry.runs_in_other_process:
+                waiting += self.record_outcome(entry, Outcome.ERROR, b"")
+            entry.foreign = False
         return waiting
 
     def _drop(self, key: tuple[str, str]) -> None:
         entry = self.entries.pop(key)
-        self.booked -= self._room(entry)
+        self.reserved_bytes -= self._room(entry)
 
-    def _room(self, entry: Entry) -> int:
+    def _room(self, entry: KeyEntry) -> int:
         """Bytes booked for its result."""
         return self.limits.max_result_bytes if entry.stage is Stage.CLAIMED else len(entry.result)
 
@@ -152,6 +152,6 @@
         for key in [
             key
             for key, entry in self.entries.items()
-            if entry.live_until_ms < past and entry.owner not in live and not entry.runs_elsewhere
+            if entry.live_until_ms < past and entry.owner not in live and not entry.runs_in_other_process
         ]:
             self._drop(key)
--- a/flintshift/core/runs.py
+++ b/flintshift/core/runs.py
@@ -13,7 +13,7 @@
 from flintshift.core import attempts as at
 from flintshift.core.attempts import NEVER_RAN, Answer, Attempt, Verdict
 from flintshift.core.counters import Counters
-from flintshift.core.keys import Entry, KeyTable
+from flintshift.core.keys import KeyEntry, KeyTable
 from flintshift.core.open_attempts import OpenAttempts
 from flintshift.core.ports import ServingStatus, UsageRecorder, VaultCalls, Workers
 from flintshift.core.waiting_claims import WaitingClaims
@@ -108,7 +108,7 @@
         if attempt.call_pending:
             attempt.call_pending = False
             self.below.cancel_call(attempt.id)
-        entry = self.keys.owned(attempt)
+        entry = self.keys.owned_entry(attempt)
         if report.outcome in NEVER_RAN:
             attempt.ran = False
             self._free(attempt)
@@ -132,13 +132,13 @@
             self.counters.add("claims.end_unkept")
             self.attempts.settle(attempt, Answer(Verdict.FAILED))
             return
-        entry = self.keys.owned(attempt)
+        entry = self.keys.owned_entry(attempt)
         if entry is not None:
             self._ended(entry, outcome, result)
         self.attempts.settle_end(attempt, outcome, result)
 
-    def _ended(self, entry: Entry, outcome: Outcome, result: bytes) -> None:
-        for follower in self.keys.end(entry, outcome, result):
+    def _ended(self, entry: KeyEntry, outcome: Outcome, result: bytes) -> None:
+        for follower in self.keys.record_outcome(entry, outcome, result):
             self.pending.append(at.RunFinished(follower, outcome, 0.0, result))
 
     # Actions.
@@ -188,7 +188,7 @@
     def _keep(self, attempt: Attempt, action: api.Keep) -> None:
         if attempt.request_key is None:  # reads are kept only where answers may be shared
             return
-        self.keys.keep(attempt, self.now_ms() + action.for_ms)
+        self.keys.claim(attempt, self.now_ms() + action.for_ms)
         self.waiting.claimed(attempt)
 
     def _forget(self, attempt: Attempt, _: api.Forget) -> None:
@@ -213,7 +213,7 @@
 
     def _free(self, attempt: Attempt) -> None:
         """It never ran, so its key is free; those that waited for it never ran either."""
-        if not attempt.ran and self.keys.owned(attempt) is not None:
-            for follower in self.keys.forget(attempt):
+        if not attempt.ran and self.keys.owned_entry(attempt) is not None:
+            for follower in self.keys.release(attempt):
                 self.pending.append(at.RunFinished(follower, Outcome.REJECTED))
             self.waiting.freed(attempt)
--- a/flintshift/handover/shared_keys.py
+++ b/flintshift/handover/shared_keys.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from flintshift.core.attempts import Attempt
-from flintshift.core.keys import Entry, KeyTable, fingerprint
+from flintshift.core.keys import KeyEntry, KeyTable, fingerprint
 from flintshift.core.limits import Limits
 from flintshift.handover.claims import Adopt, Agreement, GiveUp, GoOn, Say
 from flintshift.handover.messages import Answered, Claimed, Freed, Key, Known, Over, Word
@@ -64,11 +64,11 @@
 
     def told_entry(self, attempt: Attempt) -> list[Step]:
         """This process began a run that it needed not claim."""
-        entry = self.keys.owned(attempt)
+        entry = self.keys.owned_entry(attempt)
         return [] if entry is None else [Say(known(key_of(attempt), entry))]
 
     def told_end(self, attempt: Attempt) -> list[Step]:
-        entry = self.keys.owned(attempt)
+        entry = self.keys.owned_entry(attempt)
         if entry is None or entry.outcome is None:
             return []
         return [Say(Over(key_of(attempt), attempt.id, entry.live_until_ms, entry.outcome, entry.result))]
@@ -80,7 +80,7 @@
         """All that this process holds, in pieces; what changes meanwhile is told beside it."""
         for key in list(self.keys.entries):
             entry = self.keys.entries.get(key)
-            if entry is not None and not entry.other:
+            if entry is not None and not entry.foreign:
                 yield known(key, entry)
 
     # What the other says.
@@ -89,20 +89,20 @@
         match word:
             case Claimed(key):
                 entry = self.keys.entries.get(key)
-                held = entry is not None and not entry.other and word.door_ms <= entry.live_until_ms
+                held = entry is not None and not entry.foreign and word.door_ms <= entry.live_until_ms
                 return self._done(self.agreement.claimed(word, senior, known(key, entry) if held and entry else None))
             case Answered():
                 return self._done(self.agreement.answered(word))
             case Known():
                 return self._adopt(now_ms, word)
             case Over(key, owner, live_until_ms, outcome, result):
-                entry = self.keys.others(key, owner)
+                entry = self.keys.foreign_entry(key, owner)
                 if entry is None:
                     return []
                 entry.live_until_ms = max(entry.live_until_ms, live_until_ms)
-                return [End(follower, outcome, result) for follower in self.keys.end(entry, outcome, result)]
+                return [End(follower, outcome, result) for follower in self.keys.record_outcome(entry, outcome, result)]
             case Freed(key, owner):
-                return [End(follower, Outcome.REJECTED) for follower in self.keys.free(key, owner)]
+                return [End(follower, Outcome.REJECTED) for follower in self.keys.release_foreign(key, owner)]
         return []
 
     def alone(self, now_ms: float, partial: bool, window_ms: float, marked: bool) -> list[Step]:
@@ -110,7 +110,7 @@
         if partial:
             self.unsure_until_ms = now_ms + window_ms + self.limits.max_repeat_delay_ms
             self.lost_ms, self.marked = now_ms, marked
-        lost: list[Step] = [End(follower, Outcome.ERROR) for follower in self.keys.lose()]
+        lost: list[Step] = [End(follower, Outcome.ERROR) for follower in self.keys.fail_foreign_runs()]
         return lost + self._done(self.agreement.alone())
 
     def _done(self, steps: list[Say | GoOn | GiveUp | Adopt]) -> list[Step]:
@@ -121,7 +121,7 @@
         return done
 
     def _adopt(self, now_ms: float, word: Known) -> list[Step]:
-        entry = Entry(word.owner, word.live_until_ms, word.print, word.outcome, word.result, other=True)
+        entry = KeyEntry(word.owner, word.live_until_ms, word.print, word.outcome, word.result, foreign=True)
         return [End(follower, Outcome.ERROR) for follower in self.keys.adopt(word.key, entry, now_ms)]
 
 
@@ -129,5 +129,5 @@
     return attempt.class_name, attempt.request_key or ""
 
 
-def known(key: Key, entry: Entry) -> Known:
-    return Known(key, entry.owner, entry.live_until_ms, entry.print, entry.outcome, entry.result)
+def known(key: Key, entry: KeyEntry) -> Known:
+    return Known(key, entry.owner, entry.live_until_ms, entry.digest, entry.outcome, entry.result)
--- a/flintshift/lifecycle/copied_claims.py
+++ b/flintshift/lifecycle/copied_claims.py
@@ -26,7 +26,7 @@
 from flintshift.core.attempts import Attempt
 from flintshift.core.counters import Counters
 from flintshift.core.decisions import Decisions
-from flintshift.core.keys import Entry as Held
+from flintshift.core.keys import KeyEntry as Held
 from flintshift.core.keys import Stage, fingerprint
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log
@@ -126,7 +126,7 @@
                 pending.append(at.ClaimAnswered(owner, True))
             case Known(waiting, key, value):
                 until = self.wall_ms() + self.limits.clock_skew_ms + self.limits.claim_timeout_ms
-                held = Held(value.owner, until, value.print, value.outcome, value.result, other=True)
+                held = Held(value.owner, until, value.print, value.outcome, value.result, foreign=True)
                 pending.extend(at.RunFinished(follower, Outcome.ERROR) for follower in keys.adopt(key, held, -math.inf))
                 for owner in waiting:
                     self.keys.pop(owner, None)
@@ -153,16 +153,18 @@
             case Overdue(owner):
                 pending.append(at.OutcomeRecorded(owner, None))
             case Told(key, value):
-                other = keys.others(key, value.owner)
+                other = keys.foreign_entry(key, value.owner)
                 if other is None:
                     return
                 if value.stage is Stage.FREE:
-                    pending.extend(at.RunFinished(one, Outcome.REJECTED) for one in keys.free(key, value.owner))
+                    pending.extend(
+                        at.RunFinished(one, Outcome.REJECTED) for one in keys.release_foreign(key, value.owner)
+                    )
                 else:
                     outcome = value.outcome or Outcome.ERROR
                     pending.extend(
                         at.RunFinished(one, outcome, 0.0, value.result)
-                        for one in keys.end(other, outcome, value.result)
+                        for one in keys.record_outcome(other, outcome, value.result)
                     )
 
 
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -157,14 +157,14 @@
     keys = KeyTable(limits)
     attempts = [Attempt(str(turn), "pay", 0.0, 1.0, 1, b"", request_key=str(turn)) for turn in range(3)]
     for attempt in attempts[:2]:
-        assert not keys.full()
-        keys.keep(attempt, 10.0)
-    assert keys.full()
-    keys.end(keys.entries["pay", "0"], Outcome.OK, b"x")
-    assert not keys.full() and keys.booked == 101
+        assert not keys.is_full()
+        keys.claim(attempt, 10.0)
+    assert keys.is_full()
+    keys.record_outcome(keys.entries["pay", "0"], Outcome.OK, b"x")
+    assert not keys.is_full() and keys.reserved_bytes == 101
     keys.purge(1e9, iter(["1"]))  # an open owner keeps its entry
-    assert list(keys.entries) == [("pay", "1")] and keys.booked == 100
-    assert keys.forget(attempts[1]) == [] and keys.booked == 0
+    assert list(keys.entries) == [("pay", "1")] and keys.reserved_bytes == 100
+    assert keys.release(attempts[1]) == [] and keys.reserved_bytes == 0
 
 
 def test_a_run_never_heard_of_again_gives_its_place_back():
--- a/tests/handover/test_model.py
+++ b/tests/handover/test_model.py
@@ -56,7 +56,7 @@
             if agreed:
                 self.do([Say(say.Freed(key_of(attempt), attempt.id))])
             return
-        self.keys.keep(attempt, self.now + 1e6)
+        self.keys.claim(attempt, self.now + 1e6)
         if self.phases.tells_entries:
             self.do(self.shared.told_entry(attempt))
         self.ran.append(attempt.id)
@@ -67,8 +67,8 @@
     def finish(self, request):
         self.running.discard(request)
         attempt = self.attempts[request]
-        entry = self.keys.owned(attempt)
-        for follower in self.keys.end(entry, Outcome.OK, b"r"):
+        entry = self.keys.owned_entry(attempt)
+        for follower in self.keys.record_outcome(entry, Outcome.OK, b"r"):
             self.end(follower, Outcome.OK)
         if self.phases.tells_ends:
             self.do(self.shared.told_end(attempt))
@@ -172,7 +172,7 @@
         sides = []
         for side in self.sides:
             entries = sorted(
-                (key, entry.owner, entry.outcome, entry.other, tuple(entry.followers))
+                (key, entry.owner, entry.outcome, entry.foreign, tuple(entry.followers))
                 for key, entry in side.keys.entries.items()
             )
             pending = [(key, mine.owner, tuple(mine.waiting)) for key, mine in side.shared.agreement.pending.items()]
