--- a/flintshift/core/catalogue.py
+++ b/flintshift/core/catalogue.py
@@ -14,32 +14,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dropped:
-    kind: RequestClass
-    at_ms: float
+class DroppedClass:
+    request_class: RequestClass
+    dropped_at_ms: float
     known_until_ms: float
 
 
 class Catalogue:
     def __init__(self, settings: Settings, limits: Limits) -> None:
         self.settings, self.limits = settings, limits
-        self.kinds = {kind.name: kind for kind in settings.classes}
+        self.classes = {kind.name: kind for kind in settings.classes}
         self.clubs = {tenant.name for tenant in settings.tenants}
-        self.dropped: dict[str, Dropped] = {}
+        self.dropped_classes: dict[str, DroppedClass] = {}
         self.dropped_clubs: dict[str, float] = {}  # until when they are known
 
-    def find(self, class_name: str) -> RequestClass | None:
+    def find_class(self, class_name: str) -> RequestClass | None:
         """The class, also one dropped whose repeats may still come."""
-        kind = self.kinds.get(class_name)
-        if kind is None and class_name in self.dropped:
-            return self.dropped[class_name].kind
+        kind = self.classes.get(class_name)
+        if kind is None and class_name in self.dropped_classes:
+            return self.dropped_classes[class_name].request_class
         return kind
 
-    def takes(self, class_name: str, now_ms: float) -> bool:
+    def accepts(self, class_name: str, now_ms: float) -> bool:
         """New work of this class is taken."""
-        late = self.dropped.get(class_name)
-        return class_name in self.kinds or (
-            late is not None and now_ms < late.at_ms + self.limits.dropped_class_grace_ms
+        dropped_class = self.dropped_classes.get(class_name)
+        return class_name in self.classes or (
+            dropped_class is not None and now_ms < dropped_class.dropped_at_ms + self.limits.dropped_class_grace_ms
         )
 
     def knows_club(self, club: str | None) -> bool:
@@ -48,7 +48,7 @@
     def change(self, settings: Settings, now_ms: float) -> str | None:
         """Take new settings as a whole; else why not. What says how the process began stays as it was."""
         dropped = self._known(now_ms) | {
-            name: Dropped(
+            name: DroppedClass(
                 kind,
                 now_ms,
                 now_ms
@@ -56,7 +56,7 @@
                 + self.limits.max_repeat_delay_ms
                 + max(kind.repeat_window_ms, kind.deadline_ms + self.limits.lost_run_timeout_ms),
             )
-            for name, kind in self.kinds.items()
+            for name, kind in self.classes.items()
         }
         for kind in settings.classes:
             dropped.pop(kind.name, None)
@@ -69,20 +69,30 @@
         self.settings = replace(
             settings, cold=self.settings.cold, cold_from=self.settings.cold_from, cold_ms=self.settings.cold_ms
         )
-        self.kinds, self.clubs, self.dropped = {kind.name: kind for kind in settings.classes}, clubs, dropped
+        self.classes, self.clubs, self.dropped_classes = {kind.name: kind for kind in settings.classes}, clubs, dropped
         return None
 
     def purge(self, now_ms: float) -> bool:
         """Forget what was dropped long enough ago; True when something was."""
-        before = len(self.dropped)
-        self.dropped = self._known(now_ms)
+        before = len(self.dropped_classes)
+        self.dropped_classes = self._known(now_ms)
         self.dropped_clubs = {club: until for club, until in self.dropped_clubs.items() if until > now_ms}
-        return len(self.dropped) < before
+        return len(self.dropped_classes) < before
 
-    def _known(self, now_ms: float) -> dict[str, Dropped]:
-        return {name: late for name, late in self.dropped.items() if late.known_until_ms > now_ms}
+    def _known(self, now_ms: float) -> dict[str, DroppedClass]:
+        return {
+            name: dropped_class
+            for name, dropped_class in self.dropped_classes.items()
+            if dropped_class.known_until_ms > now_ms
+        }
 
     @property
-    def decided(self) -> Settings:
+    def effective_settings(self) -> Settings:
         """What the decisions are made by: the settings, with the classes that may still be open or come."""
-        return replace(self.settings, classes=[*self.settings.classes, *(late.kind for late in self.dropped.values())])
+        return replace(
+            self.settings,
+            classes=[
+                *self.settings.classes,
+                *(dropped_class.request_class for dropped_class in self.dropped_classes.values()),
+            ],
+        )
--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -85,7 +85,7 @@
             self.counters.add("refused.not_bookable")
             self.attempts.settle(attempt, self.attempts.refusal())
             return
-        if not repeat and not self.catalogue.takes(attempt.class_name, self.now_ms()):
+        if not repeat and not self.catalogue.accepts(attempt.class_name, self.now_ms()):
             self.counters.add("refused.class_dropped")
             self.attempts.settle(attempt, self.attempts.refusal())
             return
@@ -118,10 +118,10 @@
 
     def used(self) -> LimitShare:
         """The share of the node's limits that this process uses now."""
-        return usage_share(self.catalogue.decided, *self.controller.used())
+        return usage_share(self.catalogue.effective_settings, *self.controller.used())
 
     def _settings(self) -> api.Settings:
-        settings = scale_settings(self.catalogue.decided, self.share)
+        settings = scale_settings(self.catalogue.effective_settings, self.share)
         # The grace counts from when the notice was given, not from when it was heard.
         return replace(settings, drain_grace_ms=max(0.0, settings.drain_grace_ms - self.limits.max_notice_delay_ms))
 
@@ -246,7 +246,7 @@
 
     def _taken(self, attempt: Attempt, agreed: bool) -> api.Event | None:
         """Hand an attempt to the controller, unless it is settled without it. ``agreed``: the others were asked."""
-        attempt.request_class = self.catalogue.find(attempt.class_name)
+        attempt.request_class = self.catalogue.find_class(attempt.class_name)
         entry = self.keys.find(attempt) if attempt.request_key is not None else None
         answer = self._unfit(attempt, entry)
         if answer is not None:
--- a/flintshift/lifecycle/copied_claims.py
+++ b/flintshift/lifecycle/copied_claims.py
@@ -67,7 +67,7 @@
                 fingerprint(attempt),
                 self._keep_ms(attempt),
                 self.now_ms() + min(self.limits.claim_timeout_ms, max(spare, 0.0)),
-                attempt.marked_repeat or not self.decisions.catalogue.decided.marks_repeats,
+                attempt.marked_repeat or not self.decisions.catalogue.effective_settings.marks_repeats,
             )
         )
 
@@ -81,7 +81,7 @@
 
     def longest_keep_ms(self) -> float:
         """The same for the class that is kept longest, as clocks of members may differ."""
-        promised = (self._promised_ms(kind) for kind in self.decisions.catalogue.decided.classes)
+        promised = (self._promised_ms(kind) for kind in self.decisions.catalogue.effective_settings.classes)
         least = self.limits.key_margin_ms + self.limits.max_repeat_delay_ms
         return max(promised, default=least) + self.limits.clock_skew_ms
 
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -319,7 +319,7 @@
             if self.failed is None:
                 await self.drain.run(
                     self.config.settings.drain_grace_ms,
-                    kill_after_ms(self.limits.stop_ms, self.decisions.catalogue.decided.classes),
+                    kill_after_ms(self.limits.stop_ms, self.decisions.catalogue.effective_settings.classes),
                     self.upgrade is not None and self.upgrade.shedding,
                     notice_age_ms,
                 )
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -320,7 +320,7 @@
 
     def _lose(self, partial: bool) -> None:
         self.link = None
-        settings = self.decisions.catalogue.decided
+        settings = self.decisions.catalogue.effective_settings
         window = max((kind.repeat_window_ms for kind in settings.classes), default=0.0)
         for front, _ in self.node.fronts:
             front.others = 0
--- a/flintshift/wire/fields.py
+++ b/flintshift/wire/fields.py
@@ -45,9 +45,9 @@
         before, separator, name = target.partition("?")[0].partition("/call/")
         if before or not separator:
             raise UnusableError(404, "no such class")
-        if self.catalogue.find(name) is None:
+        if self.catalogue.find_class(name) is None:
             name = unquote(name)  # a name may hold what a path can't
-        if self.catalogue.find(name) is None:
+        if self.catalogue.find_class(name) is None:
             raise UnusableError(404, "no such class")
         if method != "POST":
             raise UnusableError(405, "only POST is taken here")
@@ -74,7 +74,7 @@
 
         if len(body) > self.limits.max_body_bytes:
             raise UnusableError(413, "the body is too large")
-        item, kind = get("X-Item"), self.catalogue.find(class_name)
+        item, kind = get("X-Item"), self.catalogue.find_class(class_name)
         keyed = kind is not None and kind.effect is Effect.KEYED
         number("X-Precedence", 0, 1)  # no decision uses it, but one that is no rank is a fault of the caller
         if get("X-Size-Ms") is not None:
--- a/tests/core/test_limit_share.py
+++ b/tests/core/test_limit_share.py
@@ -30,5 +30,5 @@
 
 
 def test_the_whole_of_the_limits_is_what_the_settings_tell():
-    settings = Planner().planner.catalogue.decided
+    settings = Planner().planner.catalogue.effective_settings
     assert scale_settings(settings, FULL_SHARE) is settings
--- a/tests/settings/test_shape.py
+++ b/tests/settings/test_shape.py
@@ -151,19 +151,19 @@
         for told in (configuration(), changed("settings.classes.3.name", "submit-time-next"))
     )
     book = Catalogue(now, limits)
-    assert book.takes("submit-time", 0) and not book.takes("submit-time-next", 0)
+    assert book.accepts("submit-time", 0) and not book.accepts("submit-time-next", 0)
     assert book.change(later, 0) is None
-    assert book.takes("submit-time-next", 0)
-    assert book.takes("submit-time", 2499) and not book.takes("submit-time", 2500)
-    assert [kind.name for kind in book.decided.classes][-2:] == ["submit-time-next", "submit-time"]
-    assert not book.purge(15_499) and book.find("submit-time") is now.classes[3]
+    assert book.accepts("submit-time-next", 0)
+    assert book.accepts("submit-time", 2499) and not book.accepts("submit-time", 2500)
+    assert [kind.name for kind in book.effective_settings.classes][-2:] == ["submit-time-next", "submit-time"]
+    assert not book.purge(15_499) and book.find_class("submit-time") is now.classes[3]
     assert book.change(now, 10_000) is None  # dropped and added again
-    assert book.takes("submit-time", 20_000) and not book.takes("submit-time-next", 20_000)
-    assert book.purge(30_000) and book.find("submit-time-next") is None
+    assert book.accepts("submit-time", 20_000) and not book.accepts("submit-time-next", 20_000)
+    assert book.purge(30_000) and book.find_class("submit-time-next") is None
     for number in range(3):  # no more may be remembered than there is room for
         names = changed("settings.classes.3.name", f"c{number}")
         wrong = book.change(made(names, "FILE", Operators()).settings, 40_000)
-    assert wrong is not None and "may be" in wrong and "c2" not in book.kinds
+    assert wrong is not None and "may be" in wrong and "c2" not in book.classes
 
 
 def test_what_tells_how_the_process_began_outlasts_a_change():
@@ -171,4 +171,4 @@
     told["settings"]["familyInfo"]["cold"] = True
     book = Catalogue(made(told, "FILE", Operators()).settings, Limits())
     book.change(made(configuration(), "FILE", Operators()).settings, 0)
-    assert book.decided.cold
+    assert book.effective_settings.cold
