--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -46,21 +46,23 @@
         counters: Counters,
         now_ms: Callable[[], float],
         wake_at: Callable[[float, str], None],
-        list_: Callable[[], None],
+        update_lists: Callable[[], None],
     ) -> None:
         self.catalogue, self.limits, self.counters = catalogue, limits, counters
-        self.now_ms, self.wake_at, self.list = now_ms, wake_at, list_
+        self.now_ms, self.wake_at, self.update_lists = now_ms, wake_at, update_lists
         self.share = FULL_SHARE  # of the node's limits, for this process
         settings = self._settings()
         self.controller = Controller(settings, seed)
         self.mailbox: Mailbox[at.Report] = Mailbox(limits.mailbox_size)
-        self.posture = ServingStatus(default_retry_after_ms=settings.advice_max_ms * settings.advice_allowed)
-        self.attempts = OpenAttempts(counters, now_ms, self.posture)
+        self.serving_status = ServingStatus(default_retry_after_ms=settings.advice_max_ms * settings.advice_allowed)
+        self.attempts = OpenAttempts(counters, now_ms, self.serving_status)
         self.keys = KeyTable(limits)
-        self.waiting = WaitingClaims()
+        self.waiting_claims = WaitingClaims()
         self.pending: deque[at.Report] = deque()  # what applying an action has brought about
-        self.runs = Runs(self.attempts, self.keys, self.waiting, self.pending, self.posture, counters, now_ms)
-        self.purged_ms = 0.0
+        self.runs = Runs(
+            self.attempts, self.keys, self.waiting_claims, self.pending, self.serving_status, counters, now_ms
+        )
+        self.last_purge_ms = 0.0
         self.handlers: dict[type, Callable[[Any], api.Event | None]] = {
             at.Submitted: self._submitted,
             at.Tick: self._ticked,
@@ -89,11 +91,11 @@
             self.counters.add("refused.class_dropped")
             self.attempts.settle(attempt, self.attempts.refusal())
             return
-        if not self.posture.workers_up or not self.mailbox.offer(at.Submitted(attempt), spare):
-            self.counters.add("full.mailbox" if self.posture.workers_up else "full.not_up")
+        if not self.serving_status.workers_up or not self.mailbox.offer(at.Submitted(attempt), spare):
+            self.counters.add("full.mailbox" if self.serving_status.workers_up else "full.not_up")
             self.attempts.settle(attempt, Answer(Verdict.FAILED) if repeat else self.attempts.refusal())
 
-    def turn_away(self, attempt: Attempt) -> None:
+    def reject(self, attempt: Attempt) -> None:
         """Answer a request for which there is no place, here and now: it never ran. A repeat, whose first try may have
         run, fails."""
         self.counters.add("full.connections")
@@ -106,17 +108,17 @@
             self.handle(at.CatalogueChanged())
         return fault
 
-    def keep_to(self, share: LimitShare) -> None:
+    def set_limit_share(self, share: LimitShare) -> None:
         """Use no more of the node's limits than this from now on: another process has the rest."""
         if share != self.share:
             self.share = share
             self.pending.append(at.CatalogueChanged())
 
-    def rank_by(self, ranks: FairRanking) -> None:
+    def use_ranking(self, ranks: FairRanking) -> None:
         """Have what waits ranked by this port."""
         self.attempts.ranks, self.controller.rank = ranks, ranks.rank_ms
 
-    def used(self) -> LimitShare:
+    def used_share(self) -> LimitShare:
         """The share of the node's limits that this process uses now."""
         return usage_share(self.catalogue.effective_settings, *self.controller.used())
 
@@ -157,11 +159,11 @@
             case api.WakeAt(at_ms, token):
                 self.wake_at(at_ms, token)
             case api.SetHealth(good, from_store):
-                self.posture.healthy, self.posture.health_is_cached = good, from_store
+                self.serving_status.healthy, self.serving_status.health_is_cached = good, from_store
             case api.SetFreeValue(value):
-                self.posture.free_value = value
+                self.serving_status.free_value = value
             case api.CloseIdle(idle_ms):
-                self.posture.idle_timeout_ms = idle_ms
+                self.serving_status.idle_timeout_ms = idle_ms
             case _:
                 self.runs.apply(action)
 
@@ -175,22 +177,22 @@
 
     def _ticked(self, report: at.Tick) -> api.Event:
         self._purge()
-        if self.waiting.claims is not None:
-            self.waiting.claims.tick()
+        if self.waiting_claims.claims is not None:
+            self.waiting_claims.claims.tick()
         if self.attempts.ranks is not None:
             self.attempts.ranks.tick()
         return api.Woken(report.token, report.gauges)
 
     def _came_up(self, _: at.WorkersUp) -> api.Event | None:
-        if self.posture.workers_up:  # the link came back: the controller goes on
+        if self.serving_status.workers_up:  # the link came back: the controller goes on
             return None
-        self.posture.workers_up = True
-        self.list()
+        self.serving_status.workers_up = True
+        self.update_lists()
         return api.Started()
 
     def _told(self, report: at.MessageReceived) -> None:
-        if self.waiting.claims is not None:
-            self.waiting.claims.on_message(report.message)
+        if self.waiting_claims.claims is not None:
+            self.waiting_claims.claims.on_message(report.message)
 
     @staticmethod
     def _taught(report: at.LearnedStateReceived) -> api.Event:
@@ -198,12 +200,12 @@
 
     def _changed(self, _: at.CatalogueChanged) -> api.Event:
         settings = self._settings()
-        self.posture.default_retry_after_ms = settings.advice_max_ms * settings.advice_allowed
+        self.serving_status.default_retry_after_ms = settings.advice_max_ms * settings.advice_allowed
         return api.Changed(settings)
 
     def _noticed(self, report: at.ShutdownNotice) -> api.Event:
-        self.posture.draining = True
-        self.list()
+        self.serving_status.draining = True
+        self.update_lists()
         return api.Leaving(report.stops_in_ms)
 
     # Reports of a request, wherever it stands.
@@ -213,7 +215,7 @@
         if attempt.settled:
             return None
         self.attempts.leave(attempt)
-        if self.waiting.departed(attempt):
+        if self.waiting_claims.departed(attempt):
             return None
         self.attempts.close(attempt)
         return api.CallerGone(attempt.id)
@@ -227,7 +229,7 @@
     def _agreed(self, report: at.ClaimAnswered) -> None:
         """The others' word on a key has come, or can't come any more."""
         granted, never_ran = report.granted, report.never_ran
-        attempt = self.waiting.agreed(report.request)
+        attempt = self.waiting_claims.agreed(report.request)
         if attempt is None:
             return
         if granted is None and never_ran:
@@ -242,7 +244,7 @@
         if event is not None:
             self._decide(event)
         if granted and self.keys.owned_entry(attempt) is None:
-            self.waiting.freed(attempt)  # it was turned away
+            self.waiting_claims.freed(attempt)  # it was turned away
 
     def _taken(self, attempt: Attempt, agreed: bool) -> api.Event | None:
         """Hand an attempt to the controller, unless it is settled without it. ``agreed``: the others were asked."""
@@ -253,7 +255,7 @@
             self.attempts.settle(attempt, answer)
             return None
         if entry is None and attempt.request_key is not None and not agreed:
-            asked = self.waiting.ask(attempt)
+            asked = self.waiting_claims.ask(attempt)
             if asked is Asked.UNSURE:
                 self.counters.add("claims.unsure")
                 self.attempts.settle(attempt, Answer(Verdict.FAILED))
@@ -266,7 +268,7 @@
         """The answer to an attempt that can't be taken, whatever the load; ``entry`` is that of its key."""
         # An id is new with every try: answers could not be told apart. And the key of a request must never
         # get its result to another one.
-        known = attempt.id in self.attempts or attempt.id in self.waiting
+        known = attempt.id in self.attempts or attempt.id in self.waiting_claims
         if known or (entry is not None and entry.digest != fingerprint(attempt)):
             return Answer(Verdict.CONFLICT)
         if attempt.request_class is None:  # dropped for good while it waited here
@@ -298,29 +300,29 @@
         return attempt.request_key is not None and (self._may_have_run(attempt) or self.keys.find(attempt) is not None)
 
     def _may_have_run(self, attempt: Attempt) -> bool:
-        return self.waiting.may_have_run(attempt, self.catalogue.settings.marks_repeats)
+        return self.waiting_claims.may_have_run(attempt, self.catalogue.settings.marks_repeats)
 
     def _purge(self) -> None:
         now = self.now_ms()
-        if now < self.purged_ms + self.limits.purge_interval_ms:
+        if now < self.last_purge_ms + self.limits.purge_interval_ms:
             return
-        self.purged_ms = now
+        self.last_purge_ms = now
         # A run whose end was lost with its link would hold its place for ever.
         for attempt in self.attempts:
             if attempt.running and attempt.settled and now > attempt.settled_ms + self.limits.lost_run_timeout_ms:
                 self.counters.add("lost_runs")
                 self.pending.append(at.RunFinished(attempt.id, Outcome.STOPPED))
-        self.keys.purge(now, itertools.chain(self.attempts.table, self.waiting.keeping))
+        self.keys.purge(now, itertools.chain(self.attempts.table, self.waiting_claims.keeping))
         if self.catalogue.purge(now):
             self.pending.append(at.CatalogueChanged())
 
     @property
     def open(self) -> int:
         """Requests read and not over, and reports of which some may bring about an answer."""
-        return self.attempts.unanswered + self.waiting.open + len(self.mailbox)
+        return self.attempts.unanswered + self.waiting_claims.open + len(self.mailbox)
 
     @property
     def unanswered(self) -> int:
         """Requests read and not over."""
         submitted = sum(isinstance(report, at.Submitted) for report in self.mailbox.items)
-        return self.attempts.unanswered + self.waiting.open + submitted
+        return self.attempts.unanswered + self.waiting_claims.open + submitted
--- a/flintshift/core/open_attempts.py
+++ b/flintshift/core/open_attempts.py
@@ -13,8 +13,8 @@
 class OpenAttempts:
     """By id. An attempt stays after its answer for as long as its run goes on: the end of that is still to be told."""
 
-    def __init__(self, counters: Counters, now_ms: Callable[[], float], posture: ServingStatus) -> None:
-        self.counters, self.now_ms, self.posture = counters, now_ms, posture
+    def __init__(self, counters: Counters, now_ms: Callable[[], float], serving_status: ServingStatus) -> None:
+        self.counters, self.now_ms, self.serving_status = counters, now_ms, serving_status
         self.ranks: FairRanking | None = None
         self.table: dict[str, Attempt] = {}
         self.closing: list[Attempt] = []  # that may be over, looked at once all is decided of them
@@ -71,7 +71,7 @@
 
     def refusal(self) -> Answer:
         """A refusal that no decision was asked for: it tells the time that the settings name."""
-        return Answer(Verdict.REFUSED, retry_after_ms=self.posture.default_retry_after_ms)
+        return Answer(Verdict.REFUSED, retry_after_ms=self.serving_status.default_retry_after_ms)
 
     def leave(self, attempt: Attempt) -> None:
         """Its caller has gone: no answer is owed any longer."""
--- a/flintshift/core/runs.py
+++ b/flintshift/core/runs.py
@@ -27,14 +27,14 @@
         self,
         attempts: OpenAttempts,
         keys: KeyTable,
-        waiting: WaitingClaims,
+        waiting_claims: WaitingClaims,
         pending: deque[at.Report],
-        posture: ServingStatus,
+        serving_status: ServingStatus,
         counters: Counters,
         now_ms: Callable[[], float],
     ) -> None:
-        self.attempts, self.keys, self.waiting = attempts, keys, waiting
-        self.pending, self.posture, self.counters, self.now_ms = pending, posture, counters, now_ms
+        self.attempts, self.keys, self.waiting_claims = attempts, keys, waiting_claims
+        self.pending, self.serving_status, self.counters, self.now_ms = pending, serving_status, counters, now_ms
         self.workers: Mapping[str, Workers] = {}
         self.below: VaultCalls
         self.books: UsageRecorder | None = None
@@ -113,11 +113,11 @@
             attempt.ran = False
             self._free(attempt)
         elif entry is not None and attempt.ran:
-            if self.waiting.keeps(attempt, report.outcome, report.result):
+            if self.waiting_claims.keeps(attempt, report.outcome, report.result):
                 self.attempts.remove(attempt)
                 return api.RunEnded(attempt.id, report.outcome, report.took_ms)
             self._ended(entry, report.outcome, report.result)
-            self.waiting.ended(attempt)
+            self.waiting_claims.ended(attempt)
         self.attempts.settle_end(attempt, report.outcome, report.result)
         self.attempts.remove(attempt)
         return api.RunEnded(attempt.id, report.outcome, report.took_ms)
@@ -125,7 +125,7 @@
     def kept(self, report: at.OutcomeRecorded) -> None:
         """How a run ended is kept elsewhere too, or can't be in time for its caller."""
         outcome, result = report.outcome, report.result
-        attempt = self.waiting.kept(report.request, outcome)
+        attempt = self.waiting_claims.kept(report.request, outcome)
         if attempt is None:
             return
         if outcome is None:
@@ -156,9 +156,13 @@
 
     def _refuse(self, attempt: Attempt, action: api.Refuse) -> None:
         stay_away_ms = action.stay_away_ms
-        if self.attempts.ranks is not None and self.posture.default_retry_after_ms and not self.posture.draining:
+        if (
+            self.attempts.ranks is not None
+            and self.serving_status.default_retry_after_ms
+            and not self.serving_status.draining
+        ):
             stay_away_ms = self.attempts.ranks.retry_after_ms(
-                attempt, stay_away_ms, self.posture.default_retry_after_ms
+                attempt, stay_away_ms, self.serving_status.default_retry_after_ms
             )
         self.attempts.settle(attempt, Answer(Verdict.REFUSED, b"", stay_away_ms, action.not_elsewhere))
         self.attempts.close(attempt)
@@ -189,7 +193,7 @@
         if attempt.request_key is None:  # reads are kept only where answers may be shared
             return
         self.keys.claim(attempt, self.now_ms() + action.for_ms)
-        self.waiting.claimed(attempt)
+        self.waiting_claims.claimed(attempt)
 
     def _forget(self, attempt: Attempt, _: api.Forget) -> None:
         self._free(attempt)
@@ -216,4 +220,4 @@
         if not attempt.ran and self.keys.owned_entry(attempt) is not None:
             for follower in self.keys.release(attempt):
                 self.pending.append(at.RunFinished(follower, Outcome.REJECTED))
-            self.waiting.freed(attempt)
+            self.waiting_claims.freed(attempt)
--- a/flintshift/lab/model.py
+++ b/flintshift/lab/model.py
@@ -67,7 +67,7 @@
         if fair:
             self.fair = FairDoor(settings, limits, self.counters, self.clock)
             self.fair.log = lambda level, event, **more: self.log.append((level, event, more))
-            self.decisions.rank_by(self.fair)
+            self.decisions.use_ranking(self.fair)
         self.decisions.handle(WorkersUp())
 
     def clock(self) -> float:
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -173,7 +173,7 @@
 
         self.fair = FairDoor(self.config.settings, self.limits, self.counters, self.now_ms)
         self.fair.log = self.log
-        self.decisions.rank_by(self.fair)
+        self.decisions.use_ranking(self.fair)
         if options.socket is not None:
             self._show(options.socket, "door", self.fair.shown, "how the clubs stand")
 
@@ -190,11 +190,11 @@
         self.door = ControlFront(self, self.limits, self.counters, self.now_ms)
         self.door.log = self.log
         self.upgrade = Upgrade(self)
-        self.decisions.waiting.claims = self.upgrade
+        self.decisions.waiting_claims.claims = self.upgrade
         if self.copying is not None:
             from flintshift.lifecycle.agreeing import Agreeing
 
-            self.decisions.waiting.claims = Agreeing(self.upgrade, self.copying.claims)
+            self.decisions.waiting_claims.claims = Agreeing(self.upgrade, self.copying.claims)
         for front, _ in self.fronts:
             front.leave()  # until it is known that this process takes the clients
 
@@ -223,7 +223,7 @@
         if self.ledger is not None and self.config.operators.usage is not None and options.copies > 1:
             copy_ledger(copying, self.ledger, self.config.operators.usage, self.retry)
         self.copying = copying
-        self.decisions.waiting.claims, self.decisions.waiting.elsewhere = copying.claims, True
+        self.decisions.waiting_claims.claims, self.decisions.waiting_claims.elsewhere = copying.claims, True
         self.actors.append(copying.run)
         self._show(options.folder / SOCKET, "copies", copying.shown, "how the copies stand")
 
@@ -240,7 +240,7 @@
             settings.cold_ms if settings.cold else 0.0,
             lambda: Seen(
                 self.bound,
-                self.decisions.posture.workers_up,
+                self.decisions.serving_status.workers_up,
                 self.registration.taken > 0,
                 permits is None or permits.starter.went,
             ),
@@ -373,7 +373,7 @@
     # What operators ask for at the control door.
 
     def not_ready(self) -> str | None:
-        posture = self.decisions.posture
+        posture = self.decisions.serving_status
         if posture.draining:
             return "the node leaves"
         if self.upgrade is not None and posture.workers_up and not self.upgrade.phases.takes_clients:
@@ -389,10 +389,10 @@
         return self._serve_clients(True)
 
     def _serve_clients(self, serving: bool) -> str | None:
-        if serving and self.decisions.posture.draining:
+        if serving and self.decisions.serving_status.draining:
             return "the node leaves"
-        if self.decisions.posture.out_of_service is serving:
-            self.decisions.posture.out_of_service = not serving
+        if self.decisions.serving_status.out_of_service is serving:
+            self.decisions.serving_status.out_of_service = not serving
             self.log("info", "node.in_service" if serving else "node.out_of_service", open=self.drain.open())
         self.tell_lists()
         if self.upgrade is not None:
@@ -401,14 +401,14 @@
 
     def _moved(self) -> None:
         """The pool is up for the first time, or the notice to leave has come."""
-        if self.upgrade is not None and self.decisions.posture.workers_up and not self.upgrade.phases.up:
+        if self.upgrade is not None and self.decisions.serving_status.workers_up and not self.upgrade.phases.up:
             self.upgrade.pool_is_up()
         self.tell_lists()
 
     def tell_lists(self) -> None:
         """Say where this node is listed what it does. Out of service it goes on reporting, as one that does not serve:
         one that says nothing looks dead, and is found again late."""
-        posture = self.decisions.posture
+        posture = self.decisions.serving_status
         if self.upgrade is not None and not self.upgrade.phases.takes_clients:
             return  # the other process tells
         if (
--- a/flintshift/lifecycle/reconfiguration.py
+++ b/flintshift/lifecycle/reconfiguration.py
@@ -103,7 +103,7 @@
         self.vault.move(config.vault)
         if config.naming != self.names.to:
             self.names.move(config.naming)
-            if self.decisions.posture.workers_up:
+            if self.decisions.serving_status.workers_up:
                 self.tell_lists()
 
     def _tell_of_what_stays(self, before: Config, config: Config) -> None:
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -172,7 +172,7 @@
             await anyio.sleep(self.limits.backoff_ms / 1000)
             return
         assert isinstance(stream, UNIXSocketStream)
-        if not self.phases.welcomes or self.decisions.posture.draining:
+        if not self.phases.welcomes or self.decisions.serving_status.draining:
             await stream.aclose()
             return
         try:
@@ -254,7 +254,7 @@
         self._do(self.shared.expire(now))
         if now >= self.used_ms + self.limits.load_report_interval_ms:
             self.used_ms = now
-            used = self.decisions.used()
+            used = self.decisions.used_share()
             connections = sum(len(front.connections) for front, _ in self.node.fronts)
             learned = self.decisions.controller.learned()
             self._step(
@@ -303,7 +303,7 @@
             case LeaveClients():
                 self.node.leave_clients()
             case Keep(crowd, memory, calls, others):
-                self.decisions.keep_to(LimitShare(crowd, memory, calls))
+                self.decisions.set_limit_share(LimitShare(crowd, memory, calls))
                 for front, _ in self.node.fronts:
                     front.others = others
             case Learn(learned):
@@ -311,7 +311,7 @@
             case LosePeer(partial):
                 self._lose(partial)
             case Serve(out):
-                self.node.decisions.posture.out_of_service = out
+                self.node.decisions.serving_status.out_of_service = out
                 self.node.tell_lists()
             case GiveUpStart(cause):
                 self.node.give_up(UpgradeError(cause))
--- a/flintshift/wire/front.py
+++ b/flintshift/wire/front.py
@@ -70,7 +70,7 @@
 
     @property
     def posture(self) -> ServingStatus:
-        return self.decisions.posture
+        return self.decisions.serving_status
 
     @property
     def done(self) -> bool:
@@ -297,7 +297,7 @@
         if self.books is not None:
             self.books.track(attempt, self.name)
         if connection.turned_away:
-            self.decisions.turn_away(attempt)
+            self.decisions.reject(attempt)
         else:
             self.decisions.submit(attempt)
         early = 0
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -286,7 +286,7 @@
     attempt = Attempt(
         "second", "pay", node.now, 10.0, 1, b"", request_key="k", marked_repeat=again, on_answer=told.append
     )
-    node.planner.turn_away(attempt)
+    node.planner.reject(attempt)
     assert [answer.verdict for answer in told] == [verdict]
     assert "second" not in node.spawned()
     if verdict is Verdict.REFUSED:
--- a/tests/core/test_limit_share.py
+++ b/tests/core/test_limit_share.py
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize("class_name", ["look", "pay"])
 def test_a_process_with_no_share_at_all_turns_away_and_goes_on_once_it_has_one(class_name):
     node = Planner()
-    node.planner.keep_to(LimitShare(0.0, 0.0, 0.0))
+    node.planner.set_limit_share(LimitShare(0.0, 0.0, 0.0))
     node.planner.handle(at.Tick("tick"))
     node.submit("a", class_name, request_key="k" if class_name == "pay" else None)
     began = node.now
@@ -23,7 +23,7 @@
         node.now += 40.0
         node.planner.handle(at.Tick("tick"))
     assert node.verdicts("a") == [Verdict.REFUSED] and node.spawned() == []
-    node.planner.keep_to(FULL_SHARE)
+    node.planner.set_limit_share(FULL_SHARE)
     node.planner.handle(at.Tick("tick"))
     node.submit("b", class_name, request_key="l" if class_name == "pay" else None)
     assert node.spawned() == ["b"]
--- a/tests/door/test_fair_door.py
+++ b/tests/door/test_fair_door.py
@@ -118,7 +118,7 @@
     waits = waits_ms(flood(node, "a", 60))
     assert len(waits) >= 10 and min(waits) < 200.0
     node.now += 5000.0  # no place is given away any more
-    node.decisions.posture.draining = True  # the decisions have not heard of it yet
+    node.decisions.serving_status.draining = True  # the decisions have not heard of it yet
     promised = node.counters["door.promised"]
     assert len(waits_ms(flood(node, "a", 40))) >= 10 and node.counters["door.promised"] == promised > 0
 
--- a/tests/lifecycle/test_reconfiguration.py
+++ b/tests/lifecycle/test_reconfiguration.py
@@ -42,7 +42,7 @@
     def __init__(self, reread, decisions=None, follower=None):
         self.decisions, self.follower = decisions or Part(), follower or Part()
         self.decisions.catalogue = SimpleNamespace(kinds={})
-        self.decisions.posture = SimpleNamespace(workers_up=True)
+        self.decisions.serving_status = SimpleNamespace(workers_up=True)
         self.pool, self.vault, self.names = Link(BEFORE.pool), Link(BEFORE.vault), Link(BEFORE.naming)
         self.counters, self.said, self.told = Counters(), [], []
         self.reconfiguration = Reconfiguration(
--- a/tests/wire/fronted.py
+++ b/tests/wire/fronted.py
@@ -31,7 +31,7 @@
 class Decided:
     """In the place of the decisions: what was handed over, answered when the test says so."""
 
-    posture: ServingStatus = field(default_factory=lambda: ServingStatus(workers_up=True))
+    serving_status: ServingStatus = field(default_factory=lambda: ServingStatus(workers_up=True))
     taken: list[Attempt] = field(default_factory=list)
     turned_away: list[Attempt] = field(default_factory=list)
     departed: list[str] = field(default_factory=list)
@@ -43,7 +43,7 @@
         if self.at_once is not None:
             attempt.settle(self.at_once, now_ms())
 
-    def turn_away(self, attempt: Attempt) -> None:
+    def reject(self, attempt: Attempt) -> None:
         self.turned_away.append(attempt)
         attempt.settle(Answer(Verdict.REFUSED, retry_after_ms=300.0), now_ms())
 
--- a/tests/wire/test_closing.py
+++ b/tests/wire/test_closing.py
@@ -212,7 +212,7 @@
             raw, data = (await fronted.rested() if rested else fronted.connect()), whole()
             raw.send(data[:size])
             await fronted.until(lambda fronted=fronted: any(one.busy for one in fronted.front.connections))
-            fronted.decided.posture.draining = True
+            fronted.decided.serving_status.draining = True
             stopped(fronted)
             caller = await calling(raw)
             reply = await caller.reply()
@@ -227,7 +227,7 @@
 async def test_a_request_whose_end_comes_right_after_the_drain_decided_to_close_is_handed_on_or_refused(rested):
     for _ in range(REPEATS):
         async with Fronted() as fronted:
-            fronted.decided.at_once, fronted.decided.posture.draining = Answer(Verdict.SERVED, b"1"), True
+            fronted.decided.at_once, fronted.decided.serving_status.draining = Answer(Verdict.SERVED, b"1"), True
             raw, data = (await fronted.rested() if rested else fronted.connect()), whole()
             raw.send(data[:-1])
             stopped(fronted)
--- a/tests/wire/test_connections.py
+++ b/tests/wire/test_connections.py
@@ -31,7 +31,7 @@
         self.limits, self.counters = Limits(**limits), Counters()
         self.front = {"http": HttpFront, "uwsgi": UwsgiFront}[name](
             None,
-            SimpleNamespace(posture=ServingStatus(workers_up=True)),
+            SimpleNamespace(serving_status=ServingStatus(workers_up=True)),
             self.limits,
             self.counters,
             lambda: time.time() * 1000,
