--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -83,7 +83,7 @@
         repeat, whose first try may have run, against a refusal: it has the spare room, or fails."""
         repeat = self._repeats(attempt)
         spare = 0 if repeat else self.limits.mailbox_reserve
-        if self.runs.books is not None and self.runs.books.refusing and not repeat:
+        if self.runs.usage_recorder is not None and self.runs.usage_recorder.refusing and not repeat:
             self.counters.add("refused.not_bookable")
             self.attempts.settle(attempt, self.attempts.refusal())
             return
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -97,7 +97,7 @@
         )
         self.pool = PoolLink(config.pool, config.gauge_names, limits, counters, self.decisions.report, self.uniform)
         self.vault = VaultLink(config.vault, limits, counters, self.decisions.report, now_ms)
-        self.decisions.runs.workers, self.decisions.runs.below = {"pool": self.pool}, self.vault
+        self.decisions.runs.workers, self.decisions.runs.vault = {"pool": self.pool}, self.vault
         self.names = NameService(config.naming, config.name, limits, counters)
         self.lists.append(self.names)
         self.fields = Fields(self.catalogue, limits, now_ms, now_ms.age_ms)
@@ -204,7 +204,7 @@
 
         self.ledger = open_ledger(self.config, options, self.log, self.retry)
         books = self.books = Books(self.ledger, self.config.settings, self.now_ms.steady_ms)
-        self.decisions.runs.books = books
+        self.decisions.runs.usage_recorder = books
         for front, _ in self.fronts:
             front.books = books
         self.actors.append(self.ledger.run)
