--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -116,7 +116,7 @@
 
     def use_ranking(self, ranks: FairRanking) -> None:
         """Have what waits ranked by this port."""
-        self.attempts.ranks, self.controller.rank = ranks, ranks.rank_ms
+        self.attempts.ranking, self.controller.rank = ranks, ranks.rank_ms
 
     def used_share(self) -> LimitShare:
         """The share of the node's limits that this process uses now."""
@@ -179,8 +179,8 @@
         self._purge()
         if self.waiting_claims.claims is not None:
             self.waiting_claims.claims.tick()
-        if self.attempts.ranks is not None:
-            self.attempts.ranks.tick()
+        if self.attempts.ranking is not None:
+            self.attempts.ranking.tick()
         return api.Woken(report.token, report.gauges)
 
     def _came_up(self, _: at.WorkersUp) -> api.Event | None:
@@ -312,7 +312,7 @@
             if attempt.running and attempt.settled and now > attempt.settled_ms + self.limits.lost_run_timeout_ms:
                 self.counters.add("lost_runs")
                 self.pending.append(at.RunFinished(attempt.id, Outcome.STOPPED))
-        self.keys.purge(now, itertools.chain(self.attempts.table, self.waiting_claims.keeping))
+        self.keys.purge(now, itertools.chain(self.attempts.by_id, self.waiting_claims.keeping))
         if self.catalogue.purge(now):
             self.pending.append(at.CatalogueChanged())
 
--- a/flintshift/core/open_attempts.py
+++ b/flintshift/core/open_attempts.py
@@ -15,30 +15,30 @@
 
     def __init__(self, counters: Counters, now_ms: Callable[[], float], serving_status: ServingStatus) -> None:
         self.counters, self.now_ms, self.serving_status = counters, now_ms, serving_status
-        self.ranks: FairRanking | None = None
-        self.table: dict[str, Attempt] = {}
+        self.ranking: FairRanking | None = None
+        self.by_id: dict[str, Attempt] = {}
         self.closing: list[Attempt] = []  # that may be over, looked at once all is decided of them
 
     def __contains__(self, request: str) -> bool:
-        return request in self.table
+        return request in self.by_id
 
     def __iter__(self) -> Iterator[Attempt]:
-        return iter(self.table.values())
+        return iter(self.by_id.values())
 
     @property
     def unanswered(self) -> int:
-        return sum(not attempt.settled for attempt in self.table.values())
+        return sum(not attempt.settled for attempt in self.by_id.values())
 
     def get(self, request: str) -> Attempt | None:
-        return self.table.get(request)
+        return self.by_id.get(request)
 
     def add(self, attempt: Attempt) -> None:
-        self.table[attempt.id] = attempt
-        if self.ranks is not None:
-            self.ranks.on_arrival(attempt)
+        self.by_id[attempt.id] = attempt
+        if self.ranking is not None:
+            self.ranking.on_arrival(attempt)
 
     def remove(self, attempt: Attempt) -> None:
-        self.table.pop(attempt.id, None)
+        self.by_id.pop(attempt.id, None)
 
     def close(self, attempt: Attempt) -> None:
         """Remove it with the next `sweep`, unless its run goes on."""
@@ -49,8 +49,8 @@
         for attempt in self.closing:
             if attempt.settled and not attempt.running:
                 self.remove(attempt)
-                if self.ranks is not None:
-                    self.ranks.on_withdrawal(attempt.id)
+                if self.ranking is not None:
+                    self.ranking.on_withdrawal(attempt.id)
         self.closing.clear()
 
     # Answers.
--- a/flintshift/core/runs.py
+++ b/flintshift/core/runs.py
@@ -101,8 +101,8 @@
     def _run_over(self, attempt: Attempt, report: at.RunFinished) -> api.Event:
         attempt.running = False
         attempt.run_ms += report.took_ms
-        if self.attempts.ranks is not None:
-            self.attempts.ranks.on_end(attempt.id, report.took_ms)
+        if self.attempts.ranking is not None:
+            self.attempts.ranking.on_end(attempt.id, report.took_ms)
         if attempt.settled and self.usage_recorder is not None:
             self.usage_recorder.record_late_run(attempt, report.took_ms)
         if attempt.call_pending:
@@ -148,8 +148,8 @@
             return
         attempt.ran = attempt.running = True
         self.counters.add("run")
-        if self.attempts.ranks is not None:
-            self.attempts.ranks.on_start(attempt.id)
+        if self.attempts.ranking is not None:
+            self.attempts.ranking.on_start(attempt.id)
         if not self._workers(attempt).spawn(attempt):
             self.counters.add("dropped.spawn")
             self.pending.append(at.RunFinished(attempt.id, Outcome.REJECTED))
@@ -157,11 +157,11 @@
     def _refuse(self, attempt: Attempt, action: api.Refuse) -> None:
         stay_away_ms = action.stay_away_ms
         if (
-            self.attempts.ranks is not None
+            self.attempts.ranking is not None
             and self.serving_status.default_retry_after_ms
             and not self.serving_status.draining
         ):
-            stay_away_ms = self.attempts.ranks.retry_after_ms(
+            stay_away_ms = self.attempts.ranking.retry_after_ms(
                 attempt, stay_away_ms, self.serving_status.default_retry_after_ms
             )
         self.attempts.settle(attempt, Answer(Verdict.REFUSED, b"", stay_away_ms, action.not_elsewhere))
@@ -206,8 +206,8 @@
         entry = self.keys.find(attempt)
         self.counters.add("repeats")
         attempt.reuses_result = True
-        if self.attempts.ranks is not None:
-            self.attempts.ranks.on_withdrawal(attempt.id)
+        if self.attempts.ranking is not None:
+            self.attempts.ranking.on_withdrawal(attempt.id)
         if entry is None:
             self.pending.append(at.RunFinished(attempt.id, Outcome.ERROR))
         elif entry.outcome is not None:
--- a/flintshift/lab/model.py
+++ b/flintshift/lab/model.py
@@ -135,7 +135,7 @@
             self.now = max(self.now, at_ms)
             if run:
                 self.busy -= 1
-                took_ms = self.took_ms[self.decisions.attempts.table[name].class_name]
+                took_ms = self.took_ms[self.decisions.attempts.by_id[name].class_name]
                 self.decisions.handle(RunFinished(name, api.Outcome.OK, took_ms, b"done"))
                 self._begin()
             else:
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -173,7 +173,7 @@
     for _ in range(40):
         node.now += 1000.0
         node.planner.handle(at.Tick("tick"))
-    assert node.verdicts("a") == [Verdict.FAILED] and not node.planner.attempts.table
+    assert node.verdicts("a") == [Verdict.FAILED] and not node.planner.attempts.by_id
     assert not node.planner.controller.work
 
 
