--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -27,7 +27,7 @@
 from flintshift.core.open_attempts import OpenAttempts
 from flintshift.core.ports import FairRanking, ServingStatus
 from flintshift.core.runs import Runs
-from flintshift.core.waiting_claims import Asked, WaitingClaims
+from flintshift.core.waiting_claims import ClaimState, WaitingClaims
 from flintshift.interface import Outcome
 
 LEAST_PATIENCE_MS = 1e-3
@@ -215,7 +215,7 @@
         if attempt.settled:
             return None
         self.attempts.leave(attempt)
-        if self.waiting_claims.departed(attempt):
+        if self.waiting_claims.on_caller_disconnected(attempt):
             return None
         self.attempts.close(attempt)
         return api.CallerGone(attempt.id)
@@ -229,7 +229,7 @@
     def _agreed(self, report: at.ClaimAnswered) -> None:
         """The others' word on a key has come, or can't come any more."""
         granted, never_ran = report.granted, report.never_ran
-        attempt = self.waiting_claims.agreed(report.request)
+        attempt = self.waiting_claims.on_claim_answered(report.request)
         if attempt is None:
             return
         if granted is None and never_ran:
@@ -244,7 +244,7 @@
         if event is not None:
             self._decide(event)
         if granted and self.keys.owned_entry(attempt) is None:
-            self.waiting_claims.freed(attempt)  # it was turned away
+            self.waiting_claims.on_key_freed(attempt)  # it was turned away
 
     def _taken(self, attempt: Attempt, agreed: bool) -> api.Event | None:
         """Hand an attempt to the controller, unless it is settled without it. ``agreed``: the others were asked."""
@@ -255,11 +255,11 @@
             self.attempts.settle(attempt, answer)
             return None
         if entry is None and attempt.request_key is not None and not agreed:
-            asked = self.waiting_claims.ask(attempt)
-            if asked is Asked.UNSURE:
+            claim_state = self.waiting_claims.request_claim(attempt)
+            if claim_state is ClaimState.UNSURE:
                 self.counters.add("claims.unsure")
                 self.attempts.settle(attempt, Answer(Verdict.FAILED))
-            if asked is not Asked.NOT_NEEDED:
+            if claim_state is not ClaimState.NOT_NEEDED:
                 return None
         self.attempts.add(attempt)
         return self._arrived(attempt, entry)
@@ -312,7 +312,7 @@
             if attempt.running and attempt.settled and now > attempt.settled_ms + self.limits.lost_run_timeout_ms:
                 self.counters.add("lost_runs")
                 self.pending.append(at.RunFinished(attempt.id, Outcome.STOPPED))
-        self.keys.purge(now, itertools.chain(self.attempts.by_id, self.waiting_claims.keeping))
+        self.keys.purge(now, itertools.chain(self.attempts.by_id, self.waiting_claims.awaiting_record))
         if self.catalogue.purge(now):
             self.pending.append(at.CatalogueChanged())
 
--- a/flintshift/core/runs.py
+++ b/flintshift/core/runs.py
@@ -113,11 +113,11 @@
             attempt.ran = False
             self._free(attempt)
         elif entry is not None and attempt.ran:
-            if self.waiting_claims.keeps(attempt, report.outcome, report.result):
+            if self.waiting_claims.record_outcome(attempt, report.outcome, report.result):
                 self.attempts.remove(attempt)
                 return api.RunEnded(attempt.id, report.outcome, report.took_ms)
             self._ended(entry, report.outcome, report.result)
-            self.waiting_claims.ended(attempt)
+            self.waiting_claims.on_run_ended(attempt)
         self.attempts.settle_end(attempt, report.outcome, report.result)
         self.attempts.remove(attempt)
         return api.RunEnded(attempt.id, report.outcome, report.took_ms)
@@ -125,7 +125,7 @@
     def kept(self, report: at.OutcomeRecorded) -> None:
         """How a run ended is kept elsewhere too, or can't be in time for its caller."""
         outcome, result = report.outcome, report.result
-        attempt = self.waiting_claims.kept(report.request, outcome)
+        attempt = self.waiting_claims.on_outcome_recorded(report.request, outcome)
         if attempt is None:
             return
         if outcome is None:
@@ -193,7 +193,7 @@
         if attempt.request_key is None:  # reads are kept only where answers may be shared
             return
         self.keys.claim(attempt, self.now_ms() + action.for_ms)
-        self.waiting_claims.claimed(attempt)
+        self.waiting_claims.on_key_claimed(attempt)
 
     def _forget(self, attempt: Attempt, _: api.Forget) -> None:
         self._free(attempt)
@@ -220,4 +220,4 @@
         if not attempt.ran and self.keys.owned_entry(attempt) is not None:
             for follower in self.keys.release(attempt):
                 self.pending.append(at.RunFinished(follower, Outcome.REJECTED))
-            self.waiting_claims.freed(attempt)
+            self.waiting_claims.on_key_freed(attempt)
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -223,7 +223,7 @@
         if self.ledger is not None and self.config.operators.usage is not None and options.copies > 1:
             copy_ledger(copying, self.ledger, self.config.operators.usage, self.retry)
         self.copying = copying
-        self.decisions.waiting_claims.claims, self.decisions.waiting_claims.elsewhere = copying.claims, True
+        self.decisions.waiting_claims.claims, self.decisions.waiting_claims.may_run_elsewhere = copying.claims, True
         self.actors.append(copying.run)
         self._show(options.folder / SOCKET, "copies", copying.shown, "how the copies stand")
 
--- a/tests/core/test_waiting_claims.py
+++ b/tests/core/test_waiting_claims.py
@@ -102,16 +102,16 @@
     node.planner.use_ranking(ranks)
     node.planner.handle(at.ClaimAnswered("a", True))
     node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
-    node.planner.handle(at.CallerDisconnected(node.planner.waiting_claims.keeping["a"]))
+    node.planner.handle(at.CallerDisconnected(node.planner.waiting_claims.awaiting_record["a"]))
     assert ranks.told == ["arrived", "began", "ended"] and told == []
     node.planner.handle(at.OutcomeRecorded("a", Outcome.OK, b"x"))
-    assert told == [] and node.planner.counters["departed"] == 1 and not node.planner.waiting_claims.keeping
+    assert told == [] and node.planner.counters["departed"] == 1 and not node.planner.waiting_claims.awaiting_record
 
 
 @pytest.mark.parametrize("again_before", [True, False])
 def test_the_caller_of_a_try_that_waits_for_a_claim_goes_and_nothing_of_it_runs(again_before):
     node, told, second = asking()
-    first = node.planner.waiting_claims.awaiting["a"]
+    first = node.planner.waiting_claims.awaiting_claim["a"]
     if again_before:
         node.planner.handle(at.CallerDisconnected(second))
     node.planner.handle(at.CallerDisconnected(first))
