--- a/flintshift/core/counters.py
+++ b/flintshift/core/counters.py
@@ -12,5 +12,5 @@
     def add(self, name: str, by: int = 1) -> None:
         self[name] += by
 
-    def line(self, name: str) -> str:
+    def to_json_line(self, name: str) -> str:
         return json.dumps({"node": name, "counters": dict(sorted(self.items()))})
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -446,4 +446,4 @@
         return [Acceptor(raw) for raw in self.upgrade.sockets]
 
     def print_counters(self) -> None:
-        standard_error.say(self.counters.line(self.config.name))
+        standard_error.say(self.counters.to_json_line(self.config.name))
