--- a/flintshift/core/catalogue.py
+++ b/flintshift/core/catalogue.py
@@ -23,14 +23,14 @@
 class Catalogue:
     def __init__(self, settings: Settings, limits: Limits) -> None:
         self.settings, self.limits = settings, limits
-        self.classes = {kind.name: kind for kind in settings.classes}
+        self.active_classes = {kind.name: kind for kind in settings.classes}
         self.clubs = {tenant.name for tenant in settings.tenants}
         self.dropped_classes: dict[str, DroppedClass] = {}
         self.dropped_clubs: dict[str, float] = {}  # until when they are known
 
     def find_class(self, class_name: str) -> RequestClass | None:
         """The class, also one dropped whose repeats may still come."""
-        kind = self.classes.get(class_name)
+        kind = self.active_classes.get(class_name)
         if kind is None and class_name in self.dropped_classes:
             return self.dropped_classes[class_name].request_class
         return kind
@@ -38,7 +38,7 @@
     def accepts(self, class_name: str, now_ms: float) -> bool:
         """New work of this class is taken."""
         dropped_class = self.dropped_classes.get(class_name)
-        return class_name in self.classes or (
+        return class_name in self.active_classes or (
             dropped_class is not None and now_ms < dropped_class.dropped_at_ms + self.limits.dropped_class_grace_ms
         )
 
@@ -56,7 +56,7 @@
                 + self.limits.max_repeat_delay_ms
                 + max(kind.repeat_window_ms, kind.deadline_ms + self.limits.lost_run_timeout_ms),
             )
-            for name, kind in self.classes.items()
+            for name, kind in self.active_classes.items()
         }
         for kind in settings.classes:
             dropped.pop(kind.name, None)
@@ -69,7 +69,11 @@
         self.settings = replace(
             settings, cold=self.settings.cold, cold_from=self.settings.cold_from, cold_ms=self.settings.cold_ms
         )
-        self.classes, self.clubs, self.dropped_classes = {kind.name: kind for kind in settings.classes}, clubs, dropped
+        self.active_classes, self.clubs, self.dropped_classes = (
+            {kind.name: kind for kind in settings.classes},
+            clubs,
+            dropped,
+        )
         return None
 
     def purge(self, now_ms: float) -> bool:
--- a/flintshift/core/runs.py
+++ b/flintshift/core/runs.py
@@ -36,7 +36,7 @@
         self.attempts, self.keys, self.waiting_claims = attempts, keys, waiting_claims
         self.pending, self.serving_status, self.counters, self.now_ms = pending, serving_status, counters, now_ms
         self.workers: Mapping[str, Workers] = {}
-        self.vault: VaultCalls
+        self.vault_calls: VaultCalls
         self.usage_recorder: UsageRecorder | None = None
         self.handlers: dict[type, Callable[[Attempt, Any], api.Event | None]] = {
             at.CallRequested: self._call_wanted,
@@ -107,7 +107,7 @@
             self.usage_recorder.record_late_run(attempt, report.took_ms)
         if attempt.call_pending:
             attempt.call_pending = False
-            self.vault.cancel_call(attempt.id)
+            self.vault_calls.cancel_call(attempt.id)
         entry = self.keys.owned_entry(attempt)
         if report.outcome in NEVER_RAN:
             attempt.ran = False
@@ -171,7 +171,7 @@
         self.attempts.settle(attempt, Answer(Verdict.FAILED))
         if attempt.call_pending:
             attempt.call_pending = False
-            self.vault.cancel_call(attempt.id)
+            self.vault_calls.cancel_call(attempt.id)
         self.attempts.close(attempt)
 
     def _call(self, attempt: Attempt, action: api.Call) -> None:
@@ -179,7 +179,7 @@
         attempt.call_count += 1
         self.counters.add("called")
         once = attempt.request_class is not None and attempt.request_class.effect is not Effect.SAFE
-        if not self.vault.start_call(attempt.id, action.limit_ms, attempt.call_payload, once):
+        if not self.vault_calls.start_call(attempt.id, action.limit_ms, attempt.call_payload, once):
             self.counters.add("dropped.call")
             self.pending.append(at.CallFinished(attempt.id, Outcome.REJECTED))
 
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -97,7 +97,7 @@
         )
         self.pool = PoolLink(config.pool, config.gauge_names, limits, counters, self.decisions.report, self.uniform)
         self.vault = VaultLink(config.vault, limits, counters, self.decisions.report, now_ms)
-        self.decisions.runs.workers, self.decisions.runs.vault = {"pool": self.pool}, self.vault
+        self.decisions.runs.workers, self.decisions.runs.vault_calls = {"pool": self.pool}, self.vault
         self.names = NameService(config.naming, config.name, limits, counters)
         self.lists.append(self.names)
         self.fields = Fields(self.catalogue, limits, now_ms, now_ms.age_ms)
--- a/flintshift/lifecycle/reconfiguration.py
+++ b/flintshift/lifecycle/reconfiguration.py
@@ -66,7 +66,7 @@
             return before
         self.again_s = None
         self.counters.add("reload.taken")
-        self.log("info", "node.configuration_taken", classes=sorted(self.decisions.catalogue.classes))
+        self.log("info", "node.configuration_taken", classes=sorted(self.decisions.catalogue.active_classes))
         self._move(config)
         self._tell_of_what_stays(before, config)
         return replace(config, **{name: getattr(before, name) for name in STANDING})
--- a/tests/planning.py
+++ b/tests/planning.py
@@ -62,7 +62,7 @@
         self.planner = Decisions(
             Catalogue(settings, sizes), 1, sizes, Counters(), lambda: self.now, lambda at_ms, token: None, lambda: None
         )
-        self.planner.runs.workers, self.planner.runs.vault = {"pool": self.ports}, self.ports
+        self.planner.runs.workers, self.planner.runs.vault_calls = {"pool": self.ports}, self.ports
         self.planner.handle(at.WorkersUp())
 
     def submit(self, request, class_name="look", **changes):
--- a/tests/settings/test_shape.py
+++ b/tests/settings/test_shape.py
@@ -163,7 +163,7 @@
     for number in range(3):  # no more may be remembered than there is room for
         names = changed("settings.classes.3.name", f"c{number}")
         wrong = book.change(made(names, "FILE", Operators()).settings, 40_000)
-    assert wrong is not None and "may be" in wrong and "c2" not in book.classes
+    assert wrong is not None and "may be" in wrong and "c2" not in book.active_classes
 
 
 def test_what_tells_how_the_process_began_outlasts_a_change():
