--- a/flintshift/lifecycle/books.py
+++ b/flintshift/lifecycle/books.py
@@ -87,9 +87,7 @@
         attempt.on_answer = partial(self._told, attempt, front, attempt.on_answer)
 
     def _told(self, attempt: Attempt, front: str, tell: Callable[[Answer], None], answer: Answer) -> None:
-        attempt.on_answer = (
-            nobody  # guards against the circle of attempt and callback, which only the collector would free
-        )
+        attempt.on_answer = nobody  # breaks the cycle of attempt and callback, which only the collector would free
         outcome = POORER if attempt.call_skipped and answer.verdict is Verdict.SERVED else WORDS[answer.verdict]
         attempt.ticket = self.ledger.claim(
             bytes.fromhex(attempt.id),
--- a/flintshift/wire/vault.py
+++ b/flintshift/wire/vault.py
@@ -188,9 +188,7 @@
             if not line.reader.buffer:
                 line.reader.feed_data(await line.stream.receive(self.limits.read_chunk_bytes))
             try:
-                with anyio.fail_after(
-                    self.limits.vault_reply_rest_timeout_ms / 1000
-                ):  # a reply comes whole, or is junk
+                with anyio.fail_after(self.limits.vault_reply_timeout_ms / 1000):  # a reply comes whole, or is junk
                     request, word, reply = await self._reply(line.reader)
             except TimeoutError as error:
                 raise JunkError("a reply without end") from error
--- a/tests/wire/test_vault.py
+++ b/tests/wire/test_vault.py
@@ -40,7 +40,7 @@
     vault, told, counters = Vault(tells=True), Journal(), Counters()
     vault.reply = reply
     await vault.start()
-    limits = Limits(vault_reply_rest_timeout_ms=100.0, call_grace_ms=5.0, max_vault_idle_ms=60_000.0)
+    limits = Limits(vault_reply_timeout_ms=100.0, call_grace_ms=5.0, max_vault_idle_ms=60_000.0)
     link = VaultLink(("127.0.0.1", vault.port), limits, counters, told.add, lambda: time.time() * 1000)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
