--- a/flintshift/core/__init__.py
+++ b/flintshift/core/__init__.py
@@ -1,1 +1,1 @@
-"""Kept in memory: requests, attempts, outcomes and the planners. No wire is known here, nothing is sent."""
+"""The core in memory: requests, attempts, outcomes and the planners. It knows no protocol and does no I/O."""
