--- a/flintshift/core/counters.py
+++ b/flintshift/core/counters.py
@@ -1,4 +1,4 @@
-"""What the node took in, sent and answered; printed on request and at exit."""
+"""Counters of what the node received, sent and answered; printed on request and at exit."""
 
 from __future__ import annotations
 
@@ -13,4 +13,5 @@
         self[name] += by
 
     def to_json_line(self, name: str) -> str:
+        """All counters as one line of JSON; ``name`` is the node's."""
         return json.dumps({"node": name, "counters": dict(sorted(self.items()))})
--- a/flintshift/core/mailbox.py
+++ b/flintshift/core/mailbox.py
@@ -1,4 +1,4 @@
-"""A bounded mailbox: what is put in waits for one reader, and being full has a result."""
+"""A bounded mailbox with a single reader: a full one rejects an item or makes its sender wait."""
 
 from __future__ import annotations
 
@@ -11,52 +11,55 @@
 
 
 class Mailbox(Generic[T]):
+    """A queue of at most ``size`` items, read by one task."""
+
     def __init__(self, size: int) -> None:
         self.size = size
         self.items: deque[T] = deque()
-        self.filled: anyio.Event | None = None  # set while the reader waits
-        self.emptied: deque[anyio.Event] = deque()  # of those that wait for room, in their order
+        self.item_added: anyio.Event | None = None  # exists while the reader waits
+        self.waiting_senders: deque[anyio.Event] = deque()  # an event for each, in the order of their arrival
 
     def __len__(self) -> int:
         return len(self.items)
 
     @property
     def idle(self) -> bool:
-        """Nothing is in it, and the reader has done with all that it took: it waits."""
-        return self.filled is not None and not self.items
+        """Whether the mailbox is empty and the reader has handled all that it took: it waits."""
+        return self.item_added is not None and not self.items
 
     def offer(self, item: T, spare: int = 0) -> bool:
-        """Put in without waiting, so no planner blocks; False when that leaves under `spare` places free."""
+        """Add an item without waiting, so no planner blocks; False if that would leave under `spare` places free."""
         if len(self.items) + spare >= self.size:
             return False
         self.items.append(item)
-        if self.filled is not None:
-            self.filled.set()
+        if self.item_added is not None:
+            self.item_added.set()
         return True
 
     async def put(self, item: T) -> None:
-        """Put in, waiting for room: for what must not be lost, which holds up only the one who brings it."""
+        """Add an item that must not be lost: wait while the mailbox is full, which delays only this sender."""
         while not self.offer(item):
-            room = anyio.Event()
-            self.emptied.append(room)
+            place_free = anyio.Event()
+            self.waiting_senders.append(place_free)
             try:
-                await room.wait()
+                await place_free.wait()
             finally:
-                if not room.is_set():  # given up: the next place is not for it
-                    self.emptied.remove(room)
+                if not place_free.is_set():  # cancelled: the next free place is for another sender
+                    self.waiting_senders.remove(place_free)
 
     async def take(self) -> T:
+        """Wait for the next item and remove it."""
         while not self.items:
-            self.filled = anyio.Event()
-            await self.filled.wait()
-            self.filled = None
+            self.item_added = anyio.Event()
+            await self.item_added.wait()
+            self.item_added = None
         return self._next()
 
     def take_now(self) -> T | None:
-        """The next item, or None when there is none."""
+        """Remove and return the next item, or return None when there is none."""
         return self._next() if self.items else None
 
     def _next(self) -> T:
-        if self.emptied:
-            self.emptied.popleft().set()
+        if self.waiting_senders:
+            self.waiting_senders.popleft().set()
         return self.items.popleft()
