--- a/flintshift/core/ports.py
+++ b/flintshift/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core needs of the world outside; each is an actor that takes a command without waiting."""
+"""The ports of the core: what it needs of the world outside. Each takes a command without waiting."""
 
 from __future__ import annotations
 
@@ -10,62 +10,63 @@
 
 
 class Workers(Protocol):
-    """Where requests run. False: the command was not taken, nothing was started by it."""
+    """Where requests run. A method that returns False did not accept its command and started nothing."""
 
     def spawn(self, attempt: Attempt) -> bool: ...
-    def supply(self, request: str, no: int, reply: bytes) -> bool: ...
-    def continue_run(self, request: str, no: int) -> bool: ...
+    def supply(self, request: str, notice: int, reply: bytes) -> bool: ...  # the reply to the call of this notice
+    def continue_run(self, request: str, notice: int) -> bool: ...  # without the reply to that call
 
 
 class VaultCalls(Protocol):
-    """What requests call while they run. False: the call was not taken."""
+    """Calls that requests make to the vault while they run. False: the call was not accepted."""
 
     def start_call(self, request: str, limit_ms: float, payload: bytes, once: bool) -> bool: ...
     def cancel_call(self, request: str) -> None: ...
 
 
 class GaugeSource(Protocol):
+    """Reads the host's gauges; None where they can't be read."""
+
     async def poll(self) -> Gauges | None: ...
 
 
 class UsageRecorder(Protocol):
-    """Who books each request's use. It may hold an answer back until that is kept."""
+    """Records the use of each request. It may delay an answer until its record is durable."""
 
     @property
-    def refusing(self) -> bool: ...  # new work could not be booked, and is not to be taken
-    def track(self, attempt: Attempt, front: str) -> None: ...  # before it is submitted
-    def record_delivery(self, attempt: Attempt, arrived: bool) -> None: ...  # its answer was written, or could not be
-    def record_disconnect(self, attempt: Attempt, front: str) -> None: ...  # its caller went before an answer
+    def refusing(self) -> bool: ...  # the use of new work could not be recorded: it must not be accepted
+    def track(self, attempt: Attempt, front: str) -> None: ...  # called before the attempt is submitted
+    def record_delivery(self, attempt: Attempt, written: bool) -> None: ...  # whether its answer could be written
+    def record_disconnect(self, attempt: Attempt, front: str) -> None: ...  # its caller left before an answer
     def record_late_run(self, attempt: Attempt, took_ms: float) -> None: ...  # a run ended after the final answer
 
 
 class Claims(Protocol):
-    """Who else must agree before a keyed run begins: the other process of this node, or further members of the fleet.
-    It is told what becomes of keys here."""
+    """Those that must agree before a keyed run begins: the other process of this node, or further members of the fleet.
+    They are also notified of what happens to keys here."""
 
     @property
-    def required(self) -> bool: ...
-    def in_doubt(self, attempt: Attempt) -> bool: ...  # it may have run where nobody can be asked any more
-    def request_claim(self, attempt: Attempt) -> None: ...  # answered by the report `Agreed`
-    def cancel_claim(self, request: str) -> None: ...  # nobody waits for that answer
-    def on_key_claimed(self, attempt: Attempt) -> None: ...
-    def record_outcome(
-        self, attempt: Attempt, outcome: Outcome, result: bytes
-    ) -> bool: ...  # answered by the report `Kept`
-    def on_run_ended(self, attempt: Attempt) -> None: ...  # its run has ended, and the table holds how
-    def on_key_freed(self, attempt: Attempt) -> None: ...  # it never ran, and the table holds nothing of it
-    def on_message(self, word: Any) -> None: ...
+    def required(self) -> bool: ...  # a run must be agreed before it begins
+    def in_doubt(self, attempt: Attempt) -> bool: ...  # it may have run in a process that can't be asked any more
+    def request_claim(self, attempt: Attempt) -> None: ...  # answered by the report `ClaimAnswered`
+    def cancel_claim(self, request: str) -> None: ...  # nobody waits for that answer any more
+    def on_key_claimed(self, attempt: Attempt) -> None: ...  # the key table has an entry with this owner
+    # True: the caller is answered only after the report `OutcomeRecorded`.
+    def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool: ...
+    def on_run_ended(self, attempt: Attempt) -> None: ...  # the key table has the outcome
+    def on_key_freed(self, attempt: Attempt) -> None: ...  # it never ran, and the key table has no entry of it
+    def on_message(self, message: Any) -> None: ...
     def tick(self) -> None: ...
 
 
 class FairRanking(Protocol):
-    """Who says where a request stands in a fair order by club and caller, and is told what becomes of it."""
+    """Ranks waiting requests in a fair order by club and caller, and is notified of what happens to them."""
 
     def rank_ms(self, request: str) -> float: ...
-    def on_arrival(self, attempt: Attempt) -> None: ...  # it is on its way to the decisions
+    def on_arrival(self, attempt: Attempt) -> None: ...  # the attempt is handed to the controller
     def on_start(self, request: str) -> None: ...
-    def on_withdrawal(self, request: str) -> None: ...  # without a run
-    def retry_after_ms(self, attempt: Attempt, least_ms: float, most_ms: float) -> float: ...  # it is turned away
+    def on_withdrawal(self, request: str) -> None: ...  # the request leaves the order without a run
+    def retry_after_ms(self, attempt: Attempt, min_ms: float, max_ms: float) -> float: ...  # it is rejected
     def on_end(self, request: str, took_ms: float) -> None: ...
     def tick(self) -> None: ...
 
@@ -77,20 +78,18 @@
 
 
 def log_nothing(level: str, event: str, **fields: Any) -> None:
-    """The log that is off."""
+    """A log that drops every event."""
 
 
 @dataclass(slots=True)
 class ServingStatus:
-    """What the fronts tell callers between answers; written by the decision planner, but for one word."""
+    """What the fronts tell callers beside the answers. The decision planner writes it, except ``out_of_service``."""
 
     workers_up: bool = False  # work can be run
     draining: bool = False
-    out_of_service: bool = (
-        False  # of service: health checks are bad, all else is as always; the control door writes this one
-    )
+    out_of_service: bool = False  # health checks fail, all else goes on; written for operators by the node
     healthy: bool = True  # the answer to health checks
-    health_is_cached: bool = False  # and whether it comes from here alone
+    health_is_cached: bool = False  # deep health checks are answered without asking the worker pool
     free_value: float | None = None
-    idle_timeout_ms: float = 0.0  # connections without a request are closed after so long; 0: left to callers
-    default_retry_after_ms: float = 0.0  # for refusals that no decision was asked for
+    idle_timeout_ms: float = 0.0  # connections without a request are closed after so long; 0: callers close them
+    default_retry_after_ms: float = 0.0  # for refusals without a decision of the controller
