--- a/flintshift/core/open_attempts.py
+++ b/flintshift/core/open_attempts.py
@@ -1,4 +1,4 @@
-"""The table of attempts that were read and are not over, and the one way in which each of them gets its answer."""
+"""The table of open attempts, and the only way in which each of them gets its answer."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 
 
 class OpenAttempts:
-    """By id. An attempt stays after its answer for as long as its run goes on: the end of that is still to be told."""
+    """Open attempts by id. An attempt stays here after its answer while its run goes on, as that run's end is still
+    reported."""
 
     def __init__(self, counters: Counters, now_ms: Callable[[], float], serving_status: ServingStatus) -> None:
         self.counters, self.now_ms, self.serving_status = counters, now_ms, serving_status
         self.ranking: FairRanking | None = None
         self.by_id: dict[str, Attempt] = {}
-        self.closing: list[Attempt] = []  # that may be over, looked at once all is decided of them
+        self.closing: list[Attempt] = []  # may be done; checked by the next sweep
 
     def __contains__(self, request: str) -> bool:
         return request in self.by_id
@@ -27,6 +28,7 @@
 
     @property
     def unanswered(self) -> int:
+        """The number of attempts that are owed an answer."""
         return sum(not attempt.settled for attempt in self.by_id.values())
 
     def get(self, request: str) -> Attempt | None:
@@ -41,11 +43,11 @@
         self.by_id.pop(attempt.id, None)
 
     def close(self, attempt: Attempt) -> None:
-        """Remove it with the next `sweep`, unless its run goes on."""
+        """Remove the attempt in the next `sweep`, unless its run goes on."""
         self.closing.append(attempt)
 
     def sweep(self) -> None:
-        """Only now, after all that was decided of them: out of the table go those that are over."""
+        """Remove closed attempts, after all decisions on them have been applied."""
         for attempt in self.closing:
             if attempt.settled and not attempt.running:
                 self.remove(attempt)
@@ -56,12 +58,12 @@
     # Answers.
 
     def settle(self, attempt: Attempt, answer: Answer) -> None:
-        """Give an attempt its final answer, unless it has one or its caller went."""
+        """Give an attempt its final answer, unless it has one or its caller disconnected."""
         if attempt.settle(answer, self.now_ms()) and attempt.answer is not None:
             self.counters.add(f"answered.{attempt.answer.verdict.value}")
 
-    def settle_end(self, attempt: Attempt, outcome: Outcome, result: bytes) -> None:
-        """Answer with how a run ended: its own, or that of the try which it repeats."""
+    def settle_with_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> None:
+        """Answer by the outcome of a run: the attempt's own, or that of the try which it repeats."""
         if outcome is Outcome.OK:
             self.settle(attempt, Answer(Verdict.SERVED, result))
         elif outcome in NEVER_RAN:
@@ -70,10 +72,10 @@
             self.settle(attempt, Answer(Verdict.FAILED))
 
     def refusal(self) -> Answer:
-        """A refusal that no decision was asked for: it tells the time that the settings name."""
+        """A refusal without a decision of the controller, with the retry time that the settings give."""
         return Answer(Verdict.REFUSED, retry_after_ms=self.serving_status.default_retry_after_ms)
 
-    def leave(self, attempt: Attempt) -> None:
-        """Its caller has gone: no answer is owed any longer."""
+    def mark_disconnected(self, attempt: Attempt) -> None:
+        """Note that the caller disconnected: no answer is owed any more."""
         attempt.caller_disconnected, attempt.settled_ms = True, self.now_ms()
         self.counters.add("departed")
--- a/flintshift/core/runs.py
+++ b/flintshift/core/runs.py
@@ -1,6 +1,7 @@
-"""What becomes of attempts that run: the worker pool's and the vault's reports of them, and the controller's actions.
+"""Runs of attempts: the reports of the worker pool and the vault about them, and the controller's actions on them.
 
-An attempt runs at most once. How the run of a keyed one ended is kept in the key table before it is told to anybody.
+An attempt runs at most once. The outcome of a keyed attempt's run is stored in the key table before it is reported to
+anyone.
 """
 
 from __future__ import annotations
@@ -21,7 +22,8 @@
 
 
 class Runs:
-    """``pending`` takes the reports that an action brings about; they are handled once the action is applied."""
+    """Applies reports and actions to open attempts. Reports that result from an action go to ``pending`` and are handled
+    after it."""
 
     def __init__(
         self,
@@ -39,10 +41,10 @@
         self.vault_calls: VaultCalls
         self.usage_recorder: UsageRecorder | None = None
         self.handlers: dict[type, Callable[[Attempt, Any], api.Event | None]] = {
-            at.CallRequested: self._call_wanted,
-            at.ReplyInDoubt: self._reply_unsure,
-            at.CallFinished: self._call_over,
-            at.RunFinished: self._run_over,
+            at.CallRequested: self._on_call_requested,
+            at.ReplyInDoubt: self._on_reply_in_doubt,
+            at.CallFinished: self._on_call_finished,
+            at.RunFinished: self._on_run_finished,
         }
         self.action_handlers: dict[type, Callable[[Attempt, Any], None]] = {
             api.Run: self._run,
@@ -56,17 +58,17 @@
             api.Stop: self._stop,
         }
 
-    def event(self, report: at.RunReport) -> api.Event | None:
-        """Book a report of a run and make of it the controller's event, if it concerns it."""
+    def event_for(self, report: at.RunReport) -> api.Event | None:
+        """Update the state by a report; returns the controller's event, if the report concerns the controller."""
         attempt = self.attempts.get(report.request)
-        if attempt is None:  # it is over: late reports of it change nothing
+        if attempt is None:  # the attempt is closed: late reports about it are ignored
             return None
         return self.handlers[type(report)](attempt, report)
 
     def apply(self, action: api.RequestAction) -> None:
-        """Do what the controller has decided of an attempt."""
+        """Carry out what the controller has decided about an attempt."""
         attempt = self.attempts.get(action.request)
-        if attempt is not None:  # else over already: as on the simulator's wire, this harms nothing
+        if attempt is not None:  # else it is closed and the action is ignored, as in the simulator
             self.action_handlers[type(action)](attempt, action)
 
     def _workers(self, attempt: Attempt) -> Workers:
@@ -75,21 +77,21 @@
     # Reports.
 
     @staticmethod
-    def _call_wanted(attempt: Attempt, report: at.CallRequested) -> api.Event:
+    def _on_call_requested(attempt: Attempt, report: at.CallRequested) -> api.Event:
         attempt.call_notice, attempt.call_payload = report.notice, report.call_payload
         return api.CallNeeded(attempt.id)
 
-    def _reply_unsure(self, attempt: Attempt, report: at.ReplyInDoubt) -> None:
-        """Without the reply the run would stand there for ever: where the call may be left out, it goes on poorer if
-        the reply was lost. Elsewhere the reply can't be repeated: it might meet the next call of the run."""
+    def _on_reply_in_doubt(self, attempt: Attempt, report: at.ReplyInDoubt) -> None:
+        """Have the run go on without the reply if the call may be skipped, as it would wait for a lost reply for ever.
+        Otherwise nothing is done: a reply sent again might be taken for the reply to the run's next call."""
         self.counters.add("replies_unsure")
         skippable = attempt.request_class is not None and attempt.request_class.skip_worth
         if skippable and attempt.call_notice == report.notice and not attempt.settled:
             self._workers(attempt).continue_run(attempt.id, report.notice)
             attempt.call_skipped = True
 
-    def _call_over(self, attempt: Attempt, report: at.CallFinished) -> api.Event | None:
-        if not attempt.call_pending:  # given up meanwhile
+    def _on_call_finished(self, attempt: Attempt, report: at.CallFinished) -> api.Event | None:
+        if not attempt.call_pending:  # the call was cancelled meanwhile
             return None
         attempt.call_pending = False
         if report.outcome is Outcome.OK and not self._workers(attempt).supply(
@@ -98,7 +100,7 @@
             self.counters.add("dropped.supply")
         return api.CallEnded(attempt.id, report.outcome, report.took_ms)
 
-    def _run_over(self, attempt: Attempt, report: at.RunFinished) -> api.Event:
+    def _on_run_finished(self, attempt: Attempt, report: at.RunFinished) -> api.Event:
         attempt.running = False
         attempt.run_ms += report.took_ms
         if self.attempts.ranking is not None:
@@ -111,19 +113,19 @@
         entry = self.keys.owned_entry(attempt)
         if report.outcome in NEVER_RAN:
             attempt.ran = False
-            self._free(attempt)
+            self._free_key(attempt)
         elif entry is not None and attempt.ran:
             if self.waiting_claims.record_outcome(attempt, report.outcome, report.result):
                 self.attempts.remove(attempt)
                 return api.RunEnded(attempt.id, report.outcome, report.took_ms)
-            self._ended(entry, report.outcome, report.result)
+            self._finish_followers(entry, report.outcome, report.result)
             self.waiting_claims.on_run_ended(attempt)
-        self.attempts.settle_end(attempt, report.outcome, report.result)
+        self.attempts.settle_with_outcome(attempt, report.outcome, report.result)
         self.attempts.remove(attempt)
         return api.RunEnded(attempt.id, report.outcome, report.took_ms)
 
-    def kept(self, report: at.OutcomeRecorded) -> None:
-        """How a run ended is kept elsewhere too, or can't be in time for its caller."""
+    def on_outcome_recorded(self, report: at.OutcomeRecorded) -> None:
+        """Answer an attempt whose outcome is recorded elsewhere too, or can't be in time for its caller."""
         outcome, result = report.outcome, report.result
         attempt = self.waiting_claims.on_outcome_recorded(report.request, outcome)
         if attempt is None:
@@ -134,17 +136,18 @@
             return
         entry = self.keys.owned_entry(attempt)
         if entry is not None:
-            self._ended(entry, outcome, result)
-        self.attempts.settle_end(attempt, outcome, result)
+            self._finish_followers(entry, outcome, result)
+        self.attempts.settle_with_outcome(attempt, outcome, result)
 
-    def _ended(self, entry: KeyEntry, outcome: Outcome, result: bytes) -> None:
+    def _finish_followers(self, entry: KeyEntry, outcome: Outcome, result: bytes) -> None:
+        """Store the outcome of a key's run, and report it to the attempts that waited for it."""
         for follower in self.keys.record_outcome(entry, outcome, result):
             self.pending.append(at.RunFinished(follower, outcome, 0.0, result))
 
     # Actions.
 
     def _run(self, attempt: Attempt, _: api.Run) -> None:
-        if attempt.ran or attempt.settled:  # guards against a second run and a run that nobody wants
+        if attempt.ran or attempt.settled:  # guards against a second run and a run that no caller waits for
             return
         attempt.ran = attempt.running = True
         self.counters.add("run")
@@ -155,16 +158,16 @@
             self.pending.append(at.RunFinished(attempt.id, Outcome.REJECTED))
 
     def _refuse(self, attempt: Attempt, action: api.Refuse) -> None:
-        stay_away_ms = action.stay_away_ms
+        retry_after_ms = action.stay_away_ms
         if (
             self.attempts.ranking is not None
             and self.serving_status.default_retry_after_ms
             and not self.serving_status.draining
         ):
-            stay_away_ms = self.attempts.ranking.retry_after_ms(
-                attempt, stay_away_ms, self.serving_status.default_retry_after_ms
+            retry_after_ms = self.attempts.ranking.retry_after_ms(
+                attempt, retry_after_ms, self.serving_status.default_retry_after_ms
             )
-        self.attempts.settle(attempt, Answer(Verdict.REFUSED, b"", stay_away_ms, action.not_elsewhere))
+        self.attempts.settle(attempt, Answer(Verdict.REFUSED, b"", retry_after_ms, action.not_elsewhere))
         self.attempts.close(attempt)
 
     def _fail(self, attempt: Attempt, _: api.Fail) -> None:
@@ -190,19 +193,19 @@
             self.counters.add("dropped.pass")
 
     def _keep(self, attempt: Attempt, action: api.Keep) -> None:
-        if attempt.request_key is None:  # reads are kept only where answers may be shared
+        if attempt.request_key is None:  # reads are stored only if answers may be shared
             return
         self.keys.claim(attempt, self.now_ms() + action.for_ms)
         self.waiting_claims.on_key_claimed(attempt)
 
     def _forget(self, attempt: Attempt, _: api.Forget) -> None:
-        self._free(attempt)
+        self._free_key(attempt)
 
     def _stop(self, attempt: Attempt, _: api.Stop) -> None:
-        self.counters.add("dropped.stop")  # the worker pool has no such command
+        self.counters.add("dropped.stop")  # the worker pool has no command to stop a run
 
     def _follow(self, attempt: Attempt, _: api.AnswerFromOriginal) -> None:
-        """Answer with the end of the try that it repeats, now or once that has ended."""
+        """Answer with the outcome of the try that it repeats, now or once that try's run has ended."""
         entry = self.keys.find(attempt)
         self.counters.add("repeats")
         attempt.reuses_result = True
@@ -215,8 +218,8 @@
         else:
             entry.followers.append(attempt.id)
 
-    def _free(self, attempt: Attempt) -> None:
-        """It never ran, so its key is free; those that waited for it never ran either."""
+    def _free_key(self, attempt: Attempt) -> None:
+        """Free the key of an attempt that never ran; the attempts that waited for it never ran either."""
         if not attempt.ran and self.keys.owned_entry(attempt) is not None:
             for follower in self.keys.release(attempt):
                 self.pending.append(at.RunFinished(follower, Outcome.REJECTED))
--- a/flintshift/core/waiting_claims.py
+++ b/flintshift/core/waiting_claims.py
@@ -1,7 +1,8 @@
-"""Keyed attempts that wait for others: for their word on the key before a run, and for them to keep its end after it.
+"""Keyed attempts that wait for other processes: for the claim on their key before a run, and for the record of its
+outcome after it.
 
-Who the others are is known by the port `Claims`: the other process of an upgrade, or further members of the fleet.
-Without such a port nothing ever waits here.
+The port `Claims` knows these processes: the other process of an upgrade, or further members of the fleet. Without such
+a port no attempt waits here.
 """
 
 from __future__ import annotations
@@ -14,38 +15,38 @@
 
 
 class ClaimState(Enum):
-    """What became of the question whether an attempt may run."""
+    """Whether an attempt may run, or must wait for the answer to its claim."""
 
     NOT_NEEDED = "not_needed"  # this process decides alone
-    WAITING = "waiting"  # the report `Agreed` will tell
-    UNSURE = "unsure"  # it may have run where nobody can be asked any more
+    WAITING = "waiting"  # until the report `ClaimAnswered`
+    UNSURE = "unsure"  # it may have run in a process that can't be asked any more
 
 
 class WaitingClaims:
-    """The attempts that wait, and the port at which they do; one attempt a connection at most."""
+    """The attempts that wait and the port that they wait for; at most one attempt per connection."""
 
     def __init__(self) -> None:
         self.claims: Claims | None = None
-        self.may_run_elsewhere = False  # a further try may be of a request that ran at another member of the fleet
-        self.awaiting_claim: dict[str, Attempt] = {}  # the others' word on their keys
-        self.awaiting_record: dict[str, Attempt] = {}  # they ran, and are answered once their end is kept elsewhere too
+        self.may_run_elsewhere = False  # an earlier try may have run at another member of the fleet
+        self.awaiting_claim: dict[str, Attempt] = {}  # by id: the claim on their keys is not answered yet
+        self.awaiting_record: dict[str, Attempt] = {}  # by id: they ran; answered once the outcome is recorded
 
     def __contains__(self, request: str) -> bool:
         return request in self.awaiting_claim or request in self.awaiting_record
 
     @property
     def open(self) -> int:
-        """Requests that wait here and are owed an answer."""
+        """The number of attempts that wait here and are owed an answer."""
         return len(self.awaiting_claim) + sum(not attempt.settled for attempt in self.awaiting_record.values())
 
     def may_have_run(self, attempt: Attempt, marks_repeats: bool) -> bool:
-        """An earlier try of it may have run where this process can't see it; ``marks_repeats``: callers mark tries."""
+        """Whether an earlier try of it may have run elsewhere; ``marks_repeats``: callers mark their repeats."""
         return self.may_run_elsewhere and (attempt.marked_repeat or not marks_repeats)
 
     # Before a run.
 
     def request_claim(self, attempt: Attempt) -> ClaimState:
-        """Have the others say whether this attempt, of whose key nothing is known here, may run."""
+        """Ask the other processes whether this attempt, whose key is unknown here, may run."""
         if self.claims is None:
             return ClaimState.NOT_NEEDED
         if self.claims.in_doubt(attempt):
@@ -57,44 +58,44 @@
         return ClaimState.WAITING
 
     def on_claim_answered(self, request: str) -> Attempt | None:
-        """Their word on it has come, or can't come any more; None where nobody waits for it."""
+        """The claim was answered, or can't be answered any more; returns the attempt, if it still waits."""
         return self.awaiting_claim.pop(request, None)
 
     def on_caller_disconnected(self, attempt: Attempt) -> bool:
-        """The caller of an attempt went; False where it does not wait here. What has run stays until its end is kept:
-        its repeats are to get it."""
+        """The caller of an attempt disconnected; False if the attempt does not wait here. One that has run stays until
+        its outcome is recorded, as repeats of it must get that outcome."""
         if self.awaiting_claim.pop(attempt.id, None) is None:
             return attempt.id in self.awaiting_record
         if self.claims is not None:
             self.claims.cancel_claim(attempt.id)
         return True
 
-    # What becomes of a key here.
+    # Changes of a key in this process.
 
     def on_key_claimed(self, attempt: Attempt) -> None:
-        """The table holds the entry of its key."""
+        """The key table has an entry that the attempt owns."""
         if self.claims is not None:
             self.claims.on_key_claimed(attempt)
 
     def on_key_freed(self, attempt: Attempt) -> None:
-        """It never ran, and the table holds nothing of it."""
+        """The attempt never ran, and the key table has no entry of it."""
         if self.claims is not None:
             self.claims.on_key_freed(attempt)
 
     def on_run_ended(self, attempt: Attempt) -> None:
-        """Its run has ended, and the table holds how."""
+        """The attempt's run has ended, and the key table has the outcome."""
         if self.claims is not None:
             self.claims.on_run_ended(attempt)
 
     def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
-        """The others are to keep how it ended before it is answered: the report `Kept` will tell."""
+        """Have the outcome recorded elsewhere. True: the attempt is answered only after `OutcomeRecorded`."""
         if self.claims is None or not self.claims.record_outcome(attempt, outcome, result):
             return False
         self.awaiting_record[attempt.id] = attempt
         return True
 
     def on_outcome_recorded(self, request: str, outcome: Outcome | None) -> Attempt | None:
-        """They keep it, or (no outcome) can't in time for its caller, and go on trying."""
+        """The outcome is recorded. None: it can't be in time for the caller, and recording is still retried."""
         if outcome is None:
             return self.awaiting_record.get(request)
         return self.awaiting_record.pop(request, None)
