--- a/flintshift/core/runs.py
+++ b/flintshift/core/runs.py
@@ -22,8 +22,9 @@
 
 
 class Runs:
-    """Applies reports and actions to open attempts. Reports that result from an action go to ``pending`` and are handled
-    after it."""
+    """Applies reports and actions to open attempts.
+
+    Reports that result from an action go to ``pending``, where they are handled after it."""
 
     def __init__(
         self,
