--- a/flintshift/core/attempts.py
+++ b/flintshift/core/attempts.py
@@ -1,4 +1,4 @@
-"""Requests and attempts: what was read, what became of it, and the guard of its one final answer."""
+"""Attempts of requests with their single final answer, and the reports that the decision planner handles."""
 
 from __future__ import annotations
 
@@ -10,97 +10,112 @@
 
 from flintshift.interface import Gauges, LearnedEstimates, Outcome, RequestClass
 
-NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.MOOT})  # what proves that
+NEVER_RAN = frozenset(
+    {Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.MOOT}
+)  # outcomes that prove that a run never began
 
 
 class Verdict(Enum):
+    """How the final answer to an attempt turned out."""
+
     SERVED = "served"
     REFUSED = "refused"  # this attempt never ran
     FAILED = "failed"
-    CONFLICT = "conflict"  # failed: its id is open, or its key is that of another request
+    CONFLICT = "conflict"  # failed: its id is already open, or its key belongs to another request
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
+    """The final answer to an attempt, as a front writes it."""
+
     verdict: Verdict
     body: bytes = b""
-    wait_ms: float = 0.0  # how long the caller should stay away
-    terminal: bool = False  # the wish that no other node be tried
+    retry_after_ms: float = 0.0  # how long the caller should wait before it retries
+    terminal: bool = False  # the caller is asked not to try another node
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of a request, as it was read."""
+    """One try of a request: the fields that were read, and the state of its processing."""
 
     id: str
     class_name: str
-    door_ms: float  # when it came to the machine, by the node's clock
-    held_kb: float
+    arrival_ms: float  # when it reached the machine, by the node's clock
+    memory_kb: float
     caller: int
     body: bytes
     tenant: str | None = None
-    again: bool = False
-    unique: str | None = None  # in keyed classes, and there alone: the same for all tries
+    marked_repeat: bool = False
+    request_key: str | None = None  # set in keyed classes only; the same for all tries of a request
     subject: int | None = None
-    allow_ms: float | None = None  # how long its caller waits from then on, where it tells
-    kind: RequestClass | None = None  # as the settings held it when the request was taken
-    workers: str = "pool"  # where it is run
-    head: bytes = b""  # what goes before the body there, as it came
-    tell: Callable[[Answer], None] = lambda answer: None
+    caller_timeout_ms: float | None = None  # how long its caller waits after the arrival, if it says so
+    request_class: RequestClass | None = None  # as in the settings when the attempt was accepted
+    workers: str = "pool"  # the name of the workers that run it
+    head: bytes = b""  # bytes sent to these workers before the body, as they were received
+    on_answer: Callable[[Answer], None] = lambda answer: None
     answer: Answer | None = None
-    gone: bool = False
+    caller_disconnected: bool = False
     running: bool = False
     ran: bool = False
-    calling: bool = False
-    call_no: int = 0  # the notice that asked for the call it stands at
-    payload: bytes = b""  # of that call
-    over_ms: float = 0.0  # when it was answered or its caller went
-    run_ms: float = 0.0  # of its own run, once over
-    calls: int = 0  # it made below
-    kept: bool = False  # it gets the result of an earlier try
-    poorer: bool = False  # a call was left out
-    ticket: Any = None  # of whoever books it
+    call_pending: bool = False
+    call_notice: int = 0  # number of the notice that requested the pending call
+    call_payload: bytes = b""  # the pending call's payload
+    settled_ms: float = 0.0  # when it was answered or its caller disconnected
+    run_ms: float = 0.0  # duration of its own run, known once that has ended
+    call_count: int = 0  # calls that its run made to the vault
+    reuses_result: bool = False  # it is answered with the result of an earlier try
+    call_skipped: bool = False  # its run went on without the reply to a call
+    ticket: Any = None  # set by the usage recorder
 
     @property
-    def over(self) -> bool:
-        return self.gone or self.answer is not None
+    def settled(self) -> bool:
+        """Whether no answer is owed any more: it was answered, or its caller disconnected."""
+        return self.caller_disconnected or self.answer is not None
 
     @property
-    def due_ms(self) -> float:
-        """When its final answer is due, by the clock of ``door_ms``: its class's deadline, or sooner where its caller
-        waits for less. Without a class there is none."""
-        deadline_ms = self.kind.deadline_ms if self.kind is not None else math.inf
-        return self.door_ms + (deadline_ms if self.allow_ms is None else min(self.allow_ms, deadline_ms))
+    def deadline_at_ms(self) -> float:
+        """When the final answer is due, by the clock of ``arrival_ms``: after the deadline of its class, or earlier if
+        its caller waits for less. Infinite without a class and without a caller's timeout."""
+        deadline_ms = self.request_class.deadline_ms if self.request_class is not None else math.inf
+        return self.arrival_ms + (
+            deadline_ms if self.caller_timeout_ms is None else min(self.caller_timeout_ms, deadline_ms)
+        )
 
     def settle(self, answer: Answer, now_ms: float) -> bool:
-        """Give the final answer. Guards against a second one, against an answer to a caller that went, and
-        against a refusal of what has run: that becomes a failure."""
-        if self.over:
+        """Give the final answer; False if none is owed any more.
+
+        Guards against a second answer, against an answer to a caller that disconnected, and against refusing an
+        attempt that has run: that refusal becomes a failure."""
+        if self.settled:
             return False
         if answer.verdict is Verdict.REFUSED and self.ran:
             answer = Answer(Verdict.FAILED)
-        self.answer, self.over_ms = answer, now_ms
-        self.tell(answer)
+        self.answer, self.settled_ms = answer, now_ms
+        self.on_answer(answer)
         return True
 
 
-# What the decision planner is told.
+# Reports to the decision planner.
 
 
 @dataclass(slots=True)
 class Submitted:
+    """A front has read an attempt and hands it over."""
+
     attempt: Attempt
 
 
 @dataclass(slots=True)
-class Departed:
-    """The caller stopped waiting. It names the attempt itself: two that are open may bear the same id."""
+class CallerDisconnected:
+    """The caller stopped waiting. The report holds the attempt itself, as two open attempts may have the same id."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True)
-class RunOver:
+class RunFinished:
+    """A run ended, or could not begin."""
+
     request: str
     outcome: Outcome
     took_ms: float = 0.0
@@ -108,22 +123,26 @@
 
 
 @dataclass(slots=True)
-class CallWanted:
+class CallRequested:
+    """A run needs the reply to a call to the vault."""
+
     request: str
-    no: int
-    payload: bytes
+    notice: int
+    call_payload: bytes
 
 
 @dataclass(slots=True)
-class ReplyUnsure:
-    """The reply to the call at this notice may never have reached the run."""
+class ReplyInDoubt:
+    """The reply to the call that this notice requested may never have reached the run."""
 
     request: str
-    no: int
+    notice: int
 
 
 @dataclass(slots=True)
-class CallOver:
+class CallFinished:
+    """A call to the vault ended."""
+
     request: str
     outcome: Outcome
     took_ms: float = 0.0
@@ -131,46 +150,48 @@
 
 
 @dataclass(slots=True)
-class Notice:
-    """The notice to leave."""
+class ShutdownNotice:
+    """The platform asks this process to stop."""
 
     stops_in_ms: float
 
 
 @dataclass(slots=True)
 class Tick:
+    """A time that the controller asked for has come; carries the gauges read for it."""
+
     token: str
     gauges: Gauges = field(default_factory=Gauges)
 
 
 @dataclass(slots=True)
-class Up:
-    """Work can be run from now on."""
+class WorkersUp:
+    """The worker pool is linked: work can be run from now on."""
 
 
 @dataclass(slots=True)
-class Changed:
-    """The catalogue is not what it was."""
+class CatalogueChanged:
+    """The catalogue of classes and clubs, or the share of the limits, has changed."""
 
 
 @dataclass(slots=True)
-class Taught:
-    """What another process of this node has learned of its machine."""
+class LearnedStateReceived:
+    """What the controller in another process of this node has learned about the machine."""
 
     learned: LearnedEstimates
 
 
 @dataclass(slots=True)
-class Told:
-    """A word of, or about, another process of this node."""
+class MessageReceived:
+    """A message from another process of this node or from a member, or an event of the link to it."""
 
-    word: Any
+    message: Any
 
 
 @dataclass(slots=True)
-class Agreed:
-    """Whether an attempt may run under its key. None: that can't be known: it may have run elsewhere, unless it
-    ``never_ran``."""
+class ClaimAnswered:
+    """Whether an attempt may run under its key. ``granted`` is None where that can't be known: it may then have run
+    elsewhere, unless it ``never_ran``."""
 
     request: str
     granted: bool | None
@@ -178,15 +199,28 @@
 
 
 @dataclass(slots=True)
-class Kept:
-    """How a run ended, as it is kept for all tries of its request. None: that can't be known in time for its caller."""
+class OutcomeRecorded:
+    """How a run ended, as recorded elsewhere for all tries of its request. ``outcome`` is None where the record can't
+    be confirmed in time for the caller."""
 
     request: str
     outcome: Outcome | None
     result: bytes = b""
 
 
-RunReport = RunOver | CallWanted | ReplyUnsure | CallOver
-"""Of a run that goes on, or has just ended."""
-
-Report = Submitted | Departed | RunReport | Notice | Tick | Up | Changed | Told | Agreed | Kept | Taught
+RunReport = RunFinished | CallRequested | ReplyInDoubt | CallFinished
+"""A report about a run that goes on or has just ended."""
+
+Report = (
+    Submitted
+    | CallerDisconnected
+    | RunReport
+    | ShutdownNotice
+    | Tick
+    | WorkersUp
+    | CatalogueChanged
+    | MessageReceived
+    | ClaimAnswered
+    | OutcomeRecorded
+    | LearnedStateReceived
+)
--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -1,7 +1,7 @@
-"""The decision planner: sole owner of the controller, the requests and the keys.
+"""The decision planner: the only owner of the controller, the requests and the keys.
 
-The rules hold for the node as a whole, so there is one of it. It takes one report at a time and applies what
-the controller answers in order, without waiting between.
+The rules apply to the node as a whole, so there is one planner. It handles one report at a time and applies the
+controller's actions in order, without waiting in between.
 """
 
 from __future__ import annotations
@@ -20,23 +20,24 @@
 from flintshift.core.attempts import Answer, Attempt, Verdict
 from flintshift.core.catalogue import Catalogue
 from flintshift.core.counters import Counters
-from flintshift.core.keys import Entry, KeyTable, fingerprint
-from flintshift.core.limit_share import WHOLE, LimitShare, scaled, share_of
+from flintshift.core.keys import KeyEntry, KeyTable, fingerprint
+from flintshift.core.limit_share import FULL_SHARE, LimitShare, scale_settings, usage_share
 from flintshift.core.limits import Limits
 from flintshift.core.mailbox import Mailbox
 from flintshift.core.open_attempts import OpenAttempts
-from flintshift.core.ports import Posture, Ranks
+from flintshift.core.ports import FairRanking, ServingStatus
 from flintshift.core.runs import Runs
-from flintshift.core.waiting_claims import Asked, WaitingClaims
+from flintshift.core.waiting_claims import ClaimState, WaitingClaims
 from flintshift.interface import Outcome
 
-LEAST_PATIENCE_MS = 1e-3
+MIN_PATIENCE_MS = 1e-3
 
 
 class Decisions:
     """Takes reports from the mailbox one at a time, asks the controller, and applies its actions in order.
 
-    ``wake_at`` asks for a `Tick` at a time, and ``list_`` is called when what the node's lists are told changes."""
+    ``wake_at`` asks for a `Tick` at a time; ``update_lists`` is called when what the node reports to the name service
+    and to DNS may have changed."""
 
     def __init__(
         self,
@@ -46,104 +47,110 @@
         counters: Counters,
         now_ms: Callable[[], float],
         wake_at: Callable[[float, str], None],
-        list_: Callable[[], None],
+        update_lists: Callable[[], None],
     ) -> None:
         self.catalogue, self.limits, self.counters = catalogue, limits, counters
-        self.now_ms, self.wake_at, self.list = now_ms, wake_at, list_
-        self.share = WHOLE  # of the node's limits, for this process
-        settings = self._settings()
+        self.now_ms, self.wake_at, self.update_lists = now_ms, wake_at, update_lists
+        self.share = FULL_SHARE  # this process's share of the node's limits
+        settings = self._scaled_settings()
         self.controller = Controller(settings, seed)
-        self.mailbox: Mailbox[at.Report] = Mailbox(limits.mailbox)
-        self.posture = Posture(wait_ms=settings.advice_max_ms * settings.advice_allowed)
-        self.attempts = OpenAttempts(counters, now_ms, self.posture)
+        self.mailbox: Mailbox[at.Report] = Mailbox(limits.mailbox_size)
+        self.serving_status = ServingStatus(default_retry_after_ms=settings.advice_max_ms * settings.advice_allowed)
+        self.attempts = OpenAttempts(counters, now_ms, self.serving_status)
         self.keys = KeyTable(limits)
-        self.waiting = WaitingClaims()
-        self.pending: deque[at.Report] = deque()  # what applying an action has brought about
-        self.runs = Runs(self.attempts, self.keys, self.waiting, self.pending, self.posture, counters, now_ms)
-        self.purged_ms = 0.0
+        self.waiting_claims = WaitingClaims()
+        self.pending: deque[at.Report] = deque()  # reports that result from an action, handled before the next one
+        self.runs = Runs(
+            self.attempts, self.keys, self.waiting_claims, self.pending, self.serving_status, counters, now_ms
+        )
+        self.last_purge_ms = 0.0
         self.handlers: dict[type, Callable[[Any], api.Event | None]] = {
-            at.Submitted: self._submitted,
-            at.Tick: self._ticked,
-            at.Up: self._came_up,
-            at.Told: self._told,
-            at.Taught: self._taught,
-            at.Agreed: self._agreed,
-            at.Kept: self.runs.kept,
-            at.Departed: self._departed,
-            at.Changed: self._changed,
-            at.Notice: self._noticed,
+            at.Submitted: self._on_submitted,
+            at.Tick: self._on_tick,
+            at.WorkersUp: self._on_workers_up,
+            at.MessageReceived: self._on_message,
+            at.LearnedStateReceived: self._on_learned_state,
+            at.ClaimAnswered: self._on_claim_answered,
+            at.OutcomeRecorded: self.runs.on_outcome_recorded,
+            at.CallerDisconnected: self._on_caller_disconnected,
+            at.CatalogueChanged: self._on_change,
+            at.ShutdownNotice: self._on_shutdown_notice,
         }
 
-    # For the forwarders.
+    # Called by the fronts and the node.
 
     def submit(self, attempt: Attempt) -> None:
-        """Take a request that was read. A full mailbox refuses it here and now: it never ran. Guards a
-        repeat, whose first try may have run, against a refusal: it has the spare room, or fails."""
-        repeat = self._repeats(attempt)
-        spare = 0 if repeat else self.limits.mailbox_spare
-        if self.runs.books is not None and self.runs.books.refusing and not repeat:
+        """Accept an attempt that was read. If the mailbox is full, the attempt is refused at once, as it never ran. A
+        repeat, whose first try may have run, must not be refused: it may use the reserved places, or it fails."""
+        repeat = self._is_repeat(attempt)
+        spare = 0 if repeat else self.limits.mailbox_reserve
+        if self.runs.usage_recorder is not None and self.runs.usage_recorder.refusing and not repeat:
             self.counters.add("refused.not_bookable")
             self.attempts.settle(attempt, self.attempts.refusal())
             return
-        if not repeat and not self.catalogue.takes(attempt.class_name, self.now_ms()):
+        if not repeat and not self.catalogue.accepts(attempt.class_name, self.now_ms()):
             self.counters.add("refused.class_dropped")
             self.attempts.settle(attempt, self.attempts.refusal())
             return
-        if not self.posture.up or not self.mailbox.offer(at.Submitted(attempt), spare):
-            self.counters.add("full.mailbox" if self.posture.up else "full.not_up")
+        if not self.serving_status.workers_up or not self.mailbox.offer(at.Submitted(attempt), spare):
+            self.counters.add("full.mailbox" if self.serving_status.workers_up else "full.not_up")
             self.attempts.settle(attempt, Answer(Verdict.FAILED) if repeat else self.attempts.refusal())
 
-    def turn_away(self, attempt: Attempt) -> None:
-        """Answer a request for which there is no place, here and now: it never ran. A repeat, whose first try may have
-        run, fails."""
+    def reject(self, attempt: Attempt) -> None:
+        """Answer an attempt at once for want of a connection: it never ran, so it is refused. A repeat, whose first try
+        may have run, fails."""
         self.counters.add("full.connections")
-        self.attempts.settle(attempt, Answer(Verdict.FAILED) if self._repeats(attempt) else self.attempts.refusal())
+        self.attempts.settle(attempt, Answer(Verdict.FAILED) if self._is_repeat(attempt) else self.attempts.refusal())
 
     def change(self, settings: api.Settings) -> str | None:
-        """Go on under new settings from this very turn on; else why not. What is open ends under those it came with."""
-        fault = self.catalogue.change(settings, self.now_ms())
-        if fault is None:
-            self.handle(at.Changed())
-        return fault
-
-    def keep_to(self, share: LimitShare) -> None:
-        """Use no more of the node's limits than this from now on: another process has the rest."""
+        """Apply new settings at once, or return the reason why they can't be. Open requests end under those that they
+        arrived with."""
+        rejection = self.catalogue.change(settings, self.now_ms())
+        if rejection is None:
+            self.handle(at.CatalogueChanged())
+        return rejection
+
+    def set_limit_share(self, share: LimitShare) -> None:
+        """Use at most this share of the node's limits from now on; another process has the rest."""
         if share != self.share:
             self.share = share
-            self.pending.append(at.Changed())
+            self.pending.append(at.CatalogueChanged())
 
-    def rank_by(self, ranks: Ranks) -> None:
-        """Have what waits ranked by this port."""
-        self.attempts.ranks, self.controller.rank = ranks, ranks.rank_ms
+    def use_ranking(self, ranking: FairRanking) -> None:
+        """Have this port rank the requests that wait."""
+        self.attempts.ranking, self.controller.rank = ranking, ranking.rank_ms
 
-    def used(self) -> LimitShare:
-        """The share of the node's limits that this process uses now."""
-        return share_of(self.catalogue.decided, *self.controller.resource_usage())
+    def used_share(self) -> LimitShare:
+        """The share of the node's limits that this process uses at present."""
+        return usage_share(self.catalogue.effective_settings, *self.controller.resource_usage())
 
-    def _settings(self) -> api.Settings:
-        settings = scaled(self.catalogue.decided, self.share)
-        # The grace counts from when the notice was given, not from when it was heard.
-        return replace(settings, drain_grace_ms=max(0.0, settings.drain_grace_ms - self.limits.notice_late_ms))
+    def _scaled_settings(self) -> api.Settings:
+        settings = scale_settings(self.catalogue.effective_settings, self.share)
+        # The grace period begins when the notice is sent, not when this process receives it.
+        return replace(settings, drain_grace_ms=max(0.0, settings.drain_grace_ms - self.limits.max_notice_delay_ms))
 
     def tick(self, tick: at.Tick) -> None:
-        """Handle a tick in this very turn: due times must not wait behind all that has arrived."""
+        """Handle a tick at once: deadlines must not wait behind the arrivals in the mailbox."""
         self.handle(tick)
 
     async def report(self, report: at.Report) -> None:
+        """Put a report into the mailbox, waiting while that is full."""
         await self.mailbox.put(report)
 
     async def run(self) -> None:
+        """Handle the reports in the mailbox for ever."""
         for turn in itertools.count(1):
             self.handle(await self.mailbox.take())
-            if turn % self.limits.batch == 0:  # a full mailbox must not keep the forwarders from their turn
+            if turn % self.limits.batch_size == 0:  # a full mailbox must not keep the fronts from running
                 await checkpoint()
 
     # One report at a time.
 
     def handle(self, report: at.Report) -> None:
+        """Handle a report and all reports that result from it."""
         self.pending.append(report)
         while self.pending:
-            event = self._event(self.pending.popleft())
+            event = self._event_for(self.pending.popleft())
             if event is not None:
                 self._decide(event)
             self.attempts.sweep()
@@ -157,77 +164,77 @@
             case api.WakeAt(at_ms, token):
                 self.wake_at(at_ms, token)
             case api.SetHealth(good, from_store):
-                self.posture.good, self.posture.from_store = good, from_store
+                self.serving_status.healthy, self.serving_status.health_is_cached = good, from_store
             case api.SetFreeValue(value):
-                self.posture.free_value = value
+                self.serving_status.free_value = value
             case api.CloseIdle(idle_ms):
-                self.posture.idle_ms = idle_ms
+                self.serving_status.idle_timeout_ms = idle_ms
             case _:
                 self.runs.apply(action)
 
-    def _event(self, report: at.Report) -> api.Event | None:
-        """Book a report and make of it the controller's event, if it concerns it."""
+    def _event_for(self, report: at.Report) -> api.Event | None:
+        """Update the state by a report; returns the controller's event, if the report concerns the controller."""
         if isinstance(report, at.RunReport):
-            return self.runs.event(report)
+            return self.runs.event_for(report)
         return self.handlers[type(report)](report)
 
-    # Reports of the node.
+    # Reports about the node.
 
-    def _ticked(self, report: at.Tick) -> api.Event:
-        self._purge()
-        if self.waiting.claims is not None:
-            self.waiting.claims.tick()
-        if self.attempts.ranks is not None:
-            self.attempts.ranks.tick()
+    def _on_tick(self, report: at.Tick) -> api.Event:
+        self._purge_expired()
+        if self.waiting_claims.claims is not None:
+            self.waiting_claims.claims.tick()
+        if self.attempts.ranking is not None:
+            self.attempts.ranking.tick()
         return api.Woken(report.token, report.gauges)
 
-    def _came_up(self, _: at.Up) -> api.Event | None:
-        if self.posture.up:  # the link came back: the controller goes on
+    def _on_workers_up(self, _: at.WorkersUp) -> api.Event | None:
+        if self.serving_status.workers_up:  # the link was restored: the controller has started before
             return None
-        self.posture.up = True
-        self.list()
+        self.serving_status.workers_up = True
+        self.update_lists()
         return api.Started()
 
-    def _told(self, report: at.Told) -> None:
-        if self.waiting.claims is not None:
-            self.waiting.claims.heard(report.word)
+    def _on_message(self, report: at.MessageReceived) -> None:
+        if self.waiting_claims.claims is not None:
+            self.waiting_claims.claims.on_message(report.message)
 
     @staticmethod
-    def _taught(report: at.Taught) -> api.Event:
+    def _on_learned_state(report: at.LearnedStateReceived) -> api.Event:
         return report.learned
 
-    def _changed(self, _: at.Changed) -> api.Event:
-        settings = self._settings()
-        self.posture.wait_ms = settings.advice_max_ms * settings.advice_allowed
+    def _on_change(self, _: at.CatalogueChanged) -> api.Event:
+        settings = self._scaled_settings()
+        self.serving_status.default_retry_after_ms = settings.advice_max_ms * settings.advice_allowed
         return api.SettingsChanged(settings)
 
-    def _noticed(self, report: at.Notice) -> api.Event:
-        self.posture.leaving = True
-        self.list()
+    def _on_shutdown_notice(self, report: at.ShutdownNotice) -> api.Event:
+        self.serving_status.draining = True
+        self.update_lists()
         return api.DrainStarted(report.stops_in_ms)
 
-    # Reports of a request, wherever it stands.
+    # Reports about a request at any stage.
 
-    def _departed(self, report: at.Departed) -> api.Event | None:
+    def _on_caller_disconnected(self, report: at.CallerDisconnected) -> api.Event | None:
         attempt = report.attempt
-        if attempt.over:
+        if attempt.settled:
             return None
-        self.attempts.leave(attempt)
-        if self.waiting.departed(attempt):
+        self.attempts.mark_disconnected(attempt)
+        if self.waiting_claims.on_caller_disconnected(attempt):
             return None
         self.attempts.close(attempt)
         return api.CallerDisconnected(attempt.id)
 
     # Arrivals.
 
-    def _submitted(self, report: at.Submitted) -> api.Event | None:
+    def _on_submitted(self, report: at.Submitted) -> api.Event | None:
         self.counters.add("read")
-        return self._taken(report.attempt, agreed=False)
+        return self._pass_to_controller(report.attempt, claim_granted=False)
 
-    def _agreed(self, report: at.Agreed) -> None:
-        """The others' word on a key has come, or can't come any more."""
+    def _on_claim_answered(self, report: at.ClaimAnswered) -> None:
+        """Go on with an attempt whose claim was answered, or can't be answered any more."""
         granted, never_ran = report.granted, report.never_ran
-        attempt = self.waiting.agreed(report.request)
+        attempt = self.waiting_claims.on_claim_answered(report.request)
         if attempt is None:
             return
         if granted is None and never_ran:
@@ -236,91 +243,93 @@
             return
         if granted is None:
             self.counters.add("claims.unanswered")
-            self.attempts.settle(attempt, Answer(Verdict.FAILED))  # it may have run: a refusal would be wrong
+            self.attempts.settle(attempt, Answer(Verdict.FAILED))  # it may have run, so it must not be refused
             return
-        event = self._taken(attempt, granted)
+        event = self._pass_to_controller(attempt, granted)
         if event is not None:
             self._decide(event)
-        if granted and self.keys.owned(attempt) is None:
-            self.waiting.freed(attempt)  # it was turned away
-
-    def _taken(self, attempt: Attempt, agreed: bool) -> api.Event | None:
-        """Hand an attempt to the controller, unless it is settled without it. ``agreed``: the others were asked."""
-        attempt.kind = self.catalogue.find(attempt.class_name)
-        entry = self.keys.find(attempt) if attempt.unique is not None else None
-        answer = self._unfit(attempt, entry)
+        if granted and self.keys.owned_entry(attempt) is None:
+            self.waiting_claims.on_key_freed(attempt)  # the controller refused it
+
+    def _pass_to_controller(self, attempt: Attempt, claim_granted: bool) -> api.Event | None:
+        """Hand an attempt to the controller, unless it is settled or must wait for a claim. ``claim_granted``: its
+        claim was requested and granted."""
+        attempt.request_class = self.catalogue.find_class(attempt.class_name)
+        entry = self.keys.find(attempt) if attempt.request_key is not None else None
+        answer = self._rejection(attempt, entry)
         if answer is not None:
             self.attempts.settle(attempt, answer)
             return None
-        if entry is None and attempt.unique is not None and not agreed:
-            asked = self.waiting.ask(attempt)
-            if asked is Asked.UNSURE:
+        if entry is None and attempt.request_key is not None and not claim_granted:
+            claim_state = self.waiting_claims.request_claim(attempt)
+            if claim_state is ClaimState.UNSURE:
                 self.counters.add("claims.unsure")
                 self.attempts.settle(attempt, Answer(Verdict.FAILED))
-            if asked is not Asked.NOT_NEEDED:
+            if claim_state is not ClaimState.NOT_NEEDED:
                 return None
         self.attempts.add(attempt)
-        return self._arrived(attempt, entry)
-
-    def _unfit(self, attempt: Attempt, entry: Entry | None) -> Answer | None:
-        """The answer to an attempt that can't be taken, whatever the load; ``entry`` is that of its key."""
-        # An id is new with every try: answers could not be told apart. And the key of a request must never
-        # get its result to another one.
-        known = attempt.id in self.attempts or attempt.id in self.waiting
-        if known or (entry is not None and entry.print != fingerprint(attempt)):
+        return self._arrival_event(attempt, entry)
+
+    def _rejection(self, attempt: Attempt, entry: KeyEntry | None) -> Answer | None:
+        """The answer to an attempt that can't be accepted at any load; ``entry`` is the one of its key."""
+        # Every try has a new id, as answers could not be told apart otherwise. And a request must never get the
+        # result of another one by its key.
+        id_is_open = attempt.id in self.attempts or attempt.id in self.waiting_claims
+        if id_is_open or (entry is not None and entry.digest != fingerprint(attempt)):
             return Answer(Verdict.CONFLICT)
-        if attempt.kind is None:  # dropped for good while it waited here
+        if attempt.request_class is None:  # the class's grace period ended while the attempt waited
             self.counters.add("refused.class_dropped")
             return self.attempts.refusal()
-        if entry is None and attempt.unique is not None and self.keys.full():
+        if entry is None and attempt.request_key is not None and self.keys.is_full():
             self.counters.add("refused.keys_full")
             return Answer(Verdict.FAILED) if self._may_have_run(attempt) else self.attempts.refusal()
         return None
 
-    def _arrived(self, attempt: Attempt, entry: Entry | None) -> api.Event:
+    def _arrival_event(self, attempt: Attempt, entry: KeyEntry | None) -> api.Event:
         now = self.now_ms()
         return api.Arrived(
             attempt.id,
             attempt.class_name,
-            attempt.held_kb,
-            now - attempt.door_ms,
+            attempt.memory_kb,
+            now - attempt.arrival_ms,
             attempt.caller,
             attempt.tenant,
             entry.owner if entry else None,
-            attempt.again,
-            # Past its due time already, it is answered at once: no time left would stand for a caller that tells none.
-            None if attempt.allow_ms is None else max(attempt.due_ms - now, LEAST_PATIENCE_MS),
+            attempt.marked_repeat,
+            # An attempt past its deadline is answered at once: 0 would stand for a caller without a timeout.
+            None if attempt.caller_timeout_ms is None else max(attempt.deadline_at_ms - now, MIN_PATIENCE_MS),
             attempt.subject,
         )
 
-    def _repeats(self, attempt: Attempt) -> bool:
-        """An earlier try of it may have run, here or elsewhere."""
-        return attempt.unique is not None and (self._may_have_run(attempt) or self.keys.find(attempt) is not None)
+    def _is_repeat(self, attempt: Attempt) -> bool:
+        """Whether an earlier try of it may have run, here or elsewhere."""
+        return attempt.request_key is not None and (self._may_have_run(attempt) or self.keys.find(attempt) is not None)
 
     def _may_have_run(self, attempt: Attempt) -> bool:
-        return self.waiting.may_have_run(attempt, self.catalogue.settings.marks_repeats)
+        """Whether an earlier try of it may have run elsewhere."""
+        return self.waiting_claims.may_have_run(attempt, self.catalogue.settings.marks_repeats)
 
-    def _purge(self) -> None:
+    def _purge_expired(self) -> None:
         now = self.now_ms()
-        if now < self.purged_ms + self.limits.purge_ms:
+        if now < self.last_purge_ms + self.limits.purge_interval_ms:
             return
-        self.purged_ms = now
-        # A run whose end was lost with its link would hold its place for ever.
+        self.last_purge_ms = now
+        # A run whose end was lost with its link would occupy its place for ever.
         for attempt in self.attempts:
-            if attempt.running and attempt.over and now > attempt.over_ms + self.limits.lost_run_ms:
+            if attempt.running and attempt.settled and now > attempt.settled_ms + self.limits.lost_run_timeout_ms:
                 self.counters.add("lost_runs")
-                self.pending.append(at.RunOver(attempt.id, Outcome.STOPPED))
-        self.keys.purge(now, itertools.chain(self.attempts.table, self.waiting.keeping))
+                self.pending.append(at.RunFinished(attempt.id, Outcome.STOPPED))
+        self.keys.purge(now, itertools.chain(self.attempts.by_id, self.waiting_claims.awaiting_record))
         if self.catalogue.purge(now):
-            self.pending.append(at.Changed())
+            self.pending.append(at.CatalogueChanged())
 
     @property
     def open(self) -> int:
-        """Requests read and not over, and reports of which some may bring about an answer."""
-        return self.attempts.unanswered + self.waiting.open + len(self.mailbox)
+        """The number of open requests and of reports in the mailbox, any of which may lead to an answer."""
+        return self.attempts.unanswered + self.waiting_claims.open + len(self.mailbox)
 
     @property
     def unanswered(self) -> int:
-        """Requests read and not over."""
+        """The number of requests that were read and not answered."""
         submitted = sum(isinstance(report, at.Submitted) for report in self.mailbox.items)
-        return self.attempts.unanswered + self.waiting.open + submitted
+        return self.attempts.unanswered + self.waiting_claims.open + submitted
--- a/flintshift/core/open_attempts.py
+++ b/flintshift/core/open_attempts.py
@@ -1,4 +1,4 @@
-"""The table of attempts that were read and are not over, and the one way in which each of them gets its answer."""
+"""The table of open attempts, and the only way in which each of them gets its answer."""
 
 from __future__ import annotations
 
@@ -6,62 +6,64 @@
 
 from flintshift.core.attempts import NEVER_RAN, Answer, Attempt, Verdict
 from flintshift.core.counters import Counters
-from flintshift.core.ports import Posture, Ranks
+from flintshift.core.ports import FairRanking, ServingStatus
 from flintshift.interface import Outcome
 
 
 class OpenAttempts:
-    """By id. An attempt stays after its answer for as long as its run goes on: the end of that is still to be told."""
+    """Open attempts by id. An attempt stays here after its answer while its run goes on, as that run's end is still
+    reported."""
 
-    def __init__(self, counters: Counters, now_ms: Callable[[], float], posture: Posture) -> None:
-        self.counters, self.now_ms, self.posture = counters, now_ms, posture
-        self.ranks: Ranks | None = None
-        self.table: dict[str, Attempt] = {}
-        self.closing: list[Attempt] = []  # that may be over, looked at once all is decided of them
+    def __init__(self, counters: Counters, now_ms: Callable[[], float], serving_status: ServingStatus) -> None:
+        self.counters, self.now_ms, self.serving_status = counters, now_ms, serving_status
+        self.ranking: FairRanking | None = None
+        self.by_id: dict[str, Attempt] = {}
+        self.closing: list[Attempt] = []  # may be done; checked by the next sweep
 
     def __contains__(self, request: str) -> bool:
-        return request in self.table
+        return request in self.by_id
 
     def __iter__(self) -> Iterator[Attempt]:
-        return iter(self.table.values())
+        return iter(self.by_id.values())
 
     @property
     def unanswered(self) -> int:
-        return sum(not attempt.over for attempt in self.table.values())
+        """The number of attempts that are owed an answer."""
+        return sum(not attempt.settled for attempt in self.by_id.values())
 
     def get(self, request: str) -> Attempt | None:
-        return self.table.get(request)
+        return self.by_id.get(request)
 
     def add(self, attempt: Attempt) -> None:
-        self.table[attempt.id] = attempt
-        if self.ranks is not None:
-            self.ranks.arrived(attempt)
+        self.by_id[attempt.id] = attempt
+        if self.ranking is not None:
+            self.ranking.on_arrival(attempt)
 
     def remove(self, attempt: Attempt) -> None:
-        self.table.pop(attempt.id, None)
+        self.by_id.pop(attempt.id, None)
 
     def close(self, attempt: Attempt) -> None:
-        """Remove it with the next `sweep`, unless its run goes on."""
+        """Remove the attempt in the next `sweep`, unless its run goes on."""
         self.closing.append(attempt)
 
     def sweep(self) -> None:
-        """Only now, after all that was decided of them: out of the table go those that are over."""
+        """Remove closed attempts, after all decisions on them have been applied."""
         for attempt in self.closing:
-            if attempt.over and not attempt.running:
+            if attempt.settled and not attempt.running:
                 self.remove(attempt)
-                if self.ranks is not None:
-                    self.ranks.left(attempt.id)
+                if self.ranking is not None:
+                    self.ranking.on_withdrawal(attempt.id)
         self.closing.clear()
 
     # Answers.
 
     def settle(self, attempt: Attempt, answer: Answer) -> None:
-        """Give an attempt its final answer, unless it has one or its caller went."""
+        """Give an attempt its final answer, unless it has one or its caller disconnected."""
         if attempt.settle(answer, self.now_ms()) and attempt.answer is not None:
             self.counters.add(f"answered.{attempt.answer.verdict.value}")
 
-    def settle_end(self, attempt: Attempt, outcome: Outcome, result: bytes) -> None:
-        """Answer with how a run ended: its own, or that of the try which it repeats."""
+    def settle_with_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> None:
+        """Answer by the outcome of a run: the attempt's own, or that of the try which it repeats."""
         if outcome is Outcome.OK:
             self.settle(attempt, Answer(Verdict.SERVED, result))
         elif outcome in NEVER_RAN:
@@ -70,10 +72,10 @@
             self.settle(attempt, Answer(Verdict.FAILED))
 
     def refusal(self) -> Answer:
-        """A refusal that no decision was asked for: it tells the time that the settings name."""
-        return Answer(Verdict.REFUSED, wait_ms=self.posture.wait_ms)
+        """A refusal without a decision of the controller, with the retry time that the settings give."""
+        return Answer(Verdict.REFUSED, retry_after_ms=self.serving_status.default_retry_after_ms)
 
-    def leave(self, attempt: Attempt) -> None:
-        """Its caller has gone: no answer is owed any longer."""
-        attempt.gone, attempt.over_ms = True, self.now_ms()
+    def mark_disconnected(self, attempt: Attempt) -> None:
+        """Note that the caller disconnected: no answer is owed any more."""
+        attempt.caller_disconnected, attempt.settled_ms = True, self.now_ms()
         self.counters.add("departed")
--- a/flintshift/handover/shared_keys.py
+++ b/flintshift/handover/shared_keys.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from flintshift.core.attempts import Attempt
-from flintshift.core.keys import Entry, KeyTable, fingerprint
+from flintshift.core.keys import KeyEntry, KeyTable, fingerprint
 from flintshift.core.limits import Limits
 from flintshift.handover.claims import Adopt, Agreement, GiveUp, GoOn, Say
 from flintshift.handover.messages import Answered, Claimed, Freed, Key, Known, Over, Word
@@ -33,7 +33,7 @@
 class SharedKeys:
     def __init__(self, keys: KeyTable, limits: Limits) -> None:
         self.keys, self.limits = keys, limits
-        self.agreement = Agreement(limits.claims)
+        self.agreement = Agreement(limits.max_open_claims)
         self.unsure_until_ms = self.lost_ms = 0.0
         self.marked = True  # callers mark further tries
 
@@ -42,31 +42,33 @@
         death, and is not marked as a further try, can't have."""
         if now_ms >= self.unsure_until_ms:
             return False
-        return attempt.again or not self.marked or attempt.door_ms <= self.lost_ms + self.limits.key_margin_ms
+        return (
+            attempt.marked_repeat or not self.marked or attempt.arrival_ms <= self.lost_ms + self.limits.key_margin_ms
+        )
 
     # What happens here.
 
     def ask(self, now_ms: float, attempt: Attempt) -> list[Step]:
-        kind, limits = attempt.kind, self.limits
+        kind, limits = attempt.request_class, self.limits
         window = kind.repeat_window_ms if kind is not None else 0.0
         claim = Claimed(
             key_of(attempt),
             attempt.id,
-            attempt.door_ms,
-            now_ms + limits.claim_ms + window + limits.key_margin_ms,
+            attempt.arrival_ms,
+            now_ms + limits.claim_timeout_ms + window + limits.key_margin_ms,
             fingerprint(attempt),
         )
         # Its answer has a due time too: it is given up a few ticks before.
-        until = min(now_ms + limits.claim_ms, attempt.due_ms - limits.claim_spare_ms)
+        until = min(now_ms + limits.claim_timeout_ms, attempt.deadline_at_ms - limits.claim_reserve_ms)
         return self._done(self.agreement.ask(claim, until))
 
     def told_entry(self, attempt: Attempt) -> list[Step]:
         """This process began a run that it needed not claim."""
-        entry = self.keys.owned(attempt)
+        entry = self.keys.owned_entry(attempt)
         return [] if entry is None else [Say(known(key_of(attempt), entry))]
 
     def told_end(self, attempt: Attempt) -> list[Step]:
-        entry = self.keys.owned(attempt)
+        entry = self.keys.owned_entry(attempt)
         if entry is None or entry.outcome is None:
             return []
         return [Say(Over(key_of(attempt), attempt.id, entry.live_until_ms, entry.outcome, entry.result))]
@@ -78,7 +80,7 @@
         """All that this process holds, in pieces; what changes meanwhile is told beside it."""
         for key in list(self.keys.entries):
             entry = self.keys.entries.get(key)
-            if entry is not None and not entry.other:
+            if entry is not None and not entry.foreign:
                 yield known(key, entry)
 
     # What the other says.
@@ -87,28 +89,28 @@
         match word:
             case Claimed(key):
                 entry = self.keys.entries.get(key)
-                held = entry is not None and not entry.other and word.door_ms <= entry.live_until_ms
+                held = entry is not None and not entry.foreign and word.door_ms <= entry.live_until_ms
                 return self._done(self.agreement.claimed(word, senior, known(key, entry) if held and entry else None))
             case Answered():
                 return self._done(self.agreement.answered(word))
             case Known():
                 return self._adopt(now_ms, word)
             case Over(key, owner, live_until_ms, outcome, result):
-                entry = self.keys.others(key, owner)
+                entry = self.keys.foreign_entry(key, owner)
                 if entry is None:
                     return []
                 entry.live_until_ms = max(entry.live_until_ms, live_until_ms)
-                return [End(follower, outcome, result) for follower in self.keys.end(entry, outcome, result)]
+                return [End(follower, outcome, result) for follower in self.keys.record_outcome(entry, outcome, result)]
             case Freed(key, owner):
-                return [End(follower, Outcome.REJECTED) for follower in self.keys.free(key, owner)]
+                return [End(follower, Outcome.REJECTED) for follower in self.keys.release_foreign(key, owner)]
         return []
 
     def alone(self, now_ms: float, partial: bool, window_ms: float, marked: bool) -> list[Step]:
         """The other has ended. ``partial``: it had not told all, so for a window keys may be unknown here."""
         if partial:
-            self.unsure_until_ms = now_ms + window_ms + self.limits.key_late_ms
+            self.unsure_until_ms = now_ms + window_ms + self.limits.max_repeat_delay_ms
             self.lost_ms, self.marked = now_ms, marked
-        lost: list[Step] = [End(follower, Outcome.ERROR) for follower in self.keys.lose()]
+        lost: list[Step] = [End(follower, Outcome.ERROR) for follower in self.keys.fail_foreign_runs()]
         return lost + self._done(self.agreement.alone())
 
     def _done(self, steps: list[Say | GoOn | GiveUp | Adopt]) -> list[Step]:
@@ -119,13 +121,13 @@
         return done
 
     def _adopt(self, now_ms: float, word: Known) -> list[Step]:
-        entry = Entry(word.owner, word.live_until_ms, word.print, word.outcome, word.result, other=True)
+        entry = KeyEntry(word.owner, word.live_until_ms, word.print, word.outcome, word.result, foreign=True)
         return [End(follower, Outcome.ERROR) for follower in self.keys.adopt(word.key, entry, now_ms)]
 
 
 def key_of(attempt: Attempt) -> Key:
-    return attempt.class_name, attempt.unique or ""
+    return attempt.class_name, attempt.request_key or ""
 
 
-def known(key: Key, entry: Entry) -> Known:
-    return Known(key, entry.owner, entry.live_until_ms, entry.print, entry.outcome, entry.result)
+def known(key: Key, entry: KeyEntry) -> Known:
+    return Known(key, entry.owner, entry.live_until_ms, entry.digest, entry.outcome, entry.result)
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -15,7 +15,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.decisions import Decisions
 from flintshift.core.gauges import GaugePlanner
-from flintshift.core.ports import Log, silent
+from flintshift.core.ports import Log, log_nothing
 from flintshift.lifecycle import signals
 from flintshift.lifecycle.clock import Clock
 from flintshift.lifecycle.config import Config
@@ -66,7 +66,7 @@
         self.retry = retry or StartRetry()
         self.config, self.limits = config, config.limits
         self.now_ms, self.counters = Clock(), Counters()
-        self.log: Log = silent
+        self.log: Log = log_nothing
         self.leave = anyio.Event()
         self.bound = False  # its addresses listen
         self.failed: OSError | None = None  # why it ends before it served
@@ -97,7 +97,7 @@
         )
         self.pool = PoolLink(config.pool, config.gauge_names, limits, counters, self.decisions.report, self.uniform)
         self.vault = VaultLink(config.vault, limits, counters, self.decisions.report, now_ms)
-        self.decisions.runs.workers, self.decisions.runs.below = {"pool": self.pool}, self.vault
+        self.decisions.runs.workers, self.decisions.runs.vault_calls = {"pool": self.pool}, self.vault
         self.names = NameService(config.naming, config.name, limits, counters)
         self.lists.append(self.names)
         self.fields = Fields(self.catalogue, limits, now_ms, now_ms.age_ms)
@@ -173,7 +173,7 @@
 
         self.fair = FairDoor(self.config.settings, self.limits, self.counters, self.now_ms)
         self.fair.log = self.log
-        self.decisions.rank_by(self.fair)
+        self.decisions.use_ranking(self.fair)
         if options.socket is not None:
             self._show(options.socket, "door", self.fair.shown, "how the clubs stand")
 
@@ -190,11 +190,11 @@
         self.door = ControlFront(self, self.limits, self.counters, self.now_ms)
         self.door.log = self.log
         self.upgrade = Upgrade(self)
-        self.decisions.waiting.claims = self.upgrade
+        self.decisions.waiting_claims.claims = self.upgrade
         if self.copying is not None:
             from flintshift.lifecycle.agreeing import Agreeing
 
-            self.decisions.waiting.claims = Agreeing(self.upgrade, self.copying.claims)
+            self.decisions.waiting_claims.claims = Agreeing(self.upgrade, self.copying.claims)
         for front, _ in self.fronts:
             front.leave()  # until it is known that this process takes the clients
 
@@ -204,7 +204,7 @@
 
         self.ledger = open_ledger(self.config, options, self.log, self.retry)
         books = self.books = Books(self.ledger, self.config.settings, self.now_ms.steady_ms)
-        self.decisions.runs.books = books
+        self.decisions.runs.usage_recorder = books
         for front, _ in self.fronts:
             front.books = books
         self.actors.append(self.ledger.run)
@@ -223,7 +223,7 @@
         if self.ledger is not None and self.config.operators.usage is not None and options.copies > 1:
             copy_ledger(copying, self.ledger, self.config.operators.usage, self.retry)
         self.copying = copying
-        self.decisions.waiting.claims, self.decisions.waiting.elsewhere = copying.claims, True
+        self.decisions.waiting_claims.claims, self.decisions.waiting_claims.may_run_elsewhere = copying.claims, True
         self.actors.append(copying.run)
         self._show(options.folder / SOCKET, "copies", copying.shown, "how the copies stand")
 
@@ -240,7 +240,7 @@
             settings.cold_ms if settings.cold else 0.0,
             lambda: Seen(
                 self.bound,
-                self.decisions.posture.up,
+                self.decisions.serving_status.workers_up,
                 self.registration.taken > 0,
                 permits is None or permits.starter.went,
             ),
@@ -319,7 +319,7 @@
             if self.failed is None:
                 await self.drain.run(
                     self.config.settings.drain_grace_ms,
-                    kill_after_ms(self.limits.stop_ms, self.decisions.catalogue.decided.classes),
+                    kill_after_ms(self.limits.stop_ms, self.decisions.catalogue.effective_settings.classes),
                     self.upgrade is not None and self.upgrade.shedding,
                     notice_age_ms,
                 )
@@ -373,14 +373,14 @@
     # What operators ask for at the control door.
 
     def not_ready(self) -> str | None:
-        posture = self.decisions.posture
-        if posture.leaving:
+        posture = self.decisions.serving_status
+        if posture.draining:
             return "the node leaves"
-        if self.upgrade is not None and posture.up and not self.upgrade.phases.takes_clients:
+        if self.upgrade is not None and posture.workers_up and not self.upgrade.phases.takes_clients:
             return "another process of this node takes the clients"
-        if posture.out:
+        if posture.out_of_service:
             return "the node is out of service"
-        return None if posture.up else "the worker pool is not linked yet"
+        return None if posture.workers_up else "the worker pool is not linked yet"
 
     def out_of_service(self) -> str | None:
         return self._serve_clients(False)
@@ -389,10 +389,10 @@
         return self._serve_clients(True)
 
     def _serve_clients(self, serving: bool) -> str | None:
-        if serving and self.decisions.posture.leaving:
+        if serving and self.decisions.serving_status.draining:
             return "the node leaves"
-        if self.decisions.posture.out is serving:
-            self.decisions.posture.out = not serving
+        if self.decisions.serving_status.out_of_service is serving:
+            self.decisions.serving_status.out_of_service = not serving
             self.log("info", "node.in_service" if serving else "node.out_of_service", open=self.drain.open())
         self.tell_lists()
         if self.upgrade is not None:
@@ -401,26 +401,26 @@
 
     def _moved(self) -> None:
         """The pool is up for the first time, or the notice to leave has come."""
-        if self.upgrade is not None and self.decisions.posture.up and not self.upgrade.phases.up:
+        if self.upgrade is not None and self.decisions.serving_status.workers_up and not self.upgrade.phases.up:
             self.upgrade.pool_is_up()
         self.tell_lists()
 
     def tell_lists(self) -> None:
         """Say where this node is listed what it does. Out of service it goes on reporting, as one that does not serve:
         one that says nothing looks dead, and is found again late."""
-        posture = self.decisions.posture
+        posture = self.decisions.serving_status
         if self.upgrade is not None and not self.upgrade.phases.takes_clients:
             return  # the other process tells
         if (
             self.permits is not None
-            and posture.up
-            and not posture.leaving
+            and posture.workers_up
+            and not posture.draining
             and self.alone()
             and not self.permits.may_go()
         ):
             return  # told again once it may
-        if posture.up or posture.leaving:
-            self.registration.say(not (posture.leaving or posture.out), last=posture.leaving)
+        if posture.workers_up or posture.draining:
+            self.registration.say(not (posture.draining or posture.out_of_service), last=posture.draining)
 
     def give_up(self, error: OSError) -> None:
         """End at once: this process has taken no client."""
@@ -446,4 +446,4 @@
         return [Acceptor(raw) for raw in self.upgrade.sockets]
 
     def print_counters(self) -> None:
-        standard_error.say(self.counters.line(self.config.name))
+        standard_error.say(self.counters.to_json_line(self.config.name))
--- a/flintshift/lifecycle/reconfiguration.py
+++ b/flintshift/lifecycle/reconfiguration.py
@@ -66,7 +66,7 @@
             return before
         self.again_s = None
         self.counters.add("reload.taken")
-        self.log("info", "node.configuration_taken", classes=sorted(self.decisions.catalogue.kinds))
+        self.log("info", "node.configuration_taken", classes=sorted(self.decisions.catalogue.active_classes))
         self._move(config)
         self._tell_of_what_stays(before, config)
         return replace(config, **{name: getattr(before, name) for name in STANDING})
@@ -103,7 +103,7 @@
         self.vault.move(config.vault)
         if config.naming != self.names.to:
             self.names.move(config.naming)
-            if self.decisions.posture.up:
+            if self.decisions.serving_status.workers_up:
                 self.tell_lists()
 
     def _tell_of_what_stays(self, before: Config, config: Config) -> None:
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -122,11 +122,11 @@
                 break
             self.phases = Phases(False, runs_ms, calls_ms)
             try:
-                self.sockets = [listening(at_, self.limits.backlog) for _, at_ in self.node.fronts]
+                self.sockets = [listening(at_, self.limits.listen_backlog) for _, at_ in self.node.fronts]
             except OSError as error:  # held by one that leaves and gives no word any more, or refused for a moment
                 if not self.node.retry.again(error):
                     raise
-                await anyio.sleep(self.limits.bind_again_ms / 1000)
+                await anyio.sleep(self.limits.start_retry_delay_ms / 1000)
         if self.phases.phase is Phase.ALONE:
             self.opened.set()
             for front, _ in self.node.fronts:
@@ -162,7 +162,7 @@
                     told = str(error)
                     self.node.counters.add("upgrade.no_path")
                     self.node.warn(f"no successor can take over: {self.path}: {told}; it is tried again")
-            await anyio.sleep(self.limits.door_again_ms / 1000)
+            await anyio.sleep(self.limits.status_listen_retry_delay_ms / 1000)
 
     async def _welcome(self, listener: SocketListener, links: TaskGroup) -> None:
         try:
@@ -172,7 +172,7 @@
             await anyio.sleep(self.limits.backoff_ms / 1000)
             return
         assert isinstance(stream, UNIXSocketStream)
-        if not self.phases.welcomes or self.decisions.posture.leaving:
+        if not self.phases.welcomes or self.decisions.serving_status.draining:
             await stream.aclose()
             return
         try:
@@ -193,21 +193,21 @@
 
     async def _meet(self, link: Link) -> None:
         async def heard(word: Word) -> None:
-            await self.decisions.report(at.Told((link, word)))
+            await self.decisions.report(at.MessageReceived((link, word)))
 
         async def gone() -> None:
-            await self.decisions.report(at.Told((link, PeerGone())))
+            await self.decisions.report(at.MessageReceived((link, PeerGone())))
 
         async def ended(cause: str) -> None:
             self.log("info", "upgrade.link_ended", phase=self.phases.phase.value, cause=cause)
-            await self.decisions.report(at.Told((link, LinkEnded(cause))))
+            await self.decisions.report(at.MessageReceived((link, LinkEnded(cause))))
 
         with anyio.CancelScope() as self.meeting:
             await link.run(heard, gone, ended)
 
     # The planner's port. All of it happens in a turn of the planner.
 
-    def heard(self, told: tuple[Link | None, Event]) -> None:
+    def on_message(self, told: tuple[Link | None, Event]) -> None:
         link, word = told
         if link is not None and link is not self.link:
             return  # of a meeting that is over
@@ -222,43 +222,45 @@
         return self.phases.phase is Phase.SHEDDING
 
     @property
-    def needed(self) -> bool:
+    def required(self) -> bool:
         return self.phases.agreeing
 
-    def unsure(self, attempt: Attempt) -> bool:
+    def in_doubt(self, attempt: Attempt) -> bool:
         return self.shared.unsure(self.now_ms(), attempt)
 
-    def ask(self, attempt: Attempt) -> None:
+    def request_claim(self, attempt: Attempt) -> None:
         self._do(self.shared.ask(self.now_ms(), attempt))
 
-    def departed(self, request: str) -> None:
+    def cancel_claim(self, request: str) -> None:
         self.shared.agreement.departed(request)
 
-    def kept(self, attempt: Attempt) -> None:
+    def on_key_claimed(self, attempt: Attempt) -> None:
         if self.phases.tells_entries:
             self._do(self.shared.told_entry(attempt))
 
-    def keeps(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
+    def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
         return False  # the other is told of the end as the caller is answered
 
-    def over(self, attempt: Attempt) -> None:
+    def on_run_ended(self, attempt: Attempt) -> None:
         if self.phases.tells_ends:
             self._do(self.shared.told_end(attempt))
 
-    def freed(self, attempt: Attempt) -> None:
+    def on_key_freed(self, attempt: Attempt) -> None:
         if self.phases.tells_ends:
             self._send(Freed(key_of(attempt), attempt.id))
 
     def tick(self) -> None:
         now = self.now_ms()
         self._do(self.shared.expire(now))
-        if now >= self.used_ms + self.limits.shed_ms:
+        if now >= self.used_ms + self.limits.load_report_interval_ms:
             self.used_ms = now
-            used = self.decisions.used()
+            used = self.decisions.used_share()
             connections = sum(len(front.connections) for front, _ in self.node.fronts)
             learned = self.decisions.controller.learned_estimates()
             self._step(
-                Used(Load(used.crowd, used.memory, used.calls, connections), Learned(learned.run_limit, learned.run_ms))
+                Used(
+                    Load(used.concurrency, used.memory, used.calls, connections), Learned(learned.run_limit, learned.run_ms)
+                )
             )
 
     # What the node tells.
@@ -301,15 +303,15 @@
             case LeaveClients():
                 self.node.leave_clients()
             case Keep(crowd, memory, calls, others):
-                self.decisions.keep_to(LimitShare(crowd, memory, calls))
+                self.decisions.set_limit_share(LimitShare(crowd, memory, calls))
                 for front, _ in self.node.fronts:
                     front.others = others
             case Learn(learned):
-                self.decisions.pending.append(at.Taught(api.LearnedEstimates(learned.limit, learned.run_ms)))
+                self.decisions.pending.append(at.LearnedStateReceived(api.LearnedEstimates(learned.limit, learned.run_ms)))
             case LosePeer(partial):
                 self._lose(partial)
             case Serve(out):
-                self.node.decisions.posture.out = out
+                self.node.decisions.serving_status.out_of_service = out
                 self.node.tell_lists()
             case GiveUpStart(cause):
                 self.node.give_up(UpgradeError(cause))
@@ -318,7 +320,7 @@
 
     def _lose(self, partial: bool) -> None:
         self.link = None
-        settings = self.decisions.catalogue.decided
+        settings = self.decisions.catalogue.effective_settings
         window = max((kind.repeat_window_ms for kind in settings.classes), default=0.0)
         for front, _ in self.node.fronts:
             front.others = 0
@@ -331,11 +333,11 @@
                 case Say(word):
                     self._send(word)
                 case GoOn(request, granted):
-                    self.decisions.pending.append(at.Agreed(request, granted))
+                    self.decisions.pending.append(at.ClaimAnswered(request, granted))
                 case GiveUp(request):
-                    self.decisions.pending.append(at.Agreed(request, None))
+                    self.decisions.pending.append(at.ClaimAnswered(request, None))
                 case End(request, outcome, result):
-                    self.decisions.pending.append(at.RunOver(request, outcome, 0.0, result))
+                    self.decisions.pending.append(at.RunFinished(request, outcome, 0.0, result))
 
     def _send(self, word: Word) -> None:
         if self.link is not None:
--- a/flintshift/wire/fields.py
+++ b/flintshift/wire/fields.py
@@ -11,7 +11,7 @@
 from flintshift.core.attempts import Answer, Attempt, Verdict
 from flintshift.core.catalogue import Catalogue
 from flintshift.core.limits import Limits
-from flintshift.core.ports import Posture
+from flintshift.core.ports import ServingStatus
 from flintshift.interface import Effect
 
 HEX16 = re.compile(r"[0-9a-fA-F]{16}")
@@ -45,9 +45,9 @@
         before, separator, name = target.partition("?")[0].partition("/call/")
         if before or not separator:
             raise UnusableError(404, "no such class")
-        if self.catalogue.find(name) is None:
+        if self.catalogue.find_class(name) is None:
             name = unquote(name)  # a name may hold what a path can't
-        if self.catalogue.find(name) is None:
+        if self.catalogue.find_class(name) is None:
             raise UnusableError(404, "no such class")
         if method != "POST":
             raise UnusableError(405, "only POST is taken here")
@@ -72,32 +72,34 @@
                 raise UnusableError(400, f"{name} is impossible")
             return found
 
-        if len(body) > self.limits.body:
+        if len(body) > self.limits.max_body_bytes:
             raise UnusableError(413, "the body is too large")
-        item, kind = get("X-Item"), self.catalogue.find(class_name)
+        item, kind = get("X-Item"), self.catalogue.find_class(class_name)
         keyed = kind is not None and kind.effect is Effect.KEYED
         number("X-Precedence", 0, 1)  # no decision uses it, but one that is no rank is a fault of the caller
         if get("X-Size-Ms") is not None:
-            number("X-Size-Ms", 0, self.limits.oldest_ms)  # the same holds for this one
+            number("X-Size-Ms", 0, self.limits.max_request_age_ms)  # the same holds for this one
         return Attempt(
             id=text("X-Job-Id", HEX16),
             class_name=class_name,
-            door_ms=self._door_ms(number("X-Door-Time", 0, UNIX_MS_MOST, True)),
-            allow_ms=number("X-Allow-Ms", 0, self.limits.oldest_ms) if get("X-Allow-Ms") is not None else None,
-            held_kb=number("X-Ram-Kb", math.nextafter(0, 1), 2000),
+            arrival_ms=self._door_ms(number("X-Door-Time", 0, UNIX_MS_MOST, True)),
+            caller_timeout_ms=number("X-Allow-Ms", 0, self.limits.max_request_age_ms)
+            if get("X-Allow-Ms") is not None
+            else None,
+            memory_kb=number("X-Ram-Kb", math.nextafter(0, 1), 2000),
             caller=int(number("X-Sender", 0, 2**31, True)),
             body=body,
             tenant=self._tenant(get("X-Team")),
-            again=get("X-Again") is not None and text("X-Again", re.compile("[01]")) == "1",
-            unique=text("X-Unique", TOKEN) if keyed else None,
+            marked_repeat=get("X-Again") is not None and text("X-Again", re.compile("[01]")) == "1",
+            request_key=text("X-Unique", TOKEN) if keyed else None,
             subject=int(text("X-Item", HEX16), 16) if item is not None else None,
-            tell=tell,
+            on_answer=tell,
         )
 
     def _door_ms(self, unix_ms: float) -> float:
         """When a request came to the machine, by the node's clock: no later than now, whatever its caller's says."""
         age_ms = self.age_ms(unix_ms)
-        if not -self.limits.clock_skew_ms < age_ms <= self.limits.oldest_ms:
+        if not -self.limits.clock_skew_ms < age_ms <= self.limits.max_request_age_ms:
             raise UnusableError(400, "X-Door-Time is impossible")
         return self.now_ms() - max(0.0, age_ms)
 
@@ -121,8 +123,8 @@
 STATUS = {Verdict.SERVED: 200, Verdict.FAILED: 500, Verdict.CONFLICT: 409}
 
 
-def status_of(answer: Answer, posture: Posture) -> int:
-    return STATUS.get(answer.verdict) or (503 if posture.leaving or not posture.up else 429)
+def status_of(answer: Answer, posture: ServingStatus) -> int:
+    return STATUS.get(answer.verdict) or (503 if posture.draining or not posture.workers_up else 429)
 
 
 LINES = {status.value: f"HTTP/1.1 {status.value} {status.phrase}" for status in HTTPStatus}
@@ -134,14 +136,14 @@
     return "\r\n".join(lines).encode("latin-1") + body
 
 
-def headers_of(answer: Answer | None, body: bytes, posture: Posture, close: bool) -> list[tuple[str, str]]:
+def headers_of(answer: Answer | None, body: bytes, posture: ServingStatus, close: bool) -> list[tuple[str, str]]:
     """The headers of an answer, or of what is said to a health check or to what can't be taken."""
     headers = [("Content-Length", str(len(body)))]
     if posture.free_value is not None:
         headers.append(("X-Advice", f"{posture.free_value:g}"))
     if answer is not None and answer.verdict is Verdict.REFUSED:
-        if answer.wait_ms > 0:
-            headers.append(("X-Wait-Ms", str(math.ceil(answer.wait_ms))))
+        if answer.retry_after_ms > 0:
+            headers.append(("X-Wait-Ms", str(math.ceil(answer.retry_after_ms))))
         if answer.terminal:
             headers.append(("X-Terminal", "1"))
     if close:
--- a/flintshift/wire/uwsgi_front.py
+++ b/flintshift/wire/uwsgi_front.py
@@ -38,13 +38,13 @@
 
         try:
             head = await take(uwsgi.HEAD.size)
-            block = await take(uwsgi.block_size(head, self.limits.vars))
+            block = await take(uwsgi.block_size(head, self.limits.max_uwsgi_vars_bytes))
             variables = uwsgi.unpack(block)
-            body = await take(uwsgi.body_size(variables, self.limits.body))
+            body = await take(uwsgi.body_size(variables, self.limits.max_body_bytes))
         except StoppedError:
             if connection.busy:  # half read: nothing of it was run
                 connection.close_for(CloseReason.UNFINISHED)
-                await self._say(connection, 503 if self.posture.leaving else 408, b"", STOPPING)
+                await self._say(connection, 503 if self.posture.draining else 408, b"", STOPPING)
             return
         method, path = variables.get("REQUEST_METHOD", ""), variables.get("PATH_INFO", "")
         if path == "/ping":
--- a/tests/door/test_fair_door.py
+++ b/tests/door/test_fair_door.py
@@ -120,7 +120,7 @@
     waits = waits_ms(flood(node, "a", 60))
     assert len(waits) >= 10 and min(waits) < 200.0
     node.now += 5000.0  # no place is given away any more
-    node.decisions.posture.leaving = True  # the decisions have not heard of it yet
+    node.decisions.serving_status.draining = True  # the decisions have not heard of it yet
     promised = node.counters["door.promised"]
     assert len(waits_ms(flood(node, "a", 40))) >= 10 and node.counters["door.promised"] == promised > 0
 
@@ -142,8 +142,8 @@
 
 def test_a_repeat_that_waits_for_the_run_of_another_try_waits_for_no_core():
     node = node_of()
-    first = node.arrive(class_name="pay", unique="k")
-    repeat = node.arrive(class_name="pay", unique="k", again=True)
+    first = node.arrive(class_name="pay", request_key="k")
+    repeat = node.arrive(class_name="pay", request_key="k", marked_repeat=True)
     assert len(node.runs) == 1 and list(node.fair.shares.open) == [first.id]
     node.end(first)
     assert repeat.answer == first.answer == Answer(Verdict.SERVED, b"done") and not node.fair.shares.open
--- a/tests/planning.py
+++ b/tests/planning.py
@@ -27,13 +27,13 @@
     def supply(self, request, no, reply):
         return self.take("supply", request, no, reply)
 
-    def go_on(self, request, no):
+    def continue_run(self, request, no):
         return self.take("pass", request, no)
 
-    def ask(self, request, limit_ms, payload, once):
+    def start_call(self, request, limit_ms, payload, once):
         return self.take("ask", request)
 
-    def give_up(self, request):
+    def cancel_call(self, request):
         self.take("unask", request)
 
 
@@ -62,19 +62,19 @@
         self.planner = Decisions(
             Catalogue(settings, sizes), 1, sizes, Counters(), lambda: self.now, lambda at_ms, token: None, lambda: None
         )
-        self.planner.runs.workers, self.planner.runs.below = {"pool": self.ports}, self.ports
-        self.planner.handle(at.Up())
+        self.planner.runs.workers, self.planner.runs.vault_calls = {"pool": self.ports}, self.ports
+        self.planner.handle(at.WorkersUp())
 
     def submit(self, request, class_name="look", **changes):
         attempt = Attempt(
             request,
             class_name,
-            changes.pop("door_ms", self.now),
+            changes.pop("arrival_ms", self.now),
             10.0,
             1,
             b"",
             **changes,
-            tell=lambda answer: self.told.setdefault(request, []).append(answer),
+            on_answer=lambda answer: self.told.setdefault(request, []).append(answer),
         )
         self.attempts[request] = attempt
         self.planner.handle(at.Submitted(attempt))
@@ -82,7 +82,7 @@
 
     def leave(self, request):
         """The caller of that attempt goes."""
-        self.planner.handle(at.Departed(self.attempts[request]))
+        self.planner.handle(at.CallerDisconnected(self.attempts[request]))
 
     def verdicts(self, request):
         return [answer.verdict for answer in self.told.get(request, [])]
--- a/tests/wire/fronted.py
+++ b/tests/wire/fronted.py
@@ -10,11 +10,11 @@
 import anyio
 from standins import BYTES, SETTINGS, Caller, job
 
-from flintshift.core.attempts import Answer, Attempt, Departed, Verdict
+from flintshift.core.attempts import Answer, Attempt, CallerDisconnected, Verdict
 from flintshift.core.catalogue import Catalogue
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
-from flintshift.core.ports import Posture
+from flintshift.core.ports import ServingStatus
 from flintshift.settings.platform import flat, settings_from
 from flintshift.wire.acceptor import Acceptor, listening
 from flintshift.wire.fields import Fields
@@ -31,7 +31,7 @@
 class Decided:
     """In the place of the decisions: what was handed over, answered when the test says so."""
 
-    posture: Posture = field(default_factory=lambda: Posture(up=True))
+    serving_status: ServingStatus = field(default_factory=lambda: ServingStatus(workers_up=True))
     taken: list[Attempt] = field(default_factory=list)
     turned_away: list[Attempt] = field(default_factory=list)
     departed: list[str] = field(default_factory=list)
@@ -43,12 +43,12 @@
         if self.at_once is not None:
             attempt.settle(self.at_once, now_ms())
 
-    def turn_away(self, attempt: Attempt) -> None:
+    def reject(self, attempt: Attempt) -> None:
         self.turned_away.append(attempt)
-        attempt.settle(Answer(Verdict.REFUSED, wait_ms=300.0), now_ms())
+        attempt.settle(Answer(Verdict.REFUSED, retry_after_ms=300.0), now_ms())
 
     async def report(self, report) -> None:
-        if isinstance(report, Departed):
+        if isinstance(report, CallerDisconnected):
             self.departed.append(report.attempt.id)
 
 
