--- a/benchmarks/copies_model.py
+++ b/benchmarks/copies_model.py
@@ -22,13 +22,13 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.copies.messages import Value  # noqa: E402
-from flintshift.copies.placement import SLOTS, Placement  # noqa: E402
-from flintshift.copies.registers import Entry, HolderBounds, Registers  # noqa: E402
 from flintshift.core.keys import Stage  # noqa: E402
 from flintshift.interface import Outcome  # noqa: E402
 from flintshift.lab.copies_model import World  # noqa: E402
 from flintshift.peers import members as who  # noqa: E402
+from flintshift.replication.messages import Value  # noqa: E402
+from flintshift.replication.placement import SLOTS, Placement  # noqa: E402
+from flintshift.replication.registers import Entry, HolderBounds, Registers  # noqa: E402
 
 HOP_MS, RUN_MS = 0.5, 20.0
 
--- a/flintshift/cli/copies.py
+++ b/flintshift/cli/copies.py
@@ -18,7 +18,7 @@
 
 
 def shown(folder: Path) -> dict[str, Any]:
-    from flintshift.copies.store import SOCKET
+    from flintshift.replication.store import SOCKET
 
     return told(folder / SOCKET, "members", ADVICE)
 
@@ -56,7 +56,7 @@
     taken for one that lost its disk: it votes only when the others have told it what they know, or one
     longest window has passed.
     """
-    from flintshift.copies.store import boot_id, found_store
+    from flintshift.replication.store import boot_id, found_store
     from flintshift.storage.files import DiskFiles
 
     try:
@@ -117,7 +117,7 @@
 
     Exit code 3: something is not as it was written; the file and the place are named.
     """
-    from flintshift.copies.store import examined
+    from flintshift.replication.store import examined
     from flintshift.storage.files import DiskFiles
     from flintshift.storage.snapshot import DamagedError
     from flintshift.wire.peer_codec import entry_from
--- a/flintshift/lab/copies_model.py
+++ b/flintshift/lab/copies_model.py
@@ -12,7 +12,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from flintshift.copies.messages import (
+from flintshift.core.keys import Stage
+from flintshift.interface import Outcome
+from flintshift.replication.messages import (
     Action,
     Ask,
     Claim,
@@ -35,12 +37,10 @@
     Vote,
     Voted,
 )
-from flintshift.copies.placement import Placement
-from flintshift.copies.proposals import Pace, Proposals
-from flintshift.copies.refill import FillAsk, Page, Refill, page
-from flintshift.copies.registers import Entry, HolderBounds, Registers
-from flintshift.core.keys import Stage
-from flintshift.interface import Outcome
+from flintshift.replication.placement import Placement
+from flintshift.replication.proposals import Pace, Proposals
+from flintshift.replication.refill import FillAsk, Page, Refill, page
+from flintshift.replication.registers import Entry, HolderBounds, Registers
 
 KEEP_MS = 30_000.0
 Word = Ask | Vote | Ended | FillAsk | Page
--- a/flintshift/lab/logs_model.py
+++ b/flintshift/lab/logs_model.py
@@ -14,11 +14,11 @@
 
 import msgspec
 
-from flintshift.copies import logs
-from flintshift.copies.log_holders import HeldLogs, HolderPace
-from flintshift.copies.log_writer import LogWriter
-from flintshift.copies.logs import LogId, Record
-from flintshift.copies.placement import Placement
+from flintshift.replication import logs
+from flintshift.replication.log_holders import HeldLogs, HolderPace
+from flintshift.replication.log_writer import LogWriter
+from flintshift.replication.logs import LogId, Record
+from flintshift.replication.placement import Placement
 
 PACE = HolderPace(take_over_ms=1000.0, stagger_ms=200.0, again_ms=500.0)
 NOTHING = 99  # the kind of a record without content
--- a/flintshift/lifecycle/copied_claims.py
+++ b/flintshift/lifecycle/copied_claims.py
@@ -7,7 +7,16 @@
 import math
 from collections.abc import Callable
 
-from flintshift.copies.messages import (
+from flintshift.core import attempts as at
+from flintshift.core.attempts import Attempt
+from flintshift.core.counters import Counters
+from flintshift.core.decisions import Decisions
+from flintshift.core.keys import Entry as Held
+from flintshift.core.keys import Stage, fingerprint
+from flintshift.core.limits import Limits
+from flintshift.core.ports import Log
+from flintshift.interface import Outcome, RequestClass
+from flintshift.replication.messages import (
     Action,
     Claim,
     Event,
@@ -22,15 +31,6 @@
     Settled,
     Told,
 )
-from flintshift.core import attempts as at
-from flintshift.core.attempts import Attempt
-from flintshift.core.counters import Counters
-from flintshift.core.decisions import Decisions
-from flintshift.core.keys import Entry as Held
-from flintshift.core.keys import Stage, fingerprint
-from flintshift.core.limits import Limits
-from flintshift.core.ports import Log
-from flintshift.interface import Outcome, RequestClass
 
 
 class CopiedClaims:
--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/copying.py
@@ -1,5 +1,5 @@
-"""The copies at the node's side: the state machines of `copies/` and `peers/`, their disk, their links, their clock,
-and what the planner is to hear of them. Imported only where copies are on.
+"""The copies at the node's side: the state machines of `replication/` and `peers/`, their disk, their links, their
+clock, and what the planner is to hear of them. Imported only where copies are on.
 
 Everything happens in turns of one event loop; what the planner is to hear goes through its mailbox. This member's own
 store is held by `lifecycle/replica_store.py`.
@@ -19,8 +19,19 @@
 
 import anyio
 
-from flintshift.copies import logs
-from flintshift.copies.messages import (
+from flintshift.core import attempts as at
+from flintshift.core.counters import Counters
+from flintshift.core.decisions import Decisions
+from flintshift.core.limits import Limits
+from flintshift.core.ports import Log
+from flintshift.interface import Outcome
+from flintshift.lifecycle.copied_claims import CopiedClaims
+from flintshift.lifecycle.copies_status import copies_status
+from flintshift.lifecycle.replica_store import ReplicaStore
+from flintshift.peers import members as who
+from flintshift.proto import peers_pb2 as pb
+from flintshift.replication import logs
+from flintshift.replication.messages import (
     Action,
     Ask,
     Ended,
@@ -34,21 +45,10 @@
     Vote,
     Voted,
 )
-from flintshift.copies.placement import Placement
-from flintshift.copies.proposals import Proposals
-from flintshift.copies.refill import FillAsk, Page
-from flintshift.copies.store import boot_id
-from flintshift.core import attempts as at
-from flintshift.core.counters import Counters
-from flintshift.core.decisions import Decisions
-from flintshift.core.limits import Limits
-from flintshift.core.ports import Log
-from flintshift.interface import Outcome
-from flintshift.lifecycle.copied_claims import CopiedClaims
-from flintshift.lifecycle.copies_status import copies_status
-from flintshift.lifecycle.replica_store import ReplicaStore
-from flintshift.peers import members as who
-from flintshift.proto import peers_pb2 as pb
+from flintshift.replication.placement import Placement
+from flintshift.replication.proposals import Proposals
+from flintshift.replication.refill import FillAsk, Page
+from flintshift.replication.store import boot_id
 from flintshift.settings.options import CopiesOptions, PeersOptions, UsageOptions
 from flintshift.startup.backoff import Uniform
 from flintshift.startup.permits import Permit, PermitAsk
--- a/flintshift/lifecycle/held_copies.py
+++ b/flintshift/lifecycle/held_copies.py
@@ -11,13 +11,13 @@
 
 import anyio
 
-from flintshift.copies import logs
-from flintshift.copies.log_holders import HeldLogs, HolderPace
-from flintshift.copies.logs import LogId
-from flintshift.copies.placement import Placement
 from flintshift.core.counters import Counters
 from flintshift.core.ports import Log
 from flintshift.lifecycle.taken_ledgers import TakenLedgers
+from flintshift.replication import logs
+from flintshift.replication.log_holders import HeldLogs, HolderPace
+from flintshift.replication.logs import LogId
+from flintshift.replication.placement import Placement
 from flintshift.settings.options import CopiesOptions
 from flintshift.storage.files import Files
 from flintshift.storage.log import BrokenError
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -214,8 +214,8 @@
             self.actors.append(open_export(self.ledger, options, self.log))
 
     def _keep_copies(self, peers: PeersOptions, options: CopiesOptions) -> None:
-        from flintshift.copies.store import SOCKET
         from flintshift.lifecycle.durable_parts import copy_ledger, open_copies
+        from flintshift.replication.store import SOCKET
 
         copying = open_copies(
             self.config, peers, options, self.decisions, self.counters, self.now_ms, self.log, self.retry
--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -16,13 +16,13 @@
 import anyio
 from msgspec import structs
 
-from flintshift.copies.messages import NO_BALLOT, Ask, Ended, Event, Key, Reach, Verdict, Vote, Voted
-from flintshift.copies.placement import Placement
-from flintshift.copies.refill import FillAsk, Page, Refill, page
-from flintshift.copies.registers import Entry, HolderBounds, Registers
-from flintshift.copies.store import CopiesFolder, boot_id
 from flintshift.core.counters import Counters
 from flintshift.core.ports import Log
+from flintshift.replication.messages import NO_BALLOT, Ask, Ended, Event, Key, Reach, Verdict, Vote, Voted
+from flintshift.replication.placement import Placement
+from flintshift.replication.refill import FillAsk, Page, Refill, page
+from flintshift.replication.registers import Entry, HolderBounds, Registers
+from flintshift.replication.store import CopiesFolder, boot_id
 from flintshift.settings.options import CopiesOptions
 from flintshift.storage.files import Files
 from flintshift.storage.log import BrokenError
--- a/flintshift/lifecycle/taken_ledgers.py
+++ b/flintshift/lifecycle/taken_ledgers.py
@@ -11,13 +11,13 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from flintshift.copies import logs
-from flintshift.copies.log_holders import HeldLogs
-from flintshift.copies.log_writer import LogWriter
-from flintshift.copies.logs import LogId
 from flintshift.core.counters import Counters
 from flintshift.core.ports import Log
 from flintshift.lifecycle.exports import AGAIN_S, export_run
+from flintshift.replication import logs
+from flintshift.replication.log_holders import HeldLogs
+from flintshift.replication.log_writer import LogWriter
+from flintshift.replication.logs import LogId
 from flintshift.settings.options import UsageOptions
 from flintshift.storage.files import Files
 from flintshift.storage.log import BrokenError
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -1,5 +1,5 @@
 """The ledger of use on further members: this member's own is written to others here; their copies on this member stand
-in `held_copies.py`, and those that it goes on with in `taken_ledgers.py`. The rules are `copies.logs`.
+in `held_copies.py`, and those that it goes on with in `taken_ledgers.py`. The rules are `replication.logs`.
 
 Imported only where copies and the ledger of use are both on.
 """
@@ -12,13 +12,13 @@
 
 import anyio
 
-from flintshift.copies import logs
-from flintshift.copies.log_writer import LogWriter
-from flintshift.copies.logs import LogId
-from flintshift.copies.placement import Placement
 from flintshift.lifecycle.books import open_folder
 from flintshift.lifecycle.held_copies import REFUSED, HeldCopies
 from flintshift.lifecycle.taken_ledgers import TakenLedgers
+from flintshift.replication import logs
+from flintshift.replication.log_writer import LogWriter
+from flintshift.replication.logs import LogId
+from flintshift.replication.placement import Placement
 from flintshift.settings.options import UsageOptions
 from flintshift.usage import replica as on_disk
 from flintshift.usage.ledger import HELD_MS, RETIRE_MS, Ledger
--- a/flintshift/peers/members.py
+++ b/flintshift/peers/members.py
@@ -8,7 +8,7 @@
 process, and the former one stays dead.
 
 That somebody is dead is never needed for safety: whoever is taken for dead and is not is fenced by the ballots of
-`copies/`. It costs an answer, no promise.
+`replication/`. It costs an answer, no promise.
 """
 
 from __future__ import annotations
--- a/flintshift/copies/log_holders.py
+++ b/flintshift/replication/log_holders.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from flintshift.copies.logs import (
+from flintshift.replication.logs import (
     NOWHERE,
     Answer,
     Append,
--- a/flintshift/copies/log_writer.py
+++ b/flintshift/replication/log_writer.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from flintshift.copies.logs import (
+from flintshift.replication.logs import (
     NOWHERE,
     Append,
     At,
--- a/flintshift/copies/placement.py
+++ b/flintshift/replication/placement.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from zlib import crc32
 
-from flintshift.copies.messages import Key
+from flintshift.replication.messages import Key
 
 SLOTS = 4096  # keys are spread over these, and slots over the members: a slot's holders are computed once
 
--- a/flintshift/copies/proposals.py
+++ b/flintshift/replication/proposals.py
@@ -20,7 +20,9 @@
 
 from msgspec.structs import replace
 
-from flintshift.copies.messages import (
+from flintshift.core.keys import Stage
+from flintshift.interface import Outcome
+from flintshift.replication.messages import (
     FIRST_CLASSIC,
     NO_BALLOT,
     Action,
@@ -51,9 +53,7 @@
     Vote,
     Voted,
 )
-from flintshift.copies.placement import Placement
-from flintshift.core.keys import Stage
-from flintshift.interface import Outcome
+from flintshift.replication.placement import Placement
 
 NO_MAJORITY = "no majority of the key's holders is in reach"
 Intent = Claim | Finish | Free | TakeOver | Follow
--- a/flintshift/copies/refill.py
+++ b/flintshift/replication/refill.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from flintshift.copies.messages import Key
-from flintshift.copies.registers import PAGE_BYTES, Entry, Registers
+from flintshift.replication.messages import Key
+from flintshift.replication.registers import PAGE_BYTES, Entry, Registers
 
 AGAIN_MS = 500.0  # a member whose own store is being filled is asked again, from the start
 ENTRY_BYTES = 200  # of a register in a page, beside its result
--- a/flintshift/copies/registers.py
+++ b/flintshift/replication/registers.py
@@ -16,9 +16,9 @@
 
 from msgspec import Struct
 
-from flintshift.copies.messages import NO_BALLOT, Ask, Ballot, Key, Step, Value, Verdict, Vote
-from flintshift.copies.placement import Placement
 from flintshift.core.keys import Stage
+from flintshift.replication.messages import NO_BALLOT, Ask, Ballot, Key, Step, Value, Verdict, Vote
+from flintshift.replication.placement import Placement
 
 PAGE_BYTES = 64_000  # of what a store that is filled is told at once
 OVERHEAD = 860  # bytes of a register beside its result, as a process grows by them (benchmarks/copies_model.py)
--- a/flintshift/copies/store.py
+++ b/flintshift/replication/store.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from flintshift.copies.registers import Entry
+from flintshift.replication.registers import Entry
 from flintshift.storage import snapshot
 from flintshift.storage.files import Files
 from flintshift.storage.log import Log, Reach, records, segment_name, segments
--- a/flintshift/wire/peer_codec.py
+++ b/flintshift/wire/peer_codec.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterable
 
-from flintshift.copies import logs
-from flintshift.copies.messages import NO_BALLOT, Ask, Ballot, Ended, Key, Step, Value, Verdict, Vote
-from flintshift.copies.refill import FillAsk, Page
-from flintshift.copies.registers import Entry
 from flintshift.core.keys import Stage
 from flintshift.interface import Outcome
 from flintshift.peers.members import Accuse, Accused
 from flintshift.proto import peers_pb2 as pb
+from flintshift.replication import logs
+from flintshift.replication.messages import NO_BALLOT, Ask, Ballot, Ended, Key, Step, Value, Verdict, Vote
+from flintshift.replication.refill import FillAsk, Page
+from flintshift.replication.registers import Entry
 from flintshift.startup.permits import Permit, PermitAsk
 from flintshift.wire.link import JunkError
 
--- a/tests/fleet/test_hard_cases.py
+++ b/tests/fleet/test_hard_cases.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from flintshift.copies.placement import Placement
 from flintshift.lab.faults import Fault
 from flintshift.lab.fleet import KEYED, Fleet
+from flintshift.replication.placement import Placement
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/fleet/test_refusing_disks.py
+++ b/tests/fleet/test_refusing_disks.py
@@ -14,9 +14,9 @@
 import pytest
 
 from flintshift.cli.asking import ask
-from flintshift.copies.store import SOCKET
 from flintshift.lab.chaos_copies import COPIES, HALLS, DiskRefusal, Load, rounds
 from flintshift.lab.fleet import Fleet, booking
+from flintshift.replication.store import SOCKET
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/fleet/test_use.py
+++ b/tests/fleet/test_use.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from flintshift.copies.placement import Placement
 from flintshift.lab.fleet import Fleet, billed, booking
+from flintshift.replication.placement import Placement
 
 HALLS = {"ruwi-hall": 3, "seeb-hall": 2}
 COPIES = "  copies: 3\n  take-over-use: 1s\n"
--- a/tests/copies/mutants.py
+++ b/tests/replication/mutants.py
@@ -4,9 +4,9 @@
 
 from msgspec.structs import replace
 
-from flintshift.copies.messages import Step, Verdict
-from flintshift.copies.proposals import Proposals
-from flintshift.copies.registers import Registers
+from flintshift.replication.messages import Step, Verdict
+from flintshift.replication.proposals import Proposals
+from flintshift.replication.registers import Registers
 
 
 class VotesWhileEmpty(Registers):
--- a/tests/copies/test_agreement.py
+++ b/tests/replication/test_agreement.py
@@ -9,18 +9,18 @@
 import random
 
 import pytest
-from copies.mutants import MajorityOfFirst, MinorityEnds, NoStoreCheck, VotesWhileEmpty
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from msgspec import structs
+from replication.mutants import MajorityOfFirst, MinorityEnds, NoStoreCheck, VotesWhileEmpty
 
-from flintshift.copies.messages import Claim, Finish, Overdue, Reach, Tick
-from flintshift.copies.placement import Placement
-from flintshift.copies.proposals import Proposals
-from flintshift.copies.refill import FillAsk, Page
 from flintshift.interface import Outcome
 from flintshift.lab.copies_model import Message, World
+from flintshift.replication.messages import Claim, Finish, Overdue, Reach, Tick
+from flintshift.replication.placement import Placement
+from flintshift.replication.proposals import Proposals
+from flintshift.replication.refill import FillAsk, Page
 
 HALLS = {"n1": "a", "n2": "a", "n3": "b", "n4": "b", "n5": "c"}
 KEYS = [("submit-time", f"k{number}") for number in range(3)]
--- a/tests/copies/test_log_copies.py
+++ b/tests/replication/test_log_copies.py
@@ -7,10 +7,10 @@
 import pytest
 from msgspec import structs
 
-from flintshift.copies import logs
-from flintshift.copies.log_holders import HeldLogs
-from flintshift.copies.log_writer import LogWriter
 from flintshift.lab.logs_model import LogWorld
+from flintshift.replication import logs
+from flintshift.replication.log_holders import HeldLogs
+from flintshift.replication.log_writer import LogWriter
 
 HALLS = {"n1": "a", "n2": "a", "n3": "b", "n4": "b", "n5": "c"}
 
--- a/tests/copies/test_member_words.py
+++ b/tests/replication/test_member_words.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 import pytest
-from copies.test_store import entry
+from replication.test_store import entry
 
-from flintshift.copies.messages import NO_BALLOT, Ask, Ended, Step, Value, Verdict, Vote
-from flintshift.copies.placement import Placement
-from flintshift.copies.refill import FillAsk, Page
 from flintshift.core.keys import Stage
 from flintshift.interface import Outcome
 from flintshift.peers.members import Accuse, Accused
 from flintshift.proto import peers_pb2 as pb
+from flintshift.replication.messages import NO_BALLOT, Ask, Ended, Step, Value, Verdict, Vote
+from flintshift.replication.placement import Placement
+from flintshift.replication.refill import FillAsk, Page
 from flintshift.startup.permits import Permit, PermitAsk
 from flintshift.wire.peer_codec import OUTCOMES, WordsError, batch_of, read_batch, words_of
 from flintshift.wire.peer_link import SCHEMA, Greeting
--- a/tests/copies/test_refill.py
+++ b/tests/replication/test_refill.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from flintshift.copies.placement import Placement
-from flintshift.copies.refill import AGAIN_MS, FillAsk, Page, Refill
-from flintshift.copies.registers import HolderBounds, Registers
+from flintshift.replication.placement import Placement
+from flintshift.replication.refill import AGAIN_MS, FillAsk, Page, Refill
+from flintshift.replication.registers import HolderBounds, Registers
 
 STORE = 7
 OTHERS = ("n2", "n3")
--- a/tests/copies/test_replica_store.py
+++ b/tests/replication/test_replica_store.py
@@ -7,11 +7,11 @@
 import pytest
 from storage.sim_files import SimFiles
 
-from flintshift.copies.messages import Reach
-from flintshift.copies.placement import Placement
-from flintshift.copies.refill import FillAsk
 from flintshift.core.counters import Counters
 from flintshift.lifecycle.replica_store import ReplicaStore
+from flintshift.replication.messages import Reach
+from flintshift.replication.placement import Placement
+from flintshift.replication.refill import FillAsk
 from flintshift.settings.options import CopiesOptions
 
 WINDOW_MS = 9000.0
--- a/tests/copies/test_store.py
+++ b/tests/replication/test_store.py
@@ -8,11 +8,11 @@
 import pytest
 from storage.sim_files import SimFiles, StoppedError
 
-from flintshift.copies.messages import NO_BALLOT, Value
-from flintshift.copies.registers import Entry
-from flintshift.copies.store import CopiesFolder, examined, found_store
 from flintshift.core.keys import Stage
 from flintshift.interface import Outcome
+from flintshift.replication.messages import NO_BALLOT, Value
+from flintshift.replication.registers import Entry
+from flintshift.replication.store import CopiesFolder, examined, found_store
 from flintshift.storage.log import BrokenError
 from flintshift.storage.snapshot import DamagedError
 from flintshift.wire.peer_codec import entry_bytes, entry_from
--- a/tests/copies/test_store_clock.py
+++ b/tests/replication/test_store_clock.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 import pytest
-from copies.test_store import NOW, entry, founded, opened
+from replication.test_store import NOW, entry, founded, opened
 
 HOUR_MS = 3_600_000.0
 
--- a/tests/copies/test_store_refusals.py
+++ b/tests/replication/test_store_refusals.py
@@ -22,14 +22,14 @@
 import pytest
 from storage.sim_files import SimFiles
 
-from flintshift.copies.messages import NO_BALLOT, Ask, Reach, Step, Value, Verdict
-from flintshift.copies.placement import Placement
-from flintshift.copies.refill import Page
-from flintshift.copies.registers import Entry
-from flintshift.copies.store import boot_id, found_store
 from flintshift.core.counters import Counters
 from flintshift.core.keys import Stage
 from flintshift.lifecycle.replica_store import ReplicaStore
+from flintshift.replication.messages import NO_BALLOT, Ask, Reach, Step, Value, Verdict
+from flintshift.replication.placement import Placement
+from flintshift.replication.refill import Page
+from flintshift.replication.registers import Entry
+from flintshift.replication.store import boot_id, found_store
 from flintshift.settings.options import CopiesOptions
 
 pytestmark = pytest.mark.anyio
--- a/tests/copies/test_unsure_copies.py
+++ b/tests/replication/test_unsure_copies.py
@@ -17,8 +17,8 @@
 
 import pytest
 
-from flintshift.copies import logs
-from flintshift.copies.log_holders import HeldLogs, HolderPace
+from flintshift.replication import logs
+from flintshift.replication.log_holders import HeldLogs, HolderPace
 
 LOG = "n1", b"life"
 PACE = HolderPace(take_over_ms=1000.0)
--- a/tests/copies/test_use_copies_refusals.py
+++ b/tests/replication/test_use_copies_refusals.py
@@ -24,13 +24,13 @@
 from storage.sim_files import SimFiles
 from usage.test_ledger_stops import BEGIN, FOLDER, Life
 
-from flintshift.copies import logs
-from flintshift.copies.log_holders import HolderPace
-from flintshift.copies.log_writer import LogWriter, State
-from flintshift.copies.placement import Placement
 from flintshift.core.counters import Counters
 from flintshift.lifecycle.held_copies import HeldCopies
 from flintshift.lifecycle.use_copies import AGAIN_MS, UseCopies
+from flintshift.replication import logs
+from flintshift.replication.log_holders import HolderPace
+from flintshift.replication.log_writer import LogWriter, State
+from flintshift.replication.placement import Placement
 from flintshift.settings.options import CopiesOptions, UsageOptions
 from flintshift.usage import replica as on_disk
 from flintshift.usage.book import Book
