--- a/flintshift/lab/copies_model.py
+++ b/flintshift/lab/copies_model.py
@@ -18,20 +18,20 @@
     Action,
     Ask,
     Claim,
+    ClaimedByOther,
     Ended,
     Event,
     Finish,
+    FollowedKeyEnded,
     Free,
     Granted,
     Key,
-    Known,
-    NoWord,
-    Reach,
+    MajorityUnavailable,
+    ReachabilityChanged,
     Send,
     Settled,
     TakeOver,
     Tick,
-    Told,
     TookOver,
     Value,
     Vote,
@@ -127,7 +127,7 @@
     def _reach(self, machine: Machine, other: Machine, up: bool) -> None:
         if not up and machine.refill is not None:
             machine.refill.link_lost(other.name)
-        self._tell(machine, Reach(other.name, up, other.registers.store if up else 0))
+        self._tell(machine, ReachabilityChanged(other.name, up, other.registers.store if up else 0))
 
     def lives(self, identity: str) -> bool:
         return any(machine.up and machine.identity == identity for machine in self.machines.values())
@@ -256,16 +256,16 @@
                 self.ran.setdefault(key, []).append(owner)
                 self.running[key] = owner, machine.identity
                 self.answers[owner] = "granted"
-            case Known(waiting, key, value):
+            case ClaimedByOther(waiting, key, value):
                 for owner in waiting:
                     self.answers[owner] = value.stage.name
                 self._result(key, value)
-            case NoWord(owner, may_have_run, _):
+            case MajorityUnavailable(owner, may_have_run, _):
                 self.answers[owner] = "unsure" if may_have_run else "refused"
                 self.counts["no_word"] += 1
             case Settled(key, owner, outcome, result):
                 self._result(key, Value(Stage.FINISHED, owner, "", b"p", 0.0, outcome, result))
-            case Told(key, value):
+            case FollowedKeyEnded(key, value):
                 self._result(key, value)
             case TookOver(_, value):
                 self.took_over.append(value.owner)
--- a/flintshift/lifecycle/copied_claims.py
+++ b/flintshift/lifecycle/copied_claims.py
@@ -18,18 +18,18 @@
 from flintshift.interface import Outcome, RequestClass
 from flintshift.replication.messages import (
     Action,
+    CallerDeparted,
     Claim,
+    ClaimedByOther,
     Event,
     Finish,
+    FollowedKeyEnded,
     Free,
-    Gone,
     Granted,
     Key,
-    Known,
-    NoWord,
-    Overdue,
+    MajorityUnavailable,
+    OutcomeOverdue,
     Settled,
-    Told,
 )
 
 
@@ -88,7 +88,7 @@
     def departed(self, request: str) -> None:
         key = self.keys.pop(request, None)
         if key is not None:
-            self.tell(Gone(key, request))
+            self.tell(CallerDeparted(key, request))
 
     def kept(self, attempt: Attempt) -> None:
         """The table holds its entry; the holders have its claim."""
@@ -124,14 +124,14 @@
             case Granted(owner):
                 self.keys.pop(owner, None)
                 pending.append(at.Agreed(owner, True))
-            case Known(waiting, key, value):
+            case ClaimedByOther(waiting, key, value):
                 until = self.wall_ms() + self.limits.clock_skew_ms + self.limits.claim_ms
-                held = Held(value.owner, until, value.print, value.outcome, value.result, other=True)
+                held = Held(value.owner, until, value.fingerprint, value.outcome, value.result, other=True)
                 pending.extend(at.RunOver(follower, Outcome.ERROR) for follower in keys.adopt(key, held, -math.inf))
                 for owner in waiting:
                     self.keys.pop(owner, None)
                     pending.append(at.Agreed(owner, False))
-            case NoWord(owner, may_have_run, cause):
+            case MajorityUnavailable(owner, may_have_run, cause):
                 self.keys.pop(owner, None)
                 self.counters.add("copies.no_word")
                 # Without the request's id, so that a flood of them is told as one with its count.
@@ -150,9 +150,9 @@
                         cause="another member settled this run while this one was out of reach",
                     )
                 pending.append(at.Kept(owner, outcome, result))
-            case Overdue(owner):
+            case OutcomeOverdue(owner):
                 pending.append(at.Kept(owner, None))
-            case Told(key, value):
+            case FollowedKeyEnded(key, value):
                 other = keys.others(key, value.owner)
                 if other is None:
                     return
--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/copying.py
@@ -37,7 +37,7 @@
     Ended,
     Event,
     Key,
-    Reach,
+    ReachabilityChanged,
     Send,
     TakeOver,
     Tick,
@@ -343,7 +343,7 @@
         self.reached.add(member)
         self.not_linked.pop(member, None)
         self.log("info", "peers.link_up", name=member, identity=told.identity, reached=len(self.reached))
-        self._event(Reach(member, True, told.store))
+        self._event(ReachabilityChanged(member, True, told.store))
         if self.use is not None and member != self.name:
             self.use.reach(member, True)
 
@@ -353,7 +353,7 @@
         if member in self.reached:
             self.reached.discard(member)
             self.log("warning", "peers.link_down", name=member, cause=cause, reached=len(self.reached))
-            self._event(Reach(member, False, 0))
+            self._event(ReachabilityChanged(member, False, 0))
             self.store.link_lost(member)
             if self.use is not None:
                 self.use.reach(member, False)
--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -18,7 +18,7 @@
 
 from flintshift.core.counters import Counters
 from flintshift.core.ports import Log
-from flintshift.replication.messages import NO_BALLOT, Ask, Ended, Event, Key, Reach, Verdict, Vote, Voted
+from flintshift.replication.messages import NO_BALLOT, Ask, Ended, Event, Key, ReachabilityChanged, Verdict, Vote, Voted
 from flintshift.replication.placement import Placement
 from flintshift.replication.refill import FillAsk, Page, Refill, page
 from flintshift.replication.registers import Entry, HolderBounds, Registers
@@ -133,7 +133,7 @@
             votes=state.votes,
             cause=found.why_empty,
         )
-        self.host.tell(Reach(self.name, True, state.incarnation))
+        self.host.tell(ReachabilityChanged(self.name, True, state.incarnation))
         self.holding.set()
 
     def close(self) -> None:
@@ -169,7 +169,7 @@
         )
         self.refill = self._new_refill()
         self._keep_state()
-        self.host.tell(Reach(self.name, True, known + 1))
+        self.host.tell(ReachabilityChanged(self.name, True, known + 1))
 
     # Votes.
 
@@ -246,7 +246,7 @@
         self.refusing_ms = self.now_ms()
         self.reopen_after_ms = FIRST_REOPEN_MS
         self.reopen_ms = self.refusing_ms + FIRST_REOPEN_MS
-        self.host.tell(Reach(self.name, False, 0))
+        self.host.tell(ReachabilityChanged(self.name, False, 0))
 
     async def sync(self) -> None:
         """Let votes go once what they changed is synced; until cancelled."""
@@ -300,7 +300,7 @@
             return
         after_ms, self.refusing_ms = now - self.refusing_ms, None
         self.log("warning", "copies.disk_takes_again", keys=len(self.registers.table), after_ms=round(after_ms))
-        self.host.tell(Reach(self.name, True, self.registers.store))
+        self.host.tell(ReachabilityChanged(self.name, True, self.registers.store))
 
     def purge(self, now: float) -> None:
         """Forget what is past, here and on the disk; does nothing where that was done a moment ago."""
@@ -347,7 +347,7 @@
         if changed:
             self._written(changed)  # where the disk refuses, they are written with all else once it takes again
         if self.registers.store != before:
-            self.host.tell(Reach(self.name, True, self.registers.store))
+            self.host.tell(ReachabilityChanged(self.name, True, self.registers.store))
         if told.done and told.counts:
             self.log("info", "copies.filled_by", name=member, keys=len(self.registers.table))
         if self.registers.full_vote:
--- a/flintshift/replication/messages.py
+++ b/flintshift/replication/messages.py
@@ -16,7 +16,7 @@
 Key = tuple[str, str]  # class, and the key that all tries of one request share
 Ballot = tuple[int, str]  # a number, and the process that proposes under it: no two share one
 NO_BALLOT: Ballot = (-1, "")
-FIRST_CLASSIC = 2  # 0 is the round without a promise, 1 that of its winner alone
+FIRST_CLASSIC_BALLOT_NUMBER = 2  # 0 is the round without a promise, 1 that of its winner alone
 
 
 class Value(Struct, frozen=True, gc=False):
@@ -25,8 +25,8 @@
     stage: Stage
     owner: str  # the id of the try that claimed it
     runner: str  # the process that may run it
-    print: bytes  # of tenant and body, which all tries share
-    for_ms: float  # so long it is kept by each holder, from when it is written there
+    fingerprint: bytes  # of tenant and body, which all tries share
+    retention_ms: float  # so long it is kept by each holder, from when it is written there
     outcome: Outcome | None = None
     result: bytes = b""
 
@@ -50,7 +50,7 @@
 
 class Ask(Struct, frozen=True, gc=False):
     number: int  # of the question, new with every step of every proposal of a process
-    by: str
+    proposer: str
     step: Step
     key: Key
     ballot: Ballot
@@ -76,10 +76,10 @@
 
     key: Key
     owner: str
-    print: bytes
-    for_ms: float
-    until_ms: float
-    again: bool  # it may be a further try of a request that ran elsewhere
+    fingerprint: bytes
+    retention_ms: float
+    deadline_ms: float
+    may_be_repeat: bool  # it may be a further try of a request that ran elsewhere
 
 
 class Finish(Struct, frozen=True, gc=False):
@@ -87,9 +87,9 @@
 
     key: Key
     owner: str
-    print: bytes
-    for_ms: float
-    until_ms: float
+    fingerprint: bytes
+    retention_ms: float
+    deadline_ms: float
     outcome: Outcome
     result: bytes
 
@@ -115,7 +115,7 @@
     owner: str
 
 
-class Gone(Struct, frozen=True, gc=False):
+class CallerDeparted(Struct, frozen=True, gc=False):
     """The caller of this try does not wait any more."""
 
     key: Key
@@ -133,11 +133,11 @@
     key: Key
 
 
-class Reach(Struct, frozen=True, gc=False):
+class ReachabilityChanged(Struct, frozen=True, gc=False):
     """A holder is in reach, or no longer, and which incarnation its store has (0: not known)."""
 
     member: str
-    up: bool
+    reachable: bool
     store: int
 
 
@@ -145,7 +145,7 @@
     pass
 
 
-Event = Claim | Finish | Free | TakeOver | Follow | Gone | Voted | Ended | Reach | Tick
+Event = Claim | Finish | Free | TakeOver | Follow | CallerDeparted | Voted | Ended | ReachabilityChanged | Tick
 
 
 # What they answer.
@@ -162,15 +162,15 @@
     owner: str
 
 
-class Known(Struct, frozen=True, gc=False):
+class ClaimedByOther(Struct, frozen=True, gc=False):
     """The key is another try's; these wait for what becomes of it."""
 
-    waiting: tuple[str, ...]
+    waiting_owners: tuple[str, ...]
     key: Key
     value: Value
 
 
-class NoWord(Struct, frozen=True, gc=False):
+class MajorityUnavailable(Struct, frozen=True, gc=False):
     """No majority can be had now. ``may_have_run``: this try is a further one, or a holder knows of the key."""
 
     owner: str
@@ -179,22 +179,22 @@
 
 
 class Settled(Struct, frozen=True, gc=False):
-    """How a run of this process ended, as every member will tell it. ``ours``: as it told itself."""
+    """How a run of this process ended, as every member will tell it. ``is_own_outcome``: as it told itself."""
 
     key: Key
     owner: str
     outcome: Outcome
     result: bytes
-    ours: bool
+    is_own_outcome: bool
 
 
-class Overdue(Struct, frozen=True, gc=False):
+class OutcomeOverdue(Struct, frozen=True, gc=False):
     """The outcome of this run reached no majority in time; it is still being written."""
 
     owner: str
 
 
-class Told(Struct, frozen=True, gc=False):
+class FollowedKeyEnded(Struct, frozen=True, gc=False):
     """What became of a key that is followed."""
 
     key: Key
@@ -208,4 +208,4 @@
     value: Value
 
 
-Action = Send | Granted | Known | NoWord | Settled | Overdue | Told | TookOver
+Action = Send | Granted | ClaimedByOther | MajorityUnavailable | Settled | OutcomeOverdue | FollowedKeyEnded | TookOver
--- a/flintshift/replication/proposals.py
+++ b/flintshift/replication/proposals.py
@@ -23,30 +23,30 @@
 from flintshift.core.keys import Stage
 from flintshift.interface import Outcome
 from flintshift.replication.messages import (
-    FIRST_CLASSIC,
+    FIRST_CLASSIC_BALLOT_NUMBER,
     NO_BALLOT,
     Action,
     Ask,
     Ballot,
+    CallerDeparted,
     Claim,
+    ClaimedByOther,
     Ended,
     Event,
     Finish,
     Follow,
+    FollowedKeyEnded,
     Free,
-    Gone,
     Granted,
     Key,
-    Known,
-    NoWord,
-    Overdue,
-    Reach,
+    MajorityUnavailable,
+    OutcomeOverdue,
+    ReachabilityChanged,
     Send,
     Settled,
     Step,
     TakeOver,
     Tick,
-    Told,
     TookOver,
     Value,
     Verdict,
@@ -108,15 +108,17 @@
         self.known_stores: dict[str, int] = {}
         self.granted: dict[Key, str] = {}  # tries that may run, until their end is told
         self.numbers = 0
-        self.top = FIRST_CLASSIC - 1  # no ballot is used twice by one process, and none that it was promised
+        self.top = (
+            FIRST_CLASSIC_BALLOT_NUMBER - 1
+        )  # no ballot is used twice by one process, and none that it was promised
         self.counts: Counter[str] = Counter()
         self.next_ms = math.inf  # a tick is due
         self.answer_ms = 0.0  # what a holder's answer takes of late
 
-    # Told.
+    # FollowedKeyEnded.
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        if isinstance(event, Reach | Tick):  # these may touch any key
+        if isinstance(event, ReachabilityChanged | Tick):  # these may touch any key
             actions = self._handled(now_ms, event)
             self.next_ms = min(
                 (self._due_of(key) for key in self.under_way.keys() | self.followed.keys()), default=math.inf
@@ -132,11 +134,11 @@
         match event:
             case Claim(key) if key in self.under_way and isinstance(self.under_way[key].intent, Claim):
                 proposal = self.under_way[key]
-                proposal.waiting[event.owner] = event.until_ms  # it learns what becomes of the first
+                proposal.waiting[event.owner] = event.deadline_ms  # it learns what becomes of the first
                 return []
             case Claim() | Finish() | Free() | TakeOver() | Follow():
                 return self._begin(now_ms, event)
-            case Gone(key, owner):
+            case CallerDeparted(key, owner):
                 proposal = self.under_way.get(key)  # type: ignore[assignment]
                 if proposal is not None:
                     proposal.waiting.pop(owner, None)
@@ -147,7 +149,7 @@
                 if key in self.followed and key not in self.under_way:
                     return self._begin(now_ms, Follow(key, self.followed[key][0]))
                 return []
-            case Reach(member, up, store):
+            case ReachabilityChanged(member, up, store):
                 return self._reach(now_ms, member, up, store)
             case Tick():
                 return self._tick(now_ms)
@@ -163,8 +165,8 @@
             return due
         due = min(due, proposal.again_ms, *proposal.waiting.values())
         if isinstance(proposal.intent, Finish) and not proposal.given_up:
-            due = min(due, proposal.intent.until_ms)
-        return min([due, *(intent.until_ms for intent in proposal.behind if isinstance(intent, Claim))])
+            due = min(due, proposal.intent.deadline_ms)
+        return min([due, *(intent.deadline_ms for intent in proposal.behind if isinstance(intent, Claim))])
 
     # A proposal.
 
@@ -175,21 +177,21 @@
         known = self.under_way.get(key)
         if known is not None:
             if isinstance(intent, Claim) and not self._majority_in_reach(known.holders):
-                return [NoWord(intent.owner, intent.again or known.seen, NO_MAJORITY)]
+                return [MajorityUnavailable(intent.owner, intent.may_be_repeat or known.seen, NO_MAJORITY)]
             if len(known.behind) < self.pace.behind and intent not in known.behind:
                 known.behind.append(intent)
             elif isinstance(intent, Claim):
-                return [NoWord(intent.owner, True, "too many proposals for this key")]
+                return [MajorityUnavailable(intent.owner, True, "too many proposals for this key")]
             return []
         holders = self.placement.holders(key)
         if len(self.under_way) >= self.pace.most and isinstance(intent, Claim):
-            return [NoWord(intent.owner, intent.again, "too many proposals are under way")]
-        until = intent.until_ms if isinstance(intent, Claim) else math.inf
+            return [MajorityUnavailable(intent.owner, intent.may_be_repeat, "too many proposals are under way")]
+        until = intent.deadline_ms if isinstance(intent, Claim) else math.inf
         if isinstance(intent, Free | TakeOver | Finish):
-            until = now_ms + (intent.for_ms if isinstance(intent, Finish) else 60_000.0)
+            until = now_ms + (intent.retention_ms if isinstance(intent, Finish) else 60_000.0)
         proposal = self.under_way[key] = Proposal(intent, holders, until)
         if isinstance(intent, Claim):
-            proposal.waiting[intent.owner] = intent.until_ms
+            proposal.waiting[intent.owner] = intent.deadline_ms
             if not self._majority_in_reach(holders):
                 return self._give_up(now_ms, key, proposal, NO_MAJORITY)
         return self._start(now_ms, key, proposal)
@@ -197,7 +199,7 @@
     def _start(self, now_ms: float, key: Key, proposal: Proposal) -> list[Action]:
         intent, all_up = proposal.intent, all(name in self.stores for name in proposal.holders)
         if isinstance(intent, Claim) and not proposal.rounds:
-            if intent.again:
+            if intent.may_be_repeat:
                 return self._take(now_ms, key, proposal, Step.READ)
             if all_up:
                 return self._first(now_ms, key, proposal)
@@ -447,7 +449,7 @@
     def _claimed(self, now_ms: float, key: Key, proposal: Proposal, value: Value | None) -> list[Action]:
         waiting = tuple(proposal.waiting)
         if value is None or value.stage is Stage.FREE:  # can't be: a claim would have been written
-            return [NoWord(owner, True, "the key's register is empty") for owner in waiting]
+            return [MajorityUnavailable(owner, True, "the key's register is empty") for owner in waiting]
         mine = value.stage is Stage.CLAIMED and value.runner == self.me
         if mine and value.owner not in waiting and self.granted.get(key) != value.owner:
             proposal.behind.appendleft(Free(key, value.owner))  # its caller went, or was told no: it does not run
@@ -457,7 +459,7 @@
             self.granted[key] = value.owner
             actions.append(Granted(value.owner))
         if others:
-            actions.append(Known(others, key, value))
+            actions.append(ClaimedByOther(others, key, value))
             if value.stage is Stage.CLAIMED:
                 self.followed[key] = value.owner, now_ms + self.pace.poll_ms
         return actions
@@ -472,14 +474,16 @@
             value = Value(Stage.FINISHED, owner, "", b"", 0.0, Outcome.ERROR)
         elif value.owner != owner:  # a later claim could only be made once this one was free, or had not been chosen
             value = Value(Stage.FREE, owner, "", b"", 0.0)
-        return [Told(key, value)]
+        return [FollowedKeyEnded(key, value)]
 
     def _give_up(self, now_ms: float, key: Key, proposal: Proposal, cause: str) -> list[Action]:
         """No majority now. Whoever waits is told; what may stand at a minority is settled later."""
         actions: list[Action] = []
         intent = proposal.intent
         if isinstance(intent, Claim):
-            actions = [NoWord(owner, proposal.seen or intent.again, cause) for owner in proposal.waiting]
+            actions = [
+                MajorityUnavailable(owner, proposal.seen or intent.may_be_repeat, cause) for owner in proposal.waiting
+            ]
             proposal.waiting.clear()
             if not proposal.wrote:
                 del self.under_way[key]
@@ -488,10 +492,10 @@
                     actions += self.handle(now_ms, behind)
                 return actions
             proposal.intent = Free(key, intent.owner)
-            proposal.until_ms = now_ms + intent.for_ms
+            proposal.until_ms = now_ms + intent.retention_ms
         elif isinstance(intent, Finish) and not proposal.given_up:
             proposal.given_up = True
-            actions = [Overdue(intent.owner)]
+            actions = [OutcomeOverdue(intent.owner)]
         self._later(now_ms, proposal, self.pace.again_ms)
         return actions
 
@@ -506,16 +510,16 @@
             late = [owner for owner, until in proposal.waiting.items() if until <= now_ms]
             for owner in late:
                 del proposal.waiting[owner]
-                actions.append(NoWord(owner, True, "the holders did not answer in time"))
+                actions.append(MajorityUnavailable(owner, True, "the holders did not answer in time"))
             if late and not proposal.waiting and isinstance(intent, Claim):
                 actions += self._give_up(now_ms, key, proposal, "")
                 continue
-            if isinstance(intent, Finish) and not proposal.given_up and intent.until_ms <= now_ms:
+            if isinstance(intent, Finish) and not proposal.given_up and intent.deadline_ms <= now_ms:
                 proposal.given_up = True
-                actions.append(Overdue(intent.owner))
-            for behind in [one for one in proposal.behind if isinstance(one, Claim) and one.until_ms <= now_ms]:
+                actions.append(OutcomeOverdue(intent.owner))
+            for behind in [one for one in proposal.behind if isinstance(one, Claim) and one.deadline_ms <= now_ms]:
                 proposal.behind.remove(behind)
-                actions.append(NoWord(behind.owner, True, "the holders did not answer in time"))
+                actions.append(MajorityUnavailable(behind.owner, True, "the holders did not answer in time"))
             if proposal.until_ms <= now_ms and not isinstance(intent, Claim):
                 self.counts["given_up"] += 1
                 actions += self._end(now_ms, key, proposal, None)
--- a/flintshift/replication/registers.py
+++ b/flintshift/replication/registers.py
@@ -104,7 +104,7 @@
                 self.table[ask.key] = register
                 self.bytes += OVERHEAD
         verdict, changed = self._step(now_ms, ask, register)
-        runs_itself = verdict is Verdict.OK and ask.value is not None and ask.value.runner == ask.by
+        runs_itself = verdict is Verdict.OK and ask.value is not None and ask.value.runner == ask.proposer
         if (
             ask.watch
             and not runs_itself
@@ -112,7 +112,7 @@
             and (len(register.watchers) < self.bounds.watchers)
             and ask.key in self.table
         ):
-            register.watchers.add(ask.by)
+            register.watchers.add(ask.proposer)
         entry = self._entry(now_ms, ask.key, register) if changed else None
         if verdict is Verdict.OK and ask.step in (Step.FIRST, Step.ACCEPT):  # the asker knows what it wrote
             return Vote(ask.number, verdict, register.promised, register.ballot, None, ()), entry
@@ -125,11 +125,11 @@
             case Step.FIRST:
                 assert ask.value is not None
                 if register.promised == NO_BALLOT and register.value is None:
-                    self._write(now_ms, ask.key, register, (0, ask.by), ask.value)
+                    self._write(now_ms, ask.key, register, (0, ask.proposer), ask.value)
                     return Verdict.OK, True
                 told_again = (
-                    register.ballot == (0, ask.by)
-                    and register.promised == (1, ask.by)
+                    register.ballot == (0, ask.proposer)
+                    and register.promised == (1, ask.proposer)
                     and (register.value == ask.value)
                 )
                 return (Verdict.OK if told_again else Verdict.BEHIND), False
@@ -158,7 +158,7 @@
             self.by_runner.setdefault(value.runner, set()).add(key)
         register.ballot, register.value = ballot, value
         register.promised = max(register.promised, (ballot[0] + 1, ballot[1]))
-        register.until_ms = max(register.until_ms, now_ms + value.for_ms)
+        register.until_ms = max(register.until_ms, now_ms + value.retention_ms)
 
     def _unlist(self, key: Key, value: Value | None) -> None:
         if value is not None and value.stage is Stage.CLAIMED:
--- a/flintshift/wire/peer_codec.py
+++ b/flintshift/wire/peer_codec.py
@@ -49,8 +49,8 @@
         value.stage,
         value.owner,
         value.runner,
-        value.print,
-        value.for_ms,
+        value.fingerprint,
+        value.retention_ms,
     )
     if value.outcome is not None:
         into.outcome, into.result = NUMBERS[value.outcome], value.result
--- a/tests/replication/test_agreement.py
+++ b/tests/replication/test_agreement.py
@@ -17,7 +17,7 @@
 
 from flintshift.interface import Outcome
 from flintshift.lab.copies_model import Message, World
-from flintshift.replication.messages import Claim, Finish, Overdue, Reach, Tick
+from flintshift.replication.messages import Claim, Finish, OutcomeOverdue, ReachabilityChanged, Tick
 from flintshift.replication.placement import Placement
 from flintshift.replication.proposals import Proposals
 from flintshift.replication.refill import FillAsk, Page
@@ -176,7 +176,7 @@
 
 
 def unreached(world: World, name: str, member: str) -> None:
-    world._tell(world.machines[name], Reach(member, False, 0))
+    world._tell(world.machines[name], ReachabilityChanged(member, False, 0))
 
 
 def deliver(world: World, one: str, other: str) -> None:
@@ -234,7 +234,7 @@
     late = [message for message in world.sent if message.to == second]
     assert len(late) == 1
     world.sent.clear()
-    world._tell(world.machines["n4"], Reach(third, True, world.machines[third].store))
+    world._tell(world.machines["n4"], ReachabilityChanged(third, True, world.machines[third].store))
     world.crash(first, disk_lost=True)
     world.restart(first)
     world.tick(1.0)
@@ -325,10 +325,10 @@
     placement = Placement({"n1": "a", "n2": "b", "n3": "c"}, 3)
     proposals = Proposals("n1#1", placement, lambda runner: True, random.Random(1))
     for name in ("n1", "n2", "n3"):
-        proposals.handle(0.0, Reach(name, True, 1))
+        proposals.handle(0.0, ReachabilityChanged(name, True, 1))
     proposals.handle(0.0, Finish(KEYS[0], "r1", b"p", 30_000.0, 100.0, Outcome.OK, b""))
     assert proposals.due_ms() == 100.0
-    assert Overdue("r1") in proposals.handle(100.0, Tick())
+    assert OutcomeOverdue("r1") in proposals.handle(100.0, Tick())
     assert proposals.due_ms() > 100.0
 
 
@@ -337,14 +337,14 @@
 
     def handle(self, now_ms, event):
         if isinstance(event, Claim):
-            event = structs.replace(event, until_ms=now_ms + self.draw.choice([1.0, 5.0, 100.0]))
+            event = structs.replace(event, deadline_ms=now_ms + self.draw.choice([1.0, 5.0, 100.0]))
         actions = super().handle(now_ms, event)
         waits = [at for _, at in self.followed.values()]
         for proposal in self.under_way.values():
             waits += [proposal.again_ms, *proposal.waiting.values()]
-            waits += [one.until_ms for one in proposal.behind if isinstance(one, Claim)]
+            waits += [one.deadline_ms for one in proposal.behind if isinstance(one, Claim)]
             if isinstance(proposal.intent, Finish) and not proposal.given_up:
-                waits.append(proposal.intent.until_ms)
+                waits.append(proposal.intent.deadline_ms)
         assert self.due_ms() <= min(waits, default=math.inf)
         return actions
 
--- a/tests/replication/test_replica_store.py
+++ b/tests/replication/test_replica_store.py
@@ -9,7 +9,7 @@
 
 from flintshift.core.counters import Counters
 from flintshift.lifecycle.replica_store import ReplicaStore
-from flintshift.replication.messages import Reach
+from flintshift.replication.messages import ReachabilityChanged
 from flintshift.replication.placement import Placement
 from flintshift.replication.refill import FillAsk
 from flintshift.settings.options import CopiesOptions
@@ -54,7 +54,7 @@
 
 def test_a_store_that_nobody_answers_votes_once_its_window_has_passed_and_not_before(host, store):
     number = store.registers.store
-    assert host.told == [Reach("n1", True, number)]
+    assert host.told == [ReachabilityChanged("n1", True, number)]
     begun = host.now
     assert sorted(store.asks(begun, REACHED)) == [(name, FillAsk(number, None)) for name in sorted(REACHED)]
     assert store.asks(begun + WINDOW_MS - 1.0, REACHED) == [] and not store.registers.full_vote  # asked once a link
--- a/tests/replication/test_store_refusals.py
+++ b/tests/replication/test_store_refusals.py
@@ -25,7 +25,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.keys import Stage
 from flintshift.lifecycle.replica_store import ReplicaStore
-from flintshift.replication.messages import NO_BALLOT, Ask, Reach, Step, Value, Verdict
+from flintshift.replication.messages import NO_BALLOT, Ask, ReachabilityChanged, Step, Value, Verdict
 from flintshift.replication.placement import Placement
 from flintshift.replication.refill import Page
 from flintshift.replication.registers import Entry
@@ -126,7 +126,7 @@
     member = Member()
     member.refuse_all()
     assert await member.vote("k1") is Verdict.ABSENT
-    assert Reach("n1", False, 0) in member.host.told
+    assert ReachabilityChanged("n1", False, 0) in member.host.told
     tried, count = 0, member.files.count
     for _ in range(200):  # 10 s
         member.host.now += 50.0
