--- a/benchmarks/copies_model.py
+++ b/benchmarks/copies_model.py
@@ -27,7 +27,7 @@
 from flintshift.lab.copies_model import World  # noqa: E402
 from flintshift.peers import members as who  # noqa: E402
 from flintshift.replication.messages import Value  # noqa: E402
-from flintshift.replication.placement import SLOTS, Placement  # noqa: E402
+from flintshift.replication.placement import SLOT_COUNT, Placement  # noqa: E402
 from flintshift.replication.registers import Entry, HolderBounds, Registers  # noqa: E402
 
 HOP_MS, RUN_MS = 0.5, 20.0
@@ -41,16 +41,16 @@
     """The share of copies that move when one member leaves, and when one joins, against the least possible."""
     names = halls_of(count, halls)
     full = Placement(names, 3)
-    slots = [slot.to_bytes(2, "big") for slot in range(SLOTS)]
+    slots = [slot.to_bytes(2, "big") for slot in range(SLOT_COUNT)]
 
     def changed(fewer: dict[str, str]) -> tuple[float, float]:
         other, held, went = Placement(fewer, 3), 0, 0
         gone = set(names) - set(fewer)
         for slot in slots:
-            before, after = set(full._computed(slot)), set(other._computed(slot))
+            before, after = set(full._compute_holders(slot)), set(other._compute_holders(slot))
             went += len(after - before)
             held += bool(before & gone)
-        return went / (3 * SLOTS), held / (3 * SLOTS)
+        return went / (3 * SLOT_COUNT), held / (3 * SLOT_COUNT)
 
     one = changed({name: hall for name, hall in names.items() if name != "n001"})
     hall = changed({name: hall for name, hall in names.items() if hall != "hall1"})
--- a/flintshift/lab/logs_model.py
+++ b/flintshift/lab/logs_model.py
@@ -81,7 +81,7 @@
     def _boot(self, machine: Machine) -> None:
         machine.life += 1
         machine.up, machine.asleep = True, False
-        machine.heart = self.new_holder(machine.name, machine.identity, self.placement.of_log, self.alive, PACE)
+        machine.heart = self.new_holder(machine.name, machine.identity, self.placement.log_holders, self.alive, PACE)
         for log, copy in machine.disk.items():
             machine.heart.restored(log, copy.promised, copy.by, place(copy.records), copy.sure, copy.over)
         machine.writers = {}
@@ -101,7 +101,7 @@
         machine.before = place(machine.records) if machine.elected else machine.before
         machine.elected, machine.heart.own = False, machine.own
         machine.records.append((machine.epoch, NOTHING, b""))
-        others = tuple(name for name in self.placement.of_log(machine.name) if name != machine.name)
+        others = tuple(name for name in self.placement.log_holders(machine.name) if name != machine.name)
         machine.writers[machine.own] = self.new_writer(
             machine.own, machine.epoch, place(machine.records), others, 1, 100.0, machine.before
         )
@@ -239,7 +239,7 @@
                 case logs.Ask(member, word):
                     self.sent.append((machine.identity, member, word))
                 case logs.Taken(log, epoch, last):
-                    others = tuple(name for name in self.placement.of_log(log[0]) if name != machine.name)
+                    others = tuple(name for name in self.placement.log_holders(log[0]) if name != machine.name)
                     writer = self.new_writer(log, epoch, last, others, 1, 100.0, None)
                     machine.writers[log] = writer
                     self._append(machine, log, machine.disk[log].records, TAKEN, machine.identity.encode())
--- a/flintshift/lifecycle/held_copies.py
+++ b/flintshift/lifecycle/held_copies.py
@@ -54,7 +54,7 @@
         self.options, self.files, self.boot, self.now_ms = options, files, boot, now_ms
         self.send, self.answer, self.counters, self.log = send, answer, counters, log
         self.folder = options.folder / FOLDER
-        self.held_logs = HeldLogs(name, identity, placement.of_log, lives, HolderPace(options.take_over_ms))
+        self.held_logs = HeldLogs(name, identity, placement.log_holders, lives, HolderPace(options.take_over_ms))
         self.replicas: dict[LogId, Replica] = {}
         self.refused: dict[LogId, float] = {}  # copies whose writer is to hear that their disk refused, and when
         self.ends: dict[LogId, int] = {}  # by log, the epoch of an end that the disk refused
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -62,7 +62,7 @@
         self.writer = self._writer_of(own, epoch, (epoch, folder.log.following - 1), folder.before)
 
     def _writer_of(self, log: LogId, epoch: int, last: logs.Place, before: logs.Place | None = None) -> LogWriter:
-        holders = self.placement.of_log(log[0])
+        holders = self.placement.log_holders(log[0])
         others = tuple(name for name in holders if name != self.name)
         return LogWriter(log, epoch, last, others, len(holders) // 2, HELD_MS, before)
 
--- a/flintshift/replication/logs.py
+++ b/flintshift/replication/logs.py
@@ -2,7 +2,7 @@
 its writer is dead: its messages. Without I/O; the state machines are `log_writer.py` and `log_holders.py`.
 
 A log belongs to the member that began it, and has a life drawn with it: a disk that was lost, and one that was taken
-over, never go on under their old name. It is copied record by record by the log's other holders (`Placement.of_log`).
+over, never go on under their old name. It is copied record by record by the log's other holders (`Placement.log_holders`).
 
 - A writer has an **epoch**. A copy promises the highest that it was asked for, and takes nothing of a lower one.
 - A copy grants an epoch to no writer that is **behind** it, in (epoch, sequence) of the last record; and nobody takes a
--- a/flintshift/replication/placement.py
+++ b/flintshift/replication/placement.py
@@ -14,15 +14,15 @@
 
 from flintshift.replication.messages import Key
 
-SLOTS = 4096  # keys are spread over these, and slots over the members: a slot's holders are computed once
+SLOT_COUNT = 4096  # keys are spread over these, and slots over the members: a slot's holders are computed once
 
 
 class Placement:
     """``halls`` maps each member to its hall."""
 
-    def __init__(self, halls: Mapping[str, str], copies: int) -> None:
+    def __init__(self, halls: Mapping[str, str], replica_count: int) -> None:
         self.halls = dict(sorted(halls.items()))
-        self.copies = min(copies, len(halls))
+        self.replica_count = min(replica_count, len(halls))
         self.known: dict[int, tuple[str, ...]] = {}
         self.logs: dict[str, tuple[str, ...]] = {}
         seeds = {name: hashlib.blake2b(name.encode(), digest_size=16).digest() for name in self.halls}
@@ -30,17 +30,17 @@
 
     @property
     def majority(self) -> int:
-        return self.copies // 2 + 1
+        return self.replica_count // 2 + 1
 
     @property
-    def all_at_once(self) -> int:
+    def fast_quorum(self) -> int:
         """Of the holders, so many must accept a claim of round 0 for it to be chosen: any majority then holds more of
         it than of any other."""
-        return -(-3 * self.copies // 4)
+        return -(-3 * self.replica_count // 4)
 
     @staticmethod
     def slot(key: Key) -> int:
-        return crc32(f"{key[0]}\n{key[1]}".encode()) % SLOTS
+        return crc32(f"{key[0]}\n{key[1]}".encode()) % SLOT_COUNT
 
     def holders(self, key: Key) -> tuple[str, ...]:
         return self._of_slot(self.slot(key))
@@ -48,22 +48,22 @@
     def _of_slot(self, slot: int) -> tuple[str, ...]:
         found = self.known.get(slot)
         if found is None:
-            found = self.known[slot] = self._computed(slot.to_bytes(2, "big"))
+            found = self.known[slot] = self._compute_holders(slot.to_bytes(2, "big"))
         return found
 
-    def of_log(self, member: str) -> tuple[str, ...]:
+    def log_holders(self, member: str) -> tuple[str, ...]:
         """Who holds the logs that this member writes: itself, and others as far from it as there are."""
         found = self.logs.get(member)
         if found is None:
-            found = self.logs[member] = self._computed(f"log of {member}".encode(), member)
+            found = self.logs[member] = self._compute_holders(f"log of {member}".encode(), member)
         return found
 
-    def sets_of(self, member: str) -> set[tuple[str, ...]]:
+    def holder_sets_with(self, member: str) -> set[tuple[str, ...]]:
         """All sets of holders that this member is one of."""
-        every = {self._of_slot(slot) for slot in range(SLOTS)}
+        every = {self._of_slot(slot) for slot in range(SLOT_COUNT)}
         return {holders for holders in every if member in holders}
 
-    def _computed(self, text: bytes, first: str | None = None) -> tuple[str, ...]:
+    def _compute_holders(self, text: bytes, first: str | None = None) -> tuple[str, ...]:
         scores = []
         for name, seeded in self._seeded.items():
             score = seeded.copy()
@@ -72,7 +72,7 @@
         ranked = [name for _, name in sorted(scores, reverse=True)]
         chosen = [first] if first is not None else []
         used: Counter[str] = Counter(self.halls[name] for name in chosen)
-        while len(chosen) < self.copies:
+        while len(chosen) < self.replica_count:
             least = min(used[self.halls[name]] for name in ranked if name not in chosen)
             name = next(name for name in ranked if name not in chosen and used[self.halls[name]] == least)
             chosen.append(name)
--- a/flintshift/replication/proposals.py
+++ b/flintshift/replication/proposals.py
@@ -276,9 +276,9 @@
             return self._later(now_ms, proposal, self.draw.uniform(1.0, 5.0))  # now it knows which stores there are
         match proposal.step:
             case Step.FIRST:
-                if len(good) >= placement.all_at_once:
+                if len(good) >= placement.fast_quorum:
                     return self._chosen(now_ms, key, proposal, proposal.value, 1)
-                if len(good) + len(open_) < placement.all_at_once and len(votes) >= placement.majority:
+                if len(good) + len(open_) < placement.fast_quorum and len(votes) >= placement.majority:
                     return self._contested(now_ms, key, proposal, good)
             case Step.ACCEPT:
                 if len(good) >= placement.majority:
@@ -349,7 +349,7 @@
             return top.value
         held = Counter(vote.ballot for vote in votes if vote.ballot[0] == 0)
         ((ballot, count),) = held.most_common(1)
-        if count >= self.placement.all_at_once + len(votes) - self.placement.copies:
+        if count >= self.placement.fast_quorum + len(votes) - self.placement.replica_count:
             return next(vote.value for vote in votes if vote.ballot == ballot)
         return None
 
--- a/flintshift/replication/registers.py
+++ b/flintshift/replication/registers.py
@@ -262,7 +262,7 @@
     def filled(self, by: str) -> bool:
         """That member has told all it knows of this one's keys; True once this store votes on every key."""
         self.filled_by.add(by)
-        if self.full_vote or not all(self._filled(holders) for holders in self.placement.sets_of(self.me)):
+        if self.full_vote or not all(self._filled(holders) for holders in self.placement.holder_sets_with(self.me)):
             return False
         self.full_vote = True
         return True
--- a/tests/fleet/test_use.py
+++ b/tests/fleet/test_use.py
@@ -100,7 +100,7 @@
                 await asyncio.sleep(0.02)
         taker = [told[0]["node"]]
         halls = {name: member.hall for name, member in fleet.members.items()}
-        (other,) = set(Placement(halls, 3).of_log("n1")) - {"n1", *taker}
+        (other,) = set(Placement(halls, 3).log_holders("n1")) - {"n1", *taker}
 
         async def held() -> list[str]:
             return [one["role"] for one in await fleet._ledgers(other) if one.get("life") == told[0]["life"]]
