--- a/benchmarks/copies_model.py
+++ b/benchmarks/copies_model.py
@@ -134,7 +134,7 @@
         began = world.now
         while world.now < began + 60_000.0:
             playing.run(world.now + 50.0, claims_per_s)
-            if all(world.machines[name].registers.full_vote for name in names):
+            if all(world.machines[name].registers.votes_on_all_keys for name in names):
                 break
         told[f"loss_of_{what}"] = {
             "members": len(names),
@@ -204,7 +204,7 @@
             Outcome.OK,
             number.to_bytes(result, "big"),
         )
-        registers.take(
+        registers.merge(
             0.0, Entry(("submit-time", f"key-{number:08d}"), (2, "n2#18f2c0a1"), (1, "n2#18f2c0a1"), value, 30_000.0)
         )
     gc.collect()
@@ -212,7 +212,7 @@
         "keys": keys,
         "bytes_of_a_result": result,
         "resident_bytes_a_key": (resident() - before) // keys,
-        "counted_bytes_a_key": registers.bytes // keys,
+        "counted_bytes_a_key": registers.stored_bytes // keys,
     }
 
 
--- a/flintshift/lab/copies_model.py
+++ b/flintshift/lab/copies_model.py
@@ -115,7 +115,7 @@
             0.0 if machine.votes else self.now + self.window_ms,
         )
         for entry in machine.disk.values():
-            machine.registers.take(self.now, entry)
+            machine.registers.merge(self.now, entry)
         machine.proposals = self.new_proposals(machine.identity, self.placement, self.lives, self.draw, Pace())
         machine.refill = None if machine.votes else Refill(name for name in self.machines if name != machine.name)
         for other in self.machines.values():
@@ -185,7 +185,7 @@
                 if entry is not None:
                     machine.disk[entry.key] = entry
                 self._send(machine, message.sender, vote)
-                for follower in machine.registers.ended(ask.key):
+                for follower in machine.registers.pop_watchers_if_ended(ask.key):
                     self._send(machine, follower, Ended(ask.key))
             case Vote() as vote:
                 self._tell(machine, Voted(sender, vote))
@@ -197,7 +197,7 @@
                 for entry in machine.refill.told(self.now, machine.registers, sender, told):
                     machine.disk[entry.key] = entry
                 machine.store = machine.registers.store
-                machine.votes = machine.votes or machine.registers.full_vote
+                machine.votes = machine.votes or machine.registers.votes_on_all_keys
 
     def lose(self, place: int) -> None:
         self._link_lost(self.sent.pop(place))
@@ -217,7 +217,7 @@
                 continue
             machine.registers.purge(self.now)
             self._tell(machine, Tick())
-            for key, owner in machine.registers.orphans(self.now, self.lives, 400.0):
+            for key, owner in machine.registers.find_orphaned_claims(self.now, self.lives, 400.0):
                 if key not in machine.proposals.under_way:
                     self._tell(machine, TakeOver(key, owner))
             if machine.refill is not None:
--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -121,7 +121,7 @@
         )
         self.registers.stores |= {member: store for member, store in before.items() if member != self.name}
         for entry in found.entries:
-            self.registers.take(now, entry)
+            self.registers.merge(now, entry)
         self.refill = None if state.votes else self._new_refill()
         self.log(
             "info",
@@ -204,7 +204,7 @@
                 self.host.tell(Voted(self.name, vote))
             else:
                 self.host.send(identity, vote)
-            for follower in self.registers.ended(key):
+            for follower in self.registers.pop_watchers_if_ended(key):
                 if follower == self.host.identity:
                     self.host.tell(Ended(key))
                 else:
@@ -277,7 +277,9 @@
         """Have the disk hold what the registers stand for: which store this is, and whether it knows all that it ever
         promised. Tried again with each look; a death before that leaves a store that is filled anew."""
         assert self.folder is not None
-        state = structs.replace(self.folder.state, incarnation=self.registers.store, votes=self.registers.full_vote)
+        state = structs.replace(
+            self.folder.state, incarnation=self.registers.store, votes=self.registers.votes_on_all_keys
+        )
         if state == self.folder.state or self.refusing_ms is not None:
             return
         try:
@@ -350,12 +352,12 @@
             self.host.tell(ReachabilityChanged(self.name, True, self.registers.store))
         if told.done and told.counts:
             self.log("info", "copies.filled_by", name=member, keys=len(self.registers.table))
-        if self.registers.full_vote:
+        if self.registers.votes_on_all_keys:
             self._filled("a majority of the holders of each of its keys has told what it knows")
         self._keep_state()
 
     def _filled(self, cause: str) -> None:
         self.refill = None
-        self.registers.full_vote = True
+        self.registers.votes_on_all_keys = True
         self._keep_state()
         self.log("info", "copies.votes", keys=len(self.registers.table), cause=cause)
--- a/flintshift/replication/refill.py
+++ b/flintshift/replication/refill.py
@@ -61,7 +61,7 @@
             entries.append(entry)
             size += ENTRY_BYTES + (len(entry.value.result) if entry.value is not None else 0)
     after = entries[-1].key if entries else ask.after
-    counts = registers.full_vote or now_ms >= registers.voting_from_ms
+    counts = registers.votes_on_all_keys or now_ms >= registers.voting_from_ms
     return Page(tuple(entries), after, done, counts, ask.store)
 
 
@@ -101,11 +101,11 @@
             registers.filled_by.clear()
             self.sources = {other: Source() for other in self.sources}
             return []
-        changed = [entry for entry in (registers.take(now_ms, one) for one in told.entries) if entry is not None]
+        changed = [entry for entry in (registers.merge(now_ms, one) for one in told.entries) if entry is not None]
         source.after, source.under_way = told.after, False
         if told.done and not told.counts:  # ask again later, from the start: it may know more once it is filled itself
             source.after, source.again_ms = None, now_ms + AGAIN_MS
         elif told.done:
             source.done = True
-            registers.filled(name)  # it may vote on more keys, or on all
+            registers.mark_filled_by(name)  # it may vote on more keys, or on all
         return changed
--- a/flintshift/replication/registers.py
+++ b/flintshift/replication/registers.py
@@ -41,15 +41,15 @@
     promised: Ballot
     ballot: Ballot
     value: Value | None
-    for_ms: float  # so long it is still kept
+    remaining_ms: float  # so long it is still kept
 
 
 @dataclass(frozen=True, slots=True)
 class HolderBounds:
-    keys: int = 200_000
-    bytes: int = 256 << 20
-    promise_ms: float = 60_000.0  # a register that holds a promise alone is kept so long
-    watchers: int = 64  # of a key
+    max_keys: int = 200_000
+    max_bytes: int = 256 << 20
+    promise_retention_ms: float = 60_000.0  # a register that holds a promise alone is kept so long
+    max_watchers: int = 64  # of a key
 
 
 class Registers:
@@ -60,9 +60,9 @@
     ) -> None:
         self.me, self.placement, self.bounds = me, placement, bounds
         self.table: dict[Key, Register] = {}
-        self.bytes = 0
+        self.stored_bytes = 0
         self.stores: dict[str, int] = {me: store}  # the newest incarnation known of each member's store
-        self.full_vote = votes  # on every key
+        self.votes_on_all_keys = votes  # on every key
         self.voting_from_ms = voting_from_ms  # then whatever it once promised has lapsed
         self.filled_by: set[str] = set()
         self.by_runner: dict[str, set[Key]] = {}  # claims whose run has not ended
@@ -74,8 +74,8 @@
 
     # Votes.
 
-    def votes_on(self, now_ms: float, holders: tuple[str, ...]) -> bool:
-        if self.full_vote or now_ms >= self.voting_from_ms:
+    def can_vote_on(self, now_ms: float, holders: tuple[str, ...]) -> bool:
+        if self.votes_on_all_keys or now_ms >= self.voting_from_ms:
             return True
         return self._filled(holders)
 
@@ -90,7 +90,7 @@
                 if name == self.me:  # nobody knows this store better than it does
                     return self._vote(ask, Verdict.STALE, Register(), holders), None
                 self.stores[name] = store
-        if not self.votes_on(now_ms, holders):
+        if not self.can_vote_on(now_ms, holders):
             return self._vote(ask, Verdict.ABSENT, Register(), holders), None
         register = self.table.get(ask.key)
         if register is not None and register.until_ms <= now_ms:
@@ -99,17 +99,17 @@
         if register is None:
             register = Register()
             if ask.step is not Step.READ:
-                if len(self.table) >= self.bounds.keys or self.bytes >= self.bounds.bytes:
+                if len(self.table) >= self.bounds.max_keys or self.stored_bytes >= self.bounds.max_bytes:
                     return self._vote(ask, Verdict.FULL, register, holders), None
                 self.table[ask.key] = register
-                self.bytes += OVERHEAD
+                self.stored_bytes += OVERHEAD
         verdict, changed = self._step(now_ms, ask, register)
         runs_itself = verdict is Verdict.OK and ask.value is not None and ask.value.runner == ask.proposer
         if (
             ask.watch
             and not runs_itself
             and (register.value is None or register.value.stage is Stage.CLAIMED)
-            and (len(register.watchers) < self.bounds.watchers)
+            and (len(register.watchers) < self.bounds.max_watchers)
             and ask.key in self.table
         ):
             register.watchers.add(ask.proposer)
@@ -137,7 +137,7 @@
                 if ask.ballot < register.promised:
                     return Verdict.BEHIND, False
                 changed, register.promised = ask.ballot != register.promised, ask.ballot
-                register.until_ms = max(register.until_ms, now_ms + self.bounds.promise_ms)
+                register.until_ms = max(register.until_ms, now_ms + self.bounds.promise_retention_ms)
                 return Verdict.OK, changed
             case Step.ACCEPT:
                 assert ask.value is not None
@@ -150,7 +150,7 @@
 
     def _write(self, now_ms: float, key: Key, register: Register, ballot: Ballot, value: Value) -> None:
         before = register.value
-        self.bytes += len(value.result) - (len(before.result) if before is not None else 0)
+        self.stored_bytes += len(value.result) - (len(before.result) if before is not None else 0)
         self._unlist(key, before)
         if value.stage is Stage.CLAIMED:
             if before is None or before.owner != value.owner:
@@ -178,7 +178,7 @@
             tuple(self.stores.get(name, 0) for name in holders),
         )
 
-    def ended(self, key: Key) -> set[str]:
+    def pop_watchers_if_ended(self, key: Key) -> set[str]:
         """Processes that follow the key, where it has ended; they are told once."""
         register = self.table.get(key)
         if register is None or register.value is None or register.value.stage is Stage.CLAIMED:
@@ -194,23 +194,25 @@
             self._drop(key)
         return len(past)
 
-    def stages(self) -> dict[str, int]:
+    def count_by_stage(self) -> dict[str, int]:
         """Keys by where they stand; those with a promise alone count as promised."""
         counted = {"promised": 0, **{stage.name.lower(): 0 for stage in Stage}}
         for register in self.table.values():
             counted["promised" if register.value is None else register.value.stage.name.lower()] += 1
         return counted
 
-    def under_copied(self, reached: Set[str]) -> int:
+    def count_under_replicated(self, reached: Set[str]) -> int:
         """Keys of which some other holder is out of reach."""
         return sum(any(name not in reached for name in self.placement.holders(key)) for key in self.table)
 
     def _drop(self, key: Key) -> None:
         register = self.table.pop(key)
         self._unlist(key, register.value)
-        self.bytes -= OVERHEAD + (len(register.value.result) if register.value is not None else 0)
+        self.stored_bytes -= OVERHEAD + (len(register.value.result) if register.value is not None else 0)
 
-    def orphans(self, now_ms: float, lives: Callable[[str], bool], stagger_ms: float) -> list[tuple[Key, str]]:
+    def find_orphaned_claims(
+        self, now_ms: float, lives: Callable[[str], bool], stagger_ms: float
+    ) -> list[tuple[Key, str]]:
         """Claims of dead runners that this holder is to settle now: the first holder at once, each further one so
         much later, should that one be dead too.
         """
@@ -243,28 +245,30 @@
         ):
             yield self._entry(now_ms, key, register)
 
-    def take(self, now_ms: float, entry: Entry) -> Entry | None:
+    def merge(self, now_ms: float, entry: Entry) -> Entry | None:
         """Hold what another holder holds, or what stood on the disk. What this one knows newer stays."""
         register = self.table.get(entry.key)
         if register is None:
             register = self.table[entry.key] = Register()
-            self.bytes += OVERHEAD
+            self.stored_bytes += OVERHEAD
         changed = False
         if entry.value is not None and entry.ballot > register.ballot:
             self._write(now_ms, entry.key, register, entry.ballot, entry.value)
             changed = True
         if entry.promised > register.promised:
             register.promised, changed = entry.promised, True
-        if now_ms + entry.for_ms > register.until_ms:
-            register.until_ms, changed = now_ms + entry.for_ms, True
+        if now_ms + entry.remaining_ms > register.until_ms:
+            register.until_ms, changed = now_ms + entry.remaining_ms, True
         return self._entry(now_ms, entry.key, register) if changed else None
 
-    def filled(self, by: str) -> bool:
+    def mark_filled_by(self, by: str) -> bool:
         """That member has told all it knows of this one's keys; True once this store votes on every key."""
         self.filled_by.add(by)
-        if self.full_vote or not all(self._filled(holders) for holders in self.placement.holder_sets_with(self.me)):
+        if self.votes_on_all_keys or not all(
+            self._filled(holders) for holders in self.placement.holder_sets_with(self.me)
+        ):
             return False
-        self.full_vote = True
+        self.votes_on_all_keys = True
         return True
 
     def _filled(self, holders: tuple[str, ...]) -> bool:
--- a/flintshift/replication/store.py
+++ b/flintshift/replication/store.py
@@ -127,11 +127,11 @@
             if record.kind == ENTRY_KIND:
                 entry, at_ms = self.unpacked(record.payload)
                 passed_ms = max(0.0, now_ms - at_ms) if same_boot else 0.0
-                latest[entry.key] = msgspec.structs.replace(entry, for_ms=entry.for_ms - passed_ms)
+                latest[entry.key] = msgspec.structs.replace(entry, remaining_ms=entry.remaining_ms - passed_ms)
         self.log = Log(self.files, self.folder / "log", reach.epoch + 1, reach.following)
         self.log.resume(reach)
-        kept = [entry for entry in latest.values() if entry.for_ms > 0]
-        until = now_ms + max((entry.for_ms for entry in kept), default=0.0)
+        kept = [entry for entry in latest.values() if entry.remaining_ms > 0]
+        until = now_ms + max((entry.remaining_ms for entry in kept), default=0.0)
         self.lasting = {start: until for start, _ in segments(self.files, self.folder / "log")}
         return kept
 
@@ -159,7 +159,7 @@
         listed = list(entries)
         self.log.append_with_retry([(ENTRY_KIND, self.packed(entry, now_ms)) for entry in listed])
         last = max(self.lasting)
-        self.lasting[last] = max(self.lasting[last], now_ms + max(entry.for_ms for entry in listed))
+        self.lasting[last] = max(self.lasting[last], now_ms + max(entry.remaining_ms for entry in listed))
 
     def turn(self, now_ms: float) -> int:
         """Begin a new segment, and remove those of which nothing counts any more; returns how many went."""
--- a/flintshift/wire/peer_codec.py
+++ b/flintshift/wire/peer_codec.py
@@ -83,7 +83,7 @@
     if entry.value is not None:
         _ballot(into.ballot, entry.ballot)
         _value(into.value, entry.value)
-    into.for_ms = entry.for_ms
+    into.for_ms = entry.remaining_ms
 
 
 def _entry_of(told: pb.Entry) -> Entry:
--- a/tests/replication/mutants.py
+++ b/tests/replication/mutants.py
@@ -12,7 +12,7 @@
 class VotesWhileEmpty(Registers):
     """A store that lost its disk votes before it is filled."""
 
-    def votes_on(self, now_ms, holders):
+    def can_vote_on(self, now_ms, holders):
         return True
 
 
--- a/tests/replication/test_agreement.py
+++ b/tests/replication/test_agreement.py
@@ -60,7 +60,7 @@
     machine = world.machines[name]
     others = [one for one in world.machines.values() if one is not machine]
     if machine.up:
-        world.crash(name, disk_lost and all(one.up and one.registers.full_vote for one in others))
+        world.crash(name, disk_lost and all(one.up and one.registers.votes_on_all_keys for one in others))
     else:
         world.restart(name)
 
@@ -239,7 +239,7 @@
     world.restart(first)
     world.tick(1.0)
     pass_on(world, lambda message: isinstance(message.word, FillAsk | Page))
-    assert world.machines[first].registers.full_vote
+    assert world.machines[first].registers.votes_on_all_keys
     world.sent.clear()
     world.cut |= {(third, second), (second, third)}
     unreached(world, third, second)
--- a/tests/replication/test_replica_store.py
+++ b/tests/replication/test_replica_store.py
@@ -57,8 +57,10 @@
     assert host.told == [ReachabilityChanged("n1", True, number)]
     begun = host.now
     assert sorted(store.asks(begun, REACHED)) == [(name, FillAsk(number, None)) for name in sorted(REACHED)]
-    assert store.asks(begun + WINDOW_MS - 1.0, REACHED) == [] and not store.registers.full_vote  # asked once a link
+    assert (
+        store.asks(begun + WINDOW_MS - 1.0, REACHED) == [] and not store.registers.votes_on_all_keys
+    )  # asked once a link
     store.link_lost("n2")
     assert [name for name, _ in store.asks(begun + WINDOW_MS - 0.5, REACHED)] == ["n2"]
-    assert store.asks(begun + WINDOW_MS, REACHED) == [] and store.registers.full_vote
+    assert store.asks(begun + WINDOW_MS, REACHED) == [] and store.registers.votes_on_all_keys
     assert store.folder.state.votes and store.refill is None
--- a/tests/replication/test_store.py
+++ b/tests/replication/test_store.py
@@ -57,7 +57,7 @@
     store.close()
     again = opened(files, NOW + 1000.0)
     assert again.state.incarnation == store.state.incarnation
-    assert {one.key[1]: one.for_ms for one in again.found.entries} == {"k1": 29_000.0, "k3": 8000.0}
+    assert {one.key[1]: one.remaining_ms for one in again.found.entries} == {"k1": 29_000.0, "k3": 8000.0}
     assert next(one for one in again.found.entries if one.key[1] == "k1").value == entry(1).value
 
 
@@ -66,7 +66,7 @@
     store = opened(files)
     store.write([entry(1)], NOW)
     store.close()
-    assert [one.for_ms for one in opened(files, NOW - 3_600_000.0).found.entries] == [30_000.0]
+    assert [one.remaining_ms for one in opened(files, NOW - 3_600_000.0).found.entries] == [30_000.0]
 
 
 @pytest.mark.parametrize(
--- a/tests/replication/test_store_refusals.py
+++ b/tests/replication/test_store_refusals.py
@@ -182,7 +182,7 @@
     member.refuse(place)
     for _ in range(10):
         member.tick()
-    assert member.store.registers.full_vote and member.state.votes
+    assert member.store.registers.votes_on_all_keys and member.state.votes
     assert {"from n2", "from n3"} <= member.keys_after_restart()
 
 
@@ -195,7 +195,7 @@
     member.files.refuse = {}
     for _ in range(40):  # 2 s: the longest wait between two tries is one
         member.tick()
-    assert member.store.registers.full_vote and member.state.votes
+    assert member.store.registers.votes_on_all_keys and member.state.votes
     assert {"from n2", "from n3"} <= member.keys_after_restart()
 
 
