--- a/flintshift/lab/copies_model.py
+++ b/flintshift/lab/copies_model.py
@@ -39,7 +39,7 @@
 )
 from flintshift.replication.placement import Placement
 from flintshift.replication.proposals import Pace, Proposals
-from flintshift.replication.refill import FillAsk, Page, Refill, page
+from flintshift.replication.refill import FillAsk, Page, Refill, build_page
 from flintshift.replication.registers import Entry, HolderBounds, Registers
 
 KEEP_MS = 30_000.0
@@ -126,7 +126,7 @@
 
     def _reach(self, machine: Machine, other: Machine, up: bool) -> None:
         if not up and machine.refill is not None:
-            machine.refill.link_lost(other.name)
+            machine.refill.handle_link_lost(other.name)
         self._tell(machine, ReachabilityChanged(other.name, up, other.registers.store if up else 0))
 
     def lives(self, identity: str) -> bool:
@@ -192,9 +192,9 @@
             case Ended() as ended:
                 self._tell(machine, ended)
             case FillAsk() as fill:
-                self._send(machine, message.sender, page(self.now, machine.registers, sender, fill))
+                self._send(machine, message.sender, build_page(self.now, machine.registers, sender, fill))
             case Page() as told if machine.refill is not None:
-                for entry in machine.refill.told(self.now, machine.registers, sender, told):
+                for entry in machine.refill.receive_page(self.now, machine.registers, sender, told):
                     machine.disk[entry.key] = entry
                 machine.store = machine.registers.store
                 machine.votes = machine.votes or machine.registers.votes_on_all_keys
@@ -208,7 +208,7 @@
         for one, other in (ends, ends[::-1]):
             refill = self.machines[one].refill
             if refill is not None:
-                refill.link_lost(other)
+                refill.handle_link_lost(other)
 
     def tick(self, by_ms: float) -> None:
         self.now += by_ms
@@ -222,7 +222,7 @@
                     self._tell(machine, TakeOver(key, owner))
             if machine.refill is not None:
                 others = [one.name for one in self.machines.values() if one.up and one is not machine]
-                for name, ask in machine.refill.due(self.now, machine.registers.store, others):
+                for name, ask in machine.refill.due_requests(self.now, machine.registers.store, others):
                     self._send(machine, name, ask)
 
     def settle(self, most: int = 100_000) -> None:
--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -20,7 +20,7 @@
 from flintshift.core.ports import Log
 from flintshift.replication.messages import NO_BALLOT, Ask, Ended, Event, Key, ReachabilityChanged, Verdict, Vote, Voted
 from flintshift.replication.placement import Placement
-from flintshift.replication.refill import FillAsk, Page, Refill, page
+from flintshift.replication.refill import FillAsk, Page, Refill, build_page
 from flintshift.replication.registers import Entry, HolderBounds, Registers
 from flintshift.replication.store import CopiesFolder, boot_id
 from flintshift.settings.options import CopiesOptions
@@ -323,7 +323,7 @@
     def page_for(self, member: str, ask: FillAsk) -> Page:
         """What this store tells a member whose own is filled."""
         self.counters.add("copies.pages")
-        return page(self.now_ms(), self.registers, member, ask)
+        return build_page(self.now_ms(), self.registers, member, ask)
 
     def asks(self, now: float, reached: set[str]) -> list[tuple[str, FillAsk]]:
         """Whom to ask now for what this store lacks."""
@@ -332,25 +332,25 @@
         if now >= self.registers.voting_from_ms:
             self._filled("a whole window has passed: nothing from before is still promised")
             return []
-        return self.refill.due(now, self.registers.store, reached)
+        return self.refill.due_requests(now, self.registers.store, reached)
 
     def link_lost(self, member: str) -> None:
         """What was asked of that member for the refill will not be answered."""
         if self.refill is not None:
-            self.refill.link_lost(member)
+            self.refill.handle_link_lost(member)
 
     def fill(self, member: str, told: Page) -> None:
         """Take what another store tells this one."""
         if self.refill is None or self.folder is None:
             return
         before = self.registers.store
-        changed = self.refill.told(self.now_ms(), self.registers, member, told)
+        changed = self.refill.receive_page(self.now_ms(), self.registers, member, told)
         self.counters.add("copies.filled_keys", len(changed))
         if changed:
             self._written(changed)  # where the disk refuses, they are written with all else once it takes again
         if self.registers.store != before:
             self.host.tell(ReachabilityChanged(self.name, True, self.registers.store))
-        if told.done and told.counts:
+        if told.done and told.authoritative:
             self.log("info", "copies.filled_by", name=member, keys=len(self.registers.table))
         if self.registers.votes_on_all_keys:
             self._filled("a majority of the holders of each of its keys has told what it knows")
--- a/flintshift/replication/refill.py
+++ b/flintshift/replication/refill.py
@@ -18,7 +18,7 @@
 from flintshift.replication.messages import Key
 from flintshift.replication.registers import PAGE_BYTES, Entry, Registers
 
-AGAIN_MS = 500.0  # a member whose own store is being filled is asked again, from the start
+REFILL_RETRY_MS = 500.0  # a member whose own store is being filled is asked again, from the start
 ENTRY_BYTES = 200  # of a register in a page, beside its result
 
 
@@ -33,7 +33,7 @@
     entries: tuple[Entry, ...]
     after: Key | None  # the last key of these
     done: bool  # there are no more
-    counts: bool  # the teller votes on all keys: what it does not know, it never promised
+    authoritative: bool  # the teller votes on all keys: what it does not know, it never promised
     known_store: int  # the incarnation that the teller knows the asker by
 
 
@@ -45,7 +45,7 @@
     again_ms: float = 0.0  # it is not asked before
 
 
-def page(now_ms: float, registers: Registers, member: str, ask: FillAsk) -> Page:
+def build_page(now_ms: float, registers: Registers, member: str, ask: FillAsk) -> Page:
     """What this holder tells a member whose store is filled."""
     known = registers.stores.get(member, 0)
     if ask.store < known:
@@ -66,7 +66,7 @@
 
 
 class Refill:
-    """One step at a time from each member; ``due`` says whom to ask now."""
+    """One step at a time from each member; ``due_requests`` says whom to ask now."""
 
     def __init__(self, others: Iterable[str]) -> None:
         self.sources = {name: Source() for name in others}
@@ -75,7 +75,7 @@
     def over(self) -> bool:
         return all(source.done for source in self.sources.values())
 
-    def due(self, now_ms: float, store: int, reached: Iterable[str]) -> list[tuple[str, FillAsk]]:
+    def due_requests(self, now_ms: float, store: int, reached: Iterable[str]) -> list[tuple[str, FillAsk]]:
         asks = []
         for name in reached:
             source = self.sources.get(name)
@@ -85,12 +85,12 @@
             asks.append((name, FillAsk(store, source.after)))
         return asks
 
-    def link_lost(self, name: str) -> None:
+    def handle_link_lost(self, name: str) -> None:
         """The link to that member broke, and with it what was asked on it; it is asked anew on the next one."""
         if name in self.sources:
             self.sources[name].under_way = False
 
-    def told(self, now_ms: float, registers: Registers, name: str, told: Page) -> list[Entry]:
+    def receive_page(self, now_ms: float, registers: Registers, name: str, told: Page) -> list[Entry]:
         """Take a page; returns what has to be written to the disk. The store's incarnation is raised where the teller
         knew a newer one: then all is asked anew under that."""
         source = self.sources.get(name)
@@ -103,8 +103,10 @@
             return []
         changed = [entry for entry in (registers.merge(now_ms, one) for one in told.entries) if entry is not None]
         source.after, source.under_way = told.after, False
-        if told.done and not told.counts:  # ask again later, from the start: it may know more once it is filled itself
-            source.after, source.again_ms = None, now_ms + AGAIN_MS
+        if (
+            told.done and not told.authoritative
+        ):  # ask again later, from the start: it may know more once it is filled itself
+            source.after, source.again_ms = None, now_ms + REFILL_RETRY_MS
         elif told.done:
             source.done = True
             registers.mark_filled_by(name)  # it may vote on more keys, or on all
--- a/flintshift/wire/peer_codec.py
+++ b/flintshift/wire/peer_codec.py
@@ -120,7 +120,7 @@
                 if after is not None:
                     _key(fill.after, after)
             case Page():
-                page = batch.pages.add(done=word.done, counts=word.counts, known_store=word.known_store)
+                page = batch.pages.add(done=word.done, counts=word.authoritative, known_store=word.known_store)
                 if word.after is not None:
                     _key(page.after, word.after)
                 for entry in word.entries:
--- a/tests/replication/test_refill.py
+++ b/tests/replication/test_refill.py
@@ -7,7 +7,7 @@
 import pytest
 
 from flintshift.replication.placement import Placement
-from flintshift.replication.refill import AGAIN_MS, FillAsk, Page, Refill
+from flintshift.replication.refill import REFILL_RETRY_MS, FillAsk, Page, Refill
 from flintshift.replication.registers import HolderBounds, Registers
 
 STORE = 7
@@ -25,7 +25,7 @@
 
 
 def asked(refill: Refill, now_ms: float, *reached: str) -> list[tuple[str, FillAsk]]:
-    return refill.due(now_ms, STORE, reached or OTHERS)
+    return refill.due_requests(now_ms, STORE, reached or OTHERS)
 
 
 def test_a_question_is_asked_once_on_a_link_however_long_its_answer_takes():
@@ -37,32 +37,32 @@
 def test_what_was_asked_on_a_link_that_broke_is_asked_anew_on_the_next_one():
     refill = Refill(OTHERS)
     asked(refill, 0.0)
-    refill.link_lost("n2")
+    refill.handle_link_lost("n2")
     assert asked(refill, 10.0, "n3") == []
     assert asked(refill, 20.0) == [("n2", FillAsk(STORE, None))]
-    refill.link_lost("a member of another list")
+    refill.handle_link_lost("a member of another list")
 
 
 def test_a_link_that_breaks_between_two_pages_goes_on_after_the_last(registers):
     refill, last = Refill(OTHERS), ("submit-time", "k9")
     asked(refill, 0.0)
-    refill.told(5.0, registers, "n2", page(done=False, after=last))
+    refill.receive_page(5.0, registers, "n2", page(done=False, after=last))
     assert asked(refill, 5.0) == [("n2", FillAsk(STORE, last))]
-    refill.link_lost("n2")
+    refill.handle_link_lost("n2")
     assert asked(refill, 6.0) == [("n2", FillAsk(STORE, last))]
 
 
 def test_a_member_that_is_filled_itself_is_asked_again_from_the_start_after_a_wait(registers):
     refill = Refill(OTHERS)
     asked(refill, 0.0)
-    refill.told(5.0, registers, "n2", page(done=True, counts=False, after=("submit-time", "k9")))
-    assert asked(refill, 5.0 + AGAIN_MS - 1.0) == []
-    assert asked(refill, 5.0 + AGAIN_MS) == [("n2", FillAsk(STORE, None))]
+    refill.receive_page(5.0, registers, "n2", page(done=True, counts=False, after=("submit-time", "k9")))
+    assert asked(refill, 5.0 + REFILL_RETRY_MS - 1.0) == []
+    assert asked(refill, 5.0 + REFILL_RETRY_MS) == [("n2", FillAsk(STORE, None))]
 
 
 def test_a_member_that_has_told_all_is_not_asked_again_on_a_new_link_either(registers):
     refill = Refill(OTHERS)
     asked(refill, 0.0)
-    refill.told(5.0, registers, "n2", page(done=True))
-    refill.link_lost("n2")
+    refill.receive_page(5.0, registers, "n2", page(done=True))
+    refill.handle_link_lost("n2")
     assert asked(refill, 10_000.0) == []
