--- a/flintshift/cli/copies.py
+++ b/flintshift/cli/copies.py
@@ -18,9 +18,9 @@
 
 
 def shown(folder: Path) -> dict[str, Any]:
-    from flintshift.replication.store import SOCKET
+    from flintshift.replication.store import STATUS_SOCKET
 
-    return told(folder / SOCKET, "members", ADVICE)
+    return told(folder / STATUS_SOCKET, "members", ADVICE)
 
 
 def disk_told(found: dict[str, Any]) -> str:
@@ -56,11 +56,11 @@
     taken for one that lost its disk: it votes only when the others have told it what they know, or one
     longest window has passed.
     """
-    from flintshift.replication.store import boot_id, found_store
+    from flintshift.replication.store import boot_id, create_empty_store
     from flintshift.storage.files import DiskFiles
 
     try:
-        found_store(DiskFiles(), folder, time.time() * 1000, boot_id())
+        create_empty_store(DiskFiles(), folder, time.time() * 1000, boot_id())
     except OSError as error:
         click.echo(f"flintshift: {error}", err=True)
         sys.exit(1)
@@ -117,13 +117,13 @@
 
     Exit code 3: something is not as it was written; the file and the place are named.
     """
-    from flintshift.replication.store import examined
+    from flintshift.replication.store import examine_store
     from flintshift.storage.files import DiskFiles
     from flintshift.storage.snapshot import DamagedError
     from flintshift.wire.peer_codec import entry_from
 
     try:
-        state, records, keys = examined(DiskFiles(), folder, entry_from)
+        state, records, keys = examine_store(DiskFiles(), folder, entry_from)
     except OSError as error:
         click.echo(f"flintshift: {error}", err=True)
         sys.exit(1)
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -32,7 +32,7 @@
 from flintshift.lab.peers import Names, Pool, Vault
 from flintshift.lab.ports import free_ports
 from flintshift.lab.syscall_faults import Rates, SyscallFaults
-from flintshift.replication.store import SOCKET
+from flintshift.replication.store import STATUS_SOCKET
 from flintshift.settings.embedded import CLUBS, configuration
 from flintshift.usage import documents
 
@@ -417,7 +417,9 @@
     async def _ledgers(self, name: str) -> list[dict[str, Any]]:
         """What a member tells of them to its operators."""
         try:
-            return list(json.loads(await asyncio.to_thread(ask, self.members[name].home / "copies" / SOCKET))["use"])
+            return list(
+                json.loads(await asyncio.to_thread(ask, self.members[name].home / "copies" / STATUS_SOCKET))["use"]
+            )
         except (OSError, ValueError):
             return [{"role": "tells nothing", "copies": {}}]
 
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -215,7 +215,7 @@
 
     def _keep_copies(self, peers: PeersOptions, options: CopiesOptions) -> None:
         from flintshift.lifecycle.durable_parts import copy_ledger, open_copies
-        from flintshift.replication.store import SOCKET
+        from flintshift.replication.store import STATUS_SOCKET
 
         copying = open_copies(
             self.config, peers, options, self.decisions, self.counters, self.now_ms, self.log, self.retry
@@ -225,7 +225,7 @@
         self.copying = copying
         self.decisions.waiting.claims, self.decisions.waiting.elsewhere = copying.claims, True
         self.actors.append(copying.run)
-        self._show(options.folder / SOCKET, "copies", copying.shown, "how the copies stand")
+        self._show(options.folder / STATUS_SOCKET, "copies", copying.shown, "how the copies stand")
 
     def _watch_start(self, options: StartupOptions) -> None:
         from flintshift.lifecycle.starting import Starting
--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -22,7 +22,7 @@
 from flintshift.replication.placement import Placement
 from flintshift.replication.refill import FillAsk, Page, Refill, build_page
 from flintshift.replication.registers import Entry, HolderBounds, Registers
-from flintshift.replication.store import CopiesFolder, boot_id
+from flintshift.replication.store import ReplicaFolder, boot_id
 from flintshift.settings.options import CopiesOptions
 from flintshift.storage.files import Files
 from flintshift.storage.log import BrokenError
@@ -73,7 +73,7 @@
     ) -> None:
         self.host, self.name, self.placement, self.options, self.files = host, name, placement, options, files
         self.now_ms, self.counters, self.log = now_ms, counters, log
-        self.folder: CopiesFolder | None = None
+        self.folder: ReplicaFolder | None = None
         self.registers = Registers(name, 0, placement, self._bounds(), False, math.inf)
         self.refill: Refill | None = None
         self.entries: list[Entry] = []  # not written yet
@@ -98,7 +98,7 @@
         Raises:
             OSError, LockedError, DamagedError: it can't be used, or another process has it.
         """
-        self.folder = CopiesFolder(
+        self.folder = ReplicaFolder(
             self.files,
             self.options.folder,
             self.name,
@@ -109,7 +109,7 @@
             entry_bytes,
             entry_from,
         )
-        found, state, now = self.folder.found, self.folder.state, self.now_ms()
+        found, state, now = self.folder.recovered, self.folder.state, self.now_ms()
         before = self.registers.stores
         self.registers = Registers(
             self.name,
@@ -131,7 +131,7 @@
             store=state.incarnation,
             keys=len(found.entries),
             votes=state.votes,
-            cause=found.why_empty,
+            cause=found.no_vote_reason,
         )
         self.host.tell(ReachabilityChanged(self.name, True, state.incarnation))
         self.holding.set()
@@ -314,7 +314,7 @@
             return
         self.turned_ms = now
         try:
-            self.folder.turn(self.now_ms())
+            self.folder.rotate(self.now_ms())
         except (OSError, BrokenError) as error:
             self._outlasted(error)
 
--- a/flintshift/replication/store.py
+++ b/flintshift/replication/store.py
@@ -25,7 +25,7 @@
 
 ENTRY_KIND, STORE_KIND = 1, 2
 STORE = "STORE"
-SOCKET = "status.sock"  # where a running member tells operators how its copies stand
+STATUS_SOCKET = "status.sock"  # where a running member tells operators how its copies stand
 
 Packed = Callable[[Entry, float], bytes]
 Unpacked = Callable[[bytes], tuple[Entry, float]]
@@ -51,10 +51,10 @@
     """What a start found."""
 
     entries: list[Entry]
-    why_empty: str = ""  # why the store does not vote; empty: it does
+    no_vote_reason: str = ""  # why the store does not vote; empty: it does
 
 
-class CopiesFolder:
+class ReplicaFolder:
     """The folder as the one process that writes in it holds it. Times are those of the machine's monotonic clock, but
     for ``unix_ms``, from which a new store gets its number.
 
@@ -81,7 +81,7 @@
         self.lasting: dict[int, float] = {}  # by first sequence of a segment: until when something in it counts
         try:
             snapshot.sweep(files, folder)
-            self.found = self._open(now_ms, unix_ms, synced)
+            self.recovered = self._open(now_ms, unix_ms, synced)
         except BaseException:
             self.lock.close()
             raise
@@ -161,7 +161,7 @@
         last = max(self.lasting)
         self.lasting[last] = max(self.lasting[last], now_ms + max(entry.remaining_ms for entry in listed))
 
-    def turn(self, now_ms: float) -> int:
+    def rotate(self, now_ms: float) -> int:
         """Begin a new segment, and remove those of which nothing counts any more; returns how many went."""
         self.log.begin()
         self.lasting[self.log.following] = 0.0
@@ -178,7 +178,7 @@
     def reopen(self, entries: Iterable[Entry], now_ms: float) -> None:
         """After a refusal: a new segment with all that counts. The one in which a write broke off goes, as it could not
         be told from one that was damaged; a death before that leaves a store that is filled anew."""
-        self.turn(now_ms)
+        self.rotate(now_ms)
         listed = list(entries)
         if listed:
             self.write(listed, now_ms)
@@ -192,7 +192,7 @@
         self.lock.close()
 
 
-def examined(files: Files, folder: Path, unpacked: Unpacked) -> tuple[StoreState, int, int]:
+def examine_store(files: Files, folder: Path, unpacked: Unpacked) -> tuple[StoreState, int, int]:
     """The store that stands in a folder, its records and the registers in them. Nothing is changed; a folder in use
     can be looked at too.
 
@@ -213,7 +213,7 @@
     return state, count, len(keys)
 
 
-def found_store(files: Files, folder: Path, now_ms: float, boot: str) -> None:
+def create_empty_store(files: Files, folder: Path, now_ms: float, boot: str) -> None:
     """Make the empty store of a fleet that begins: it votes from the first moment.
 
     Raises:
--- a/tests/replication/test_store.py
+++ b/tests/replication/test_store.py
@@ -12,7 +12,7 @@
 from flintshift.interface import Outcome
 from flintshift.replication.messages import NO_BALLOT, Value
 from flintshift.replication.registers import Entry
-from flintshift.replication.store import CopiesFolder, examined, found_store
+from flintshift.replication.store import ReplicaFolder, create_empty_store, examine_store
 from flintshift.storage.log import BrokenError
 from flintshift.storage.snapshot import DamagedError
 from flintshift.wire.peer_codec import entry_bytes, entry_from
@@ -28,25 +28,25 @@
 
 def opened(files, now=NOW, member="n1", boot="b1", synced=False, unix_ms=None):
     unix_ms = now if unix_ms is None else unix_ms
-    return CopiesFolder(files, FOLDER, member, now, unix_ms, boot, synced, entry_bytes, entry_from)
+    return ReplicaFolder(files, FOLDER, member, now, unix_ms, boot, synced, entry_bytes, entry_from)
 
 
 def founded(files=None):
     files = files or SimFiles()
-    found_store(files, FOLDER, NOW, "b1")
+    create_empty_store(files, FOLDER, NOW, "b1")
     return files
 
 
 def test_a_founded_store_votes_and_one_that_was_not_does_not():
-    assert opened(founded()).found.why_empty == "" and opened(founded()).state.votes
+    assert opened(founded()).recovered.no_vote_reason == "" and opened(founded()).state.votes
     empty = opened(SimFiles())
-    assert empty.found.why_empty == "its disk is empty" and not empty.state.votes
+    assert empty.recovered.no_vote_reason == "its disk is empty" and not empty.state.votes
 
 
 def test_a_store_is_founded_once():
     files = founded()
     with pytest.raises(FileExistsError):
-        found_store(files, FOLDER, NOW, "b1")
+        create_empty_store(files, FOLDER, NOW, "b1")
 
 
 def test_what_was_written_is_there_again_with_the_time_that_is_left():
@@ -57,8 +57,8 @@
     store.close()
     again = opened(files, NOW + 1000.0)
     assert again.state.incarnation == store.state.incarnation
-    assert {one.key[1]: one.remaining_ms for one in again.found.entries} == {"k1": 29_000.0, "k3": 8000.0}
-    assert next(one for one in again.found.entries if one.key[1] == "k1").value == entry(1).value
+    assert {one.key[1]: one.remaining_ms for one in again.recovered.entries} == {"k1": 29_000.0, "k3": 8000.0}
+    assert next(one for one in again.recovered.entries if one.key[1] == "k1").value == entry(1).value
 
 
 def test_a_clock_set_back_keeps_what_is_held_for_longer_and_never_shorter():
@@ -66,7 +66,7 @@
     store = opened(files)
     store.write([entry(1)], NOW)
     store.close()
-    assert [one.remaining_ms for one in opened(files, NOW - 3_600_000.0).found.entries] == [30_000.0]
+    assert [one.remaining_ms for one in opened(files, NOW - 3_600_000.0).recovered.entries] == [30_000.0]
 
 
 @pytest.mark.parametrize(
@@ -83,8 +83,8 @@
     store.write([entry(1)], NOW)
     store.close()
     again = opened(files, **change)
-    assert why in again.found.why_empty and again.state.votes is (why == "")
-    assert (len(again.found.entries) == 1) is keeps
+    assert why in again.recovered.no_vote_reason and again.state.votes is (why == "")
+    assert (len(again.recovered.entries) == 1) is keeps
     if keeps:
         assert (again.state.incarnation > store.state.incarnation) is (why != "")
 
@@ -101,13 +101,13 @@
     for place in range(12, len(files.names_now[log].data) - 1, 7):
         flip(files, log, place)
         with pytest.raises(DamagedError):
-            examined(files, FOLDER, entry_from)
+            examine_store(files, FOLDER, entry_from)
         flip(files, log, place)
-    assert examined(files, FOLDER, entry_from)[1:] == (2, 2)
+    assert examine_store(files, FOLDER, entry_from)[1:] == (2, 2)
     store.close()
     flip(files, log, 40)
     again = opened(files)
-    assert "damaged" in again.found.why_empty and not again.state.votes and again.found.entries == []
+    assert "damaged" in again.recovered.no_vote_reason and not again.state.votes and again.recovered.entries == []
 
 
 def test_the_machine_stops_at_every_operation_and_nothing_written_is_lost_or_invented():
@@ -117,10 +117,10 @@
         store = opened(files)
         store.write([entry(1)], NOW)
         kept.append("k1")
-        store.turn(NOW)
+        store.rotate(NOW)
         store.write([entry(2)], NOW)
         kept.append("k2")
-        store.turn(NOW + 1.0)
+        store.rotate(NOW + 1.0)
 
     kept = []
     whole = founded()
@@ -135,7 +135,7 @@
                 life(files)
             again = opened(files.survived("kept"))
             assert again.state.votes, (stop_at, after)
-            assert set(kept) <= {one.key[1] for one in again.found.entries} <= {"k1", "k2"}
+            assert set(kept) <= {one.key[1] for one in again.recovered.entries} <= {"k1", "k2"}
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
@@ -150,7 +150,7 @@
         store.write([entry(3)], NOW)
     store.reopen([entry(1), entry(3)], NOW)
     store.close()
-    assert {one.key[1] for one in opened(files).found.entries} == {"k1", "k3"}
+    assert {one.key[1] for one in opened(files).recovered.entries} == {"k1", "k3"}
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
@@ -163,16 +163,16 @@
         store.write([entry(2)], NOW)
     store.write([entry(3)], NOW)
     store.close()
-    assert {one.key[1] for one in opened(files).found.entries} == {"k1", "k3"}
+    assert {one.key[1] for one in opened(files).recovered.entries} == {"k1", "k3"}
 
 
 def test_segments_go_once_nothing_in_them_counts():
     files = founded()
     store = opened(files)
     store.write([entry(1, for_ms=5000.0)], NOW)
-    assert store.turn(NOW + 1000.0) == 0
+    assert store.rotate(NOW + 1000.0) == 0
     store.write([entry(2, for_ms=5000.0)], NOW + 1000.0)
-    assert store.turn(NOW + 5500.0) == 1
-    assert store.turn(NOW + 9000.0) >= 1
+    assert store.rotate(NOW + 5500.0) == 1
+    assert store.rotate(NOW + 9000.0) >= 1
     store.close()
-    assert opened(files, NOW + 9000.0).found.entries == []
+    assert opened(files, NOW + 9000.0).recovered.entries == []
--- a/tests/replication/test_store_clock.py
+++ b/tests/replication/test_store_clock.py
@@ -16,7 +16,7 @@
     store.write([entry(1)], NOW)
     store.close()
     again = opened(files, NOW + 1000.0, unix_ms=NOW + 1000.0 + unix_step_ms)
-    assert [one.remaining_ms for one in again.found.entries] == [29_000.0]
+    assert [one.remaining_ms for one in again.recovered.entries] == [29_000.0]
 
 
 @pytest.mark.parametrize("steady_ms", [10.0, NOW + 1000.0, NOW + HOUR_MS])
@@ -27,4 +27,4 @@
     store.write([entry(1)], NOW)
     store.close()
     again = opened(files, steady_ms, boot="b2", synced=True)
-    assert [one.remaining_ms for one in again.found.entries] == [30_000.0]
+    assert [one.remaining_ms for one in again.recovered.entries] == [30_000.0]
--- a/tests/replication/test_store_refusals.py
+++ b/tests/replication/test_store_refusals.py
@@ -29,7 +29,7 @@
 from flintshift.replication.placement import Placement
 from flintshift.replication.refill import Page
 from flintshift.replication.registers import Entry
-from flintshift.replication.store import boot_id, found_store
+from flintshift.replication.store import boot_id, create_empty_store
 from flintshift.settings.options import CopiesOptions
 
 pytestmark = pytest.mark.anyio
@@ -59,7 +59,7 @@
 
     def __init__(self, durability="process-death"):
         self.files, self.host, self.logged = SimFiles(), Host(), []
-        found_store(self.files, FOLDER, 1.0, boot_id())
+        create_empty_store(self.files, FOLDER, 1.0, boot_id())
         self.store = self.opened(durability)
         self.numbers = 0
 
