--- a/flintshift/lab/copies_model.py
+++ b/flintshift/lab/copies_model.py
@@ -38,7 +38,7 @@
     Voted,
 )
 from flintshift.replication.placement import Placement
-from flintshift.replication.proposals import Pace, Proposals
+from flintshift.replication.proposals import Proposals, ProposalTiming
 from flintshift.replication.refill import FillAsk, Page, Refill, build_page
 from flintshift.replication.registers import Entry, HolderBounds, Registers
 
@@ -116,7 +116,9 @@
         )
         for entry in machine.disk.values():
             machine.registers.merge(self.now, entry)
-        machine.proposals = self.new_proposals(machine.identity, self.placement, self.lives, self.draw, Pace())
+        machine.proposals = self.new_proposals(
+            machine.identity, self.placement, self.lives, self.draw, ProposalTiming()
+        )
         machine.refill = None if machine.votes else Refill(name for name in self.machines if name != machine.name)
         for other in self.machines.values():
             if other.up:
@@ -218,7 +220,7 @@
             machine.registers.purge(self.now)
             self._tell(machine, Tick())
             for key, owner in machine.registers.find_orphaned_claims(self.now, self.lives, 400.0):
-                if key not in machine.proposals.under_way:
+                if key not in machine.proposals.active:
                     self._tell(machine, TakeOver(key, owner))
             if machine.refill is not None:
                 others = [one.name for one in self.machines.values() if one.up and one is not machine]
@@ -230,7 +232,7 @@
         for _ in range(most):
             if self.sent:
                 self.deliver(self.draw.randrange(len(self.sent)))
-            elif any(one.proposals.under_way or one.proposals.followed for one in self.machines.values() if one.up):
+            elif any(one.proposals.active or one.proposals.followed for one in self.machines.values() if one.up):
                 self.tick(50.0)
             else:
                 return
@@ -250,7 +252,7 @@
             case Send(to, ask):
                 self._send(machine, to, ask)
             case Granted(owner):
-                key = next(key for key, one in machine.proposals.granted.items() if one == owner)
+                key = next(key for key, one in machine.proposals.granted_claims.items() if one == owner)
                 if self.ran.get(key):
                     self.wrong.append(f"{key}: {owner} is granted after {self.ran[key]}")
                 self.ran.setdefault(key, []).append(owner)
--- a/flintshift/lifecycle/copies_status.py
+++ b/flintshift/lifecycle/copies_status.py
@@ -39,7 +39,7 @@
         "stages": registers.count_by_stage(),
         "under_copied": registers.count_under_replicated(copying.reached | {copying.name}),
         "use": copying.use.shown() if copying.use is not None else [],
-        "proposals": len(copying.proposals.under_way),
+        "proposals": len(copying.proposals.active),
         "followed": len(copying.proposals.followed),
         "may_have_run": [
             {"class": key[0], "key": key[1], "request": owner} for key, owner in copying.taken_over.items()
--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/copying.py
@@ -440,6 +440,6 @@
         for member, ask in self.store.asks(now, self.reached):
             self.links[member].send(ask, now, False)
         for key, owner in self.store.registers.find_orphaned_claims(now, self._lives, STAGGER_MS):
-            if key not in self.proposals.under_way:
+            if key not in self.proposals.active:
                 self._event(TakeOver(key, owner))
         self.store.purge(now)
--- a/flintshift/replication/proposals.py
+++ b/flintshift/replication/proposals.py
@@ -2,7 +2,7 @@
 
 One proposal for a key is under way at a time; what else is wanted of that key waits behind it. A proposal runs
 through the steps of `messages.Step`, and ends when a value is *chosen*: no majority can ever hold another one
-in its place but by going on from it. `_chosen` is the one place that says so.
+in its place but by going on from it. `_handle_chosen` is the one place that says so.
 
     FIRST ----- all accepted ------------------------------> chosen
       | another claim, or a holder that does not answer
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class ProposalTiming:
     first_ms: float = 8.0  # a holder that has not answered round 0 by then is gone on without: this, or
     first_times: float = 8.0  # so many times what an answer takes of late, whichever is longer
     again_ms: float = 250.0  # what is not answered is asked again
@@ -82,12 +82,12 @@
     votes: dict[str, Vote] = field(default_factory=dict)
     stores: tuple[int, ...] = ()
     asked_ms: float = 0.0
-    again_ms: float = math.inf  # the step is taken again
+    retry_at_ms: float = math.inf  # the step is taken again
     rounds: int = 0
-    waiting: dict[str, float] = field(default_factory=dict)  # tries that wait for a claim, and until when
+    waiting_claims: dict[str, float] = field(default_factory=dict)  # tries that wait for a claim, and until when
     wrote: bool = False  # a holder may have accepted what it proposed
-    given_up: bool = False  # nobody waits for its end
-    behind: deque[Intent] = field(default_factory=deque)
+    abandoned: bool = False  # nobody waits for its end
+    queued: deque[Intent] = field(default_factory=deque)
     seen: bool = False  # a holder knows of the key
     settles: Value | None = None  # what it proposes is the end of a claim whose runner is dead
 
@@ -96,17 +96,22 @@
     """``me`` names this process, never another or earlier one. ``lives`` tells whether a runner does."""
 
     def __init__(
-        self, me: str, placement: Placement, lives: Callable[[str], bool], draw: random.Random, pace: Pace | None = None
+        self,
+        me: str,
+        placement: Placement,
+        lives: Callable[[str], bool],
+        draw: random.Random,
+        pace: ProposalTiming | None = None,
     ) -> None:
         self.me, self.placement, self.lives, self.draw = me, placement, lives, draw
-        self.pace = pace or Pace()
-        self.under_way: dict[Key, Proposal] = {}
+        self.pace = pace or ProposalTiming()
+        self.active: dict[Key, Proposal] = {}
         self.by_number: dict[int, Key] = {}
         self.owned: dict[Key, tuple[str, Ballot]] = {}  # claims of this process, and the ballot promised to it
         self.followed: dict[Key, tuple[str, float]] = {}  # keys of others whose end is waited for: owner, next look
         self.stores: dict[str, int] = {}  # of holders in reach
         self.known_stores: dict[str, int] = {}
-        self.granted: dict[Key, str] = {}  # tries that may run, until their end is told
+        self.granted_claims: dict[Key, str] = {}  # tries that may run, until their end is told
         self.numbers = 0
         self.top = (
             FIRST_CLASSIC_BALLOT_NUMBER - 1
@@ -121,7 +126,7 @@
         if isinstance(event, ReachabilityChanged | Tick):  # these may touch any key
             actions = self._handled(now_ms, event)
             self.next_ms = min(
-                (self._due_of(key) for key in self.under_way.keys() | self.followed.keys()), default=math.inf
+                (self._due_of(key) for key in self.active.keys() | self.followed.keys()), default=math.inf
             )
             return actions
         key = self.by_number.get(event.vote.number) if isinstance(event, Voted) else event.key
@@ -132,21 +137,21 @@
 
     def _handled(self, now_ms: float, event: Event) -> list[Action]:
         match event:
-            case Claim(key) if key in self.under_way and isinstance(self.under_way[key].intent, Claim):
-                proposal = self.under_way[key]
-                proposal.waiting[event.owner] = event.deadline_ms  # it learns what becomes of the first
+            case Claim(key) if key in self.active and isinstance(self.active[key].intent, Claim):
+                proposal = self.active[key]
+                proposal.waiting_claims[event.owner] = event.deadline_ms  # it learns what becomes of the first
                 return []
             case Claim() | Finish() | Free() | TakeOver() | Follow():
                 return self._begin(now_ms, event)
             case CallerDeparted(key, owner):
-                proposal = self.under_way.get(key)  # type: ignore[assignment]
+                proposal = self.active.get(key)  # type: ignore[assignment]
                 if proposal is not None:
-                    proposal.waiting.pop(owner, None)
+                    proposal.waiting_claims.pop(owner, None)
                 return []
             case Voted(member, vote):
                 return self._voted(now_ms, member, vote)
             case Ended(key):
-                if key in self.followed and key not in self.under_way:
+                if key in self.followed and key not in self.active:
                     return self._begin(now_ms, Follow(key, self.followed[key][0]))
                 return []
             case ReachabilityChanged(member, up, store):
@@ -160,13 +165,13 @@
 
     def _due_of(self, key: Key) -> float:
         due = self.followed[key][1] if key in self.followed else math.inf
-        proposal = self.under_way.get(key)
+        proposal = self.active.get(key)
         if proposal is None:
             return due
-        due = min(due, proposal.again_ms, *proposal.waiting.values())
-        if isinstance(proposal.intent, Finish) and not proposal.given_up:
+        due = min(due, proposal.retry_at_ms, *proposal.waiting_claims.values())
+        if isinstance(proposal.intent, Finish) and not proposal.abandoned:
             due = min(due, proposal.intent.deadline_ms)
-        return min([due, *(intent.deadline_ms for intent in proposal.behind if isinstance(intent, Claim))])
+        return min([due, *(intent.deadline_ms for intent in proposal.queued if isinstance(intent, Claim))])
 
     # A proposal.
 
@@ -174,24 +179,24 @@
         key = intent.key
         if isinstance(intent, Follow):
             self.followed[key] = intent.owner, now_ms + self.pace.poll_ms
-        known = self.under_way.get(key)
+        known = self.active.get(key)
         if known is not None:
             if isinstance(intent, Claim) and not self._majority_in_reach(known.holders):
                 return [MajorityUnavailable(intent.owner, intent.may_be_repeat or known.seen, NO_MAJORITY)]
-            if len(known.behind) < self.pace.behind and intent not in known.behind:
-                known.behind.append(intent)
+            if len(known.queued) < self.pace.behind and intent not in known.queued:
+                known.queued.append(intent)
             elif isinstance(intent, Claim):
                 return [MajorityUnavailable(intent.owner, True, "too many proposals for this key")]
             return []
         holders = self.placement.holders(key)
-        if len(self.under_way) >= self.pace.most and isinstance(intent, Claim):
+        if len(self.active) >= self.pace.most and isinstance(intent, Claim):
             return [MajorityUnavailable(intent.owner, intent.may_be_repeat, "too many proposals are under way")]
         until = intent.deadline_ms if isinstance(intent, Claim) else math.inf
         if isinstance(intent, Free | TakeOver | Finish):
             until = now_ms + (intent.retention_ms if isinstance(intent, Finish) else 60_000.0)
-        proposal = self.under_way[key] = Proposal(intent, holders, until)
+        proposal = self.active[key] = Proposal(intent, holders, until)
         if isinstance(intent, Claim):
-            proposal.waiting[intent.owner] = intent.deadline_ms
+            proposal.waiting_claims[intent.owner] = intent.deadline_ms
             if not self._majority_in_reach(holders):
                 return self._give_up(now_ms, key, proposal, NO_MAJORITY)
         return self._start(now_ms, key, proposal)
@@ -228,7 +233,7 @@
         proposal.number, proposal.step, proposal.votes = self.numbers, step, {}
         proposal.asked_ms, proposal.rounds = now_ms, proposal.rounds + 1
         first_ms = min(max(self.pace.first_ms, self.pace.first_times * self.answer_ms), self.pace.again_ms)
-        proposal.again_ms = now_ms + (first_ms if step is Step.FIRST else self.pace.again_ms)
+        proposal.retry_at_ms = now_ms + (first_ms if step is Step.FIRST else self.pace.again_ms)
         self.by_number[proposal.number] = key
         self.counts[step.name.lower()] += 1
         proposal.stores = tuple(self.known_stores.get(name, 0) for name in proposal.holders)
@@ -256,7 +261,7 @@
         key = self.by_number.get(vote.number)
         if key is None:
             return []  # of a step that is over
-        proposal = self.under_way[key]
+        proposal = self.active[key]
         for name, store in zip(proposal.holders, vote.stores, strict=False):
             if store > self.known_stores.get(name, 0):
                 self.known_stores[name] = store
@@ -266,9 +271,9 @@
         if proposal.asked_ms > 0.0:
             self.answer_ms += (now_ms - proposal.asked_ms - self.answer_ms) / 16
         proposal.seen = proposal.seen or vote.value is not None
-        return self._counted(now_ms, key, proposal)
+        return self._evaluate_votes(now_ms, key, proposal)
 
-    def _counted(self, now_ms: float, key: Key, proposal: Proposal) -> list[Action]:
+    def _evaluate_votes(self, now_ms: float, key: Key, proposal: Proposal) -> list[Action]:
         votes, placement = list(proposal.votes.values()), self.placement
         good = [vote for vote in votes if vote.verdict is Verdict.OK]
         open_ = [name for name in proposal.holders if name not in proposal.votes and name in self.stores]
@@ -277,12 +282,12 @@
         match proposal.step:
             case Step.FIRST:
                 if len(good) >= placement.fast_quorum:
-                    return self._chosen(now_ms, key, proposal, proposal.value, 1)
+                    return self._handle_chosen(now_ms, key, proposal, proposal.value, 1)
                 if len(good) + len(open_) < placement.fast_quorum and len(votes) >= placement.majority:
                     return self._contested(now_ms, key, proposal, good)
             case Step.ACCEPT:
                 if len(good) >= placement.majority:
-                    return self._chosen(now_ms, key, proposal, proposal.value, proposal.ballot[0] + 1)
+                    return self._handle_chosen(now_ms, key, proposal, proposal.value, proposal.ballot[0] + 1)
                 if len(good) + len(open_) < placement.majority:
                     return self._lost(now_ms, key, proposal)
             case Step.PREPARE:
@@ -316,7 +321,7 @@
                 return self._first(now_ms, key, proposal)
             return self._prepare(now_ms, key, proposal)
         if top.ballot[0] >= 1 and len(same) >= self.placement.majority and value.stage is Stage.FINISHED:
-            return self._chosen(now_ms, key, proposal, value, None)
+            return self._handle_chosen(now_ms, key, proposal, value, None)
         if value.stage is Stage.CLAIMED and self.lives(value.runner) and value.runner != self.me:
             return self._end(now_ms, key, proposal, value)  # whoever has it settles it
         if not all_told:
@@ -395,12 +400,12 @@
 
     @staticmethod
     def _later(now_ms: float, proposal: Proposal, wait_ms: float) -> list[Action]:
-        proposal.again_ms, proposal.asked_ms = now_ms + wait_ms, -math.inf
+        proposal.retry_at_ms, proposal.asked_ms = now_ms + wait_ms, -math.inf
         return []
 
     # Ends.
 
-    def _chosen(
+    def _handle_chosen(
         self, now_ms: float, key: Key, proposal: Proposal, value: Value | None, next_ballot: int | None
     ) -> list[Action]:
         if value is not None and value.stage is Stage.CLAIMED and value.runner == self.me and next_ballot is not None:
@@ -408,7 +413,7 @@
         return self._end(now_ms, key, proposal, value)
 
     def _end(self, now_ms: float, key: Key, proposal: Proposal, value: Value | None) -> list[Action]:
-        del self.under_way[key]
+        del self.active[key]
         self.by_number.pop(proposal.number, None)
         actions: list[Action] = []
         match proposal.intent:
@@ -436,27 +441,27 @@
             and not isinstance(proposal.intent, Follow)
         ):
             actions += self._looked(now_ms, key, value)
-        for intent in proposal.behind:
+        for intent in proposal.queued:
             actions += self._begin(now_ms, intent) if not isinstance(intent, Claim) else self.handle(now_ms, intent)
         return actions
 
     def _let_go(self, key: Key, owner: str) -> None:
         if self.owned.get(key, ("",))[0] == owner:
             del self.owned[key]
-        if self.granted.get(key) == owner:
-            del self.granted[key]
+        if self.granted_claims.get(key) == owner:
+            del self.granted_claims[key]
 
     def _claimed(self, now_ms: float, key: Key, proposal: Proposal, value: Value | None) -> list[Action]:
-        waiting = tuple(proposal.waiting)
+        waiting = tuple(proposal.waiting_claims)
         if value is None or value.stage is Stage.FREE:  # can't be: a claim would have been written
             return [MajorityUnavailable(owner, True, "the key's register is empty") for owner in waiting]
         mine = value.stage is Stage.CLAIMED and value.runner == self.me
-        if mine and value.owner not in waiting and self.granted.get(key) != value.owner:
-            proposal.behind.appendleft(Free(key, value.owner))  # its caller went, or was told no: it does not run
+        if mine and value.owner not in waiting and self.granted_claims.get(key) != value.owner:
+            proposal.queued.appendleft(Free(key, value.owner))  # its caller went, or was told no: it does not run
         others = tuple(owner for owner in waiting if not (mine and owner == value.owner))
         actions: list[Action] = []
         if mine and value.owner in waiting:
-            self.granted[key] = value.owner
+            self.granted_claims[key] = value.owner
             actions.append(Granted(value.owner))
         if others:
             actions.append(ClaimedByOther(others, key, value))
@@ -482,19 +487,20 @@
         intent = proposal.intent
         if isinstance(intent, Claim):
             actions = [
-                MajorityUnavailable(owner, proposal.seen or intent.may_be_repeat, cause) for owner in proposal.waiting
+                MajorityUnavailable(owner, proposal.seen or intent.may_be_repeat, cause)
+                for owner in proposal.waiting_claims
             ]
-            proposal.waiting.clear()
+            proposal.waiting_claims.clear()
             if not proposal.wrote:
-                del self.under_way[key]
+                del self.active[key]
                 self.by_number.pop(proposal.number, None)
-                for behind in proposal.behind:
+                for behind in proposal.queued:
                     actions += self.handle(now_ms, behind)
                 return actions
             proposal.intent = Free(key, intent.owner)
             proposal.until_ms = now_ms + intent.retention_ms
-        elif isinstance(intent, Finish) and not proposal.given_up:
-            proposal.given_up = True
+        elif isinstance(intent, Finish) and not proposal.abandoned:
+            proposal.abandoned = True
             actions = [OutcomeOverdue(intent.owner)]
         self._later(now_ms, proposal, self.pace.again_ms)
         return actions
@@ -503,30 +509,30 @@
 
     def _tick(self, now_ms: float) -> list[Action]:
         actions: list[Action] = []
-        for key, proposal in list(self.under_way.items()):
-            if self.under_way.get(key) is not proposal:
+        for key, proposal in list(self.active.items()):
+            if self.active.get(key) is not proposal:
                 continue
             intent = proposal.intent
-            late = [owner for owner, until in proposal.waiting.items() if until <= now_ms]
+            late = [owner for owner, until in proposal.waiting_claims.items() if until <= now_ms]
             for owner in late:
-                del proposal.waiting[owner]
+                del proposal.waiting_claims[owner]
                 actions.append(MajorityUnavailable(owner, True, "the holders did not answer in time"))
-            if late and not proposal.waiting and isinstance(intent, Claim):
+            if late and not proposal.waiting_claims and isinstance(intent, Claim):
                 actions += self._give_up(now_ms, key, proposal, "")
                 continue
-            if isinstance(intent, Finish) and not proposal.given_up and intent.deadline_ms <= now_ms:
-                proposal.given_up = True
+            if isinstance(intent, Finish) and not proposal.abandoned and intent.deadline_ms <= now_ms:
+                proposal.abandoned = True
                 actions.append(OutcomeOverdue(intent.owner))
-            for behind in [one for one in proposal.behind if isinstance(one, Claim) and one.deadline_ms <= now_ms]:
-                proposal.behind.remove(behind)
+            for behind in [one for one in proposal.queued if isinstance(one, Claim) and one.deadline_ms <= now_ms]:
+                proposal.queued.remove(behind)
                 actions.append(MajorityUnavailable(behind.owner, True, "the holders did not answer in time"))
             if proposal.until_ms <= now_ms and not isinstance(intent, Claim):
                 self.counts["given_up"] += 1
                 actions += self._end(now_ms, key, proposal, None)
-            elif proposal.again_ms <= now_ms:
+            elif proposal.retry_at_ms <= now_ms:
                 actions += self._again(now_ms, key, proposal)
         for key, (owner, at_ms) in list(self.followed.items()):
-            if at_ms <= now_ms and key not in self.under_way:
+            if at_ms <= now_ms and key not in self.active:
                 actions += self._begin(now_ms, Follow(key, owner))
         return actions
 
@@ -535,7 +541,7 @@
             if isinstance(proposal.intent, Follow):
                 return self._take(now_ms, key, proposal, Step.READ)
             return self._prepare(now_ms, key, proposal)
-        proposal.again_ms = now_ms + self.pace.again_ms
+        proposal.retry_at_ms = now_ms + self.pace.again_ms
         if not self._majority_in_reach(proposal.holders):
             return self._give_up(now_ms, key, proposal, NO_MAJORITY)
         return self._ask(key, proposal, proposal.holders)
@@ -547,15 +553,15 @@
         else:
             self.stores.pop(member, None)
         actions: list[Action] = []
-        for key, proposal in list(self.under_way.items()):
-            if member not in proposal.holders or self.under_way.get(key) is not proposal:
+        for key, proposal in list(self.active.items()):
+            if member not in proposal.holders or self.active.get(key) is not proposal:
                 continue
             if up:
-                proposal.again_ms = min(proposal.again_ms, now_ms)
+                proposal.retry_at_ms = min(proposal.retry_at_ms, now_ms)
             elif not self._majority_in_reach(proposal.holders):
                 actions += self._give_up(now_ms, key, proposal, NO_MAJORITY)
             elif proposal.asked_ms != -math.inf:
-                actions += self._counted(now_ms, key, proposal)
+                actions += self._evaluate_votes(now_ms, key, proposal)
         return actions
 
     def _majority_in_reach(self, holders: tuple[str, ...]) -> bool:
--- a/tests/replication/mutants.py
+++ b/tests/replication/mutants.py
@@ -27,17 +27,17 @@
 class MinorityEnds(Proposals):
     """One holder's acceptance counts as the word of all."""
 
-    def _counted(self, now_ms, key, proposal):
+    def _evaluate_votes(self, now_ms, key, proposal):
         if proposal.step is Step.ACCEPT and any(vote.verdict is Verdict.OK for vote in proposal.votes.values()):
-            return self._chosen(now_ms, key, proposal, proposal.value, proposal.ballot[0] + 1)
-        return super()._counted(now_ms, key, proposal)
+            return self._handle_chosen(now_ms, key, proposal, proposal.value, proposal.ballot[0] + 1)
+        return super()._evaluate_votes(now_ms, key, proposal)
 
 
 class MajorityOfFirst(Proposals):
     """A claim of round 0 counts with two of three holders, though the third may tell another story with one of them."""
 
-    def _counted(self, now_ms, key, proposal):
+    def _evaluate_votes(self, now_ms, key, proposal):
         good = [vote for vote in proposal.votes.values() if vote.verdict is Verdict.OK]
         if proposal.step is Step.FIRST and len(good) >= self.placement.majority:
-            return self._chosen(now_ms, key, proposal, proposal.value, 1)
-        return super()._counted(now_ms, key, proposal)
+            return self._handle_chosen(now_ms, key, proposal, proposal.value, 1)
+        return super()._evaluate_votes(now_ms, key, proposal)
--- a/tests/replication/test_agreement.py
+++ b/tests/replication/test_agreement.py
@@ -340,10 +340,10 @@
             event = structs.replace(event, deadline_ms=now_ms + self.draw.choice([1.0, 5.0, 100.0]))
         actions = super().handle(now_ms, event)
         waits = [at for _, at in self.followed.values()]
-        for proposal in self.under_way.values():
-            waits += [proposal.again_ms, *proposal.waiting.values()]
-            waits += [one.deadline_ms for one in proposal.behind if isinstance(one, Claim)]
-            if isinstance(proposal.intent, Finish) and not proposal.given_up:
+        for proposal in self.active.values():
+            waits += [proposal.retry_at_ms, *proposal.waiting_claims.values()]
+            waits += [one.deadline_ms for one in proposal.queued if isinstance(one, Claim)]
+            if isinstance(proposal.intent, Finish) and not proposal.abandoned:
                 waits.append(proposal.intent.deadline_ms)
         assert self.due_ms() <= min(waits, default=math.inf)
         return actions
