--- a/flintshift/lab/logs_model.py
+++ b/flintshift/lab/logs_model.py
@@ -47,7 +47,7 @@
     own: LogId = ("", b"")
     epoch: int = 0
     records: Records = field(default_factory=list)  # of its own ledger, on its disk
-    before: logs.Place = logs.NOWHERE  # beside it: where that stood when it was elected last
+    before: logs.LogPosition = logs.NO_POSITION  # beside it: where that stood when it was elected last
     elected: bool = True
     disk: dict[LogId, Copy] = field(default_factory=dict)
     writers: dict[LogId, LogWriter] = field(default_factory=dict)
@@ -94,7 +94,7 @@
     def _begin(self, machine: Machine) -> None:
         if not machine.records:
             self.lives += 1
-            machine.before, machine.elected = logs.NOWHERE, True
+            machine.before, machine.elected = logs.NO_POSITION, True
             machine.own, machine.epoch = (machine.name, bytes([self.lives // 256, self.lives % 256])), 1000 * self.lives
         else:
             machine.epoch = machine.records[-1][0] + 1
@@ -137,7 +137,7 @@
             return
         if machine.asleep:
             self.sent.append((sender, to, word))
-        elif isinstance(word, logs.At):
+        elif isinstance(word, logs.ReplicaStatus):
             writer = machine.writers.get(word.log)
             if writer is not None:
                 self._write(machine, writer, writer.told(self.now, source, word))
@@ -190,13 +190,13 @@
             match action:
                 case logs.SendTo(member, word):
                     self.sent.append((machine.identity, member, word))
-                case logs.WholeWanted(member):
+                case logs.SnapshotNeeded(member):
                     self._write(machine, writer, writer.whole(member, msgspec.msgpack.encode(records)))
-                case logs.Held(upto) if upto <= len(records):
+                case logs.Replicated(upto) if upto <= len(records):
                     self._now_held(machine, writer, records[: int(upto)])
                 case logs.Elected():
                     machine.elected = True
-                case logs.Raised(_, before):
+                case logs.EpochRaised(_, before):
                     machine.before, machine.elected = before, False
                     self._append(machine, writer.log, records, NOTHING, b"")
                 case logs.Fenced() if own:
@@ -229,16 +229,16 @@
                 case logs.Promise(log, epoch, by):
                     copy = machine.disk.setdefault(log, Copy(epoch, by))
                     copy.promised, copy.by = epoch, by
-                case logs.Write(log, epoch, _, records):
+                case logs.WriteRecords(log, epoch, _, records):
                     machine.disk[log].records += [(epoch, *one) for one in records]
-                case logs.Replace(log, (epoch, _), data):
+                case logs.InstallSnapshot(log, (epoch, _), data):
                     told: list[tuple[int, int, bytes]] = msgspec.msgpack.decode(data, type=list[tuple[int, int, bytes]])
                     machine.disk[log].records, machine.disk[log].sure = told, True
                 case logs.Answer(to, word):
                     self.sent.append((machine.identity, to, word))
-                case logs.Ask(member, word):
+                case logs.SendToHolder(member, word):
                     self.sent.append((machine.identity, member, word))
-                case logs.Taken(log, epoch, last):
+                case logs.TakenOver(log, epoch, last):
                     others = tuple(name for name in self.placement.log_holders(log[0]) if name != machine.name)
                     writer = self.new_writer(log, epoch, last, others, 1, 100.0, None)
                     machine.writers[log] = writer
@@ -246,14 +246,14 @@
                     for other in self.machines.values():
                         if other.up and other is not machine:
                             self._write(machine, writer, writer.reach(other.name, True))
-                case logs.Forget(log):
+                case logs.MarkFinished(log):
                     machine.disk[log].over = True
-                case logs.Lost(log) | logs.Drop(log):
+                case logs.AbandonLog(log) | logs.DeleteReplica(log):
                     del machine.disk[log]
 
 
-def place(records: Records) -> logs.Place:
-    return (records[-1][0], len(records)) if records else logs.NOWHERE
+def place(records: Records) -> logs.LogPosition:
+    return (records[-1][0], len(records)) if records else logs.NO_POSITION
 
 
 __all__ = ["LogWorld", "Record"]
--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/copying.py
@@ -331,7 +331,7 @@
                     self._event(word)
                 case Page():
                     self.store.fill(member, word)
-                case logs.At() if self.use is not None:
+                case logs.ReplicaStatus() if self.use is not None:
                     self.use.answered(member, word)
                 case Permit() if self.permits is not None:
                     self.permits.answered(member, word)
--- a/flintshift/lifecycle/held_copies.py
+++ b/flintshift/lifecycle/held_copies.py
@@ -46,8 +46,8 @@
         boot: str,
         lives: Callable[[str], bool],
         now_ms: Callable[[], float],
-        send: Callable[[str, logs.LogWord], None],
-        answer: Callable[[str, logs.LogWord], None],
+        send: Callable[[str, logs.LogMessage], None],
+        answer: Callable[[str, logs.LogMessage], None],
         counters: Counters,
         log: Log,
     ) -> None:
@@ -58,7 +58,7 @@
         self.replicas: dict[LogId, Replica] = {}
         self.refused: dict[LogId, float] = {}  # copies whose writer is to hear that their disk refused, and when
         self.ends: dict[LogId, int] = {}  # by log, the epoch of an end that the disk refused
-        self.unsynced: list[tuple[LogId, str, logs.LogWord]] = []
+        self.unsynced: list[tuple[LogId, str, logs.LogMessage]] = []
         self.sync_wanted = anyio.Event()
 
     def restore(self) -> None:
@@ -103,9 +103,9 @@
         refused: set[LogId] = set()
         for action in actions:
             log = (
-                action.word.log
-                if isinstance(action, logs.Answer | logs.Ask)
-                else (action.told.log if isinstance(action, logs.Note) else action.log)
+                action.message.log
+                if isinstance(action, logs.Answer | logs.SendToHolder)
+                else (action.export.log if isinstance(action, logs.RecordExport) else action.log)
             )
             if log in refused:
                 continue
@@ -114,7 +114,7 @@
             except REFUSED as error:
                 refused.add(log)
                 self.refuse(log, error)
-                if isinstance(action, logs.Forget):  # it was told once, and is not asked for again
+                if isinstance(action, logs.MarkFinished):  # it was told once, and is not asked for again
                     self.ends[log] = action.epoch
 
     def refuse(self, log: LogId, error: Exception, unsynced: bool = False) -> None:
@@ -128,7 +128,7 @@
         if replica is None:
             self.held_logs.dropped(log)
         elif log not in self.taken.table:
-            state, last = replica.state, replica.last if known else logs.NOWHERE
+            state, last = replica.state, replica.last if known else logs.NO_POSITION
             sure = known and replica.whole
             self.held_logs.put_back(log, state.promised, state.by, last, sure, state.over, known)
             self.refused.setdefault(log, self.now_ms() + TELL_REFUSED_MS)
@@ -150,7 +150,7 @@
             del self.refused[log]
             held = self.held_logs.table.get(log)
             if held is not None and not held.over and log not in self.taken.table:
-                self.answer(held.by, logs.At(log, logs.Word.GAP, held.promised, held.last))
+                self.answer(held.by, logs.ReplicaStatus(log, logs.ReplicaVerdict.GAP, held.promised, held.last))
 
     def read_again(self) -> None:
         """Look again at copies that could not be read."""
@@ -191,12 +191,12 @@
         match action:
             case logs.Promise(_, epoch, by):
                 self._promise(log, epoch, by)
-            case logs.Write(_, epoch, first, records):
+            case logs.WriteRecords(_, epoch, first, records):
                 self.replicas[log].append(epoch, first, records)
-            case logs.Replace(_, (epoch, sequence), data):
+            case logs.InstallSnapshot(_, (epoch, sequence), data):
                 self.replicas[log].replace(epoch, sequence, data)
                 self.replicas[log].keep(sure=True)
-            case logs.Note(told):
+            case logs.RecordExport(told):
                 self.replicas[log].note(told.sink, told.name, told.digest)
             case logs.Answer(to, word):
                 if self.options.durability == "power-cut":
@@ -204,16 +204,16 @@
                     self.sync_wanted.set()
                 else:
                     self.answer(to, word)
-            case logs.Ask(member, word):
+            case logs.SendToHolder(member, word):
                 self.send(member, word)
-            case logs.Taken():
+            case logs.TakenOver():
                 self.taken.take(action)
-            case logs.Forget(_, epoch):
+            case logs.MarkFinished(_, epoch):
                 self.replicas[log].forget(epoch)
                 self.taken.leave(log)
-            case logs.Drop():
+            case logs.DeleteReplica():
                 self.replicas.pop(log).drop()
-            case logs.Lost(_, of):
+            case logs.AbandonLog(_, of):
                 self._lost(log, of)
 
     def _lost(self, log: LogId, of: str) -> None:
--- a/flintshift/lifecycle/taken_ledgers.py
+++ b/flintshift/lifecycle/taken_ledgers.py
@@ -53,7 +53,7 @@
     files: Files
     held_logs: HeldLogs
     replicas: dict[LogId, Replica]
-    send: Callable[[str, logs.LogWord], None]
+    send: Callable[[str, logs.LogMessage], None]
     counters: Counters
     log: Log
 
@@ -72,7 +72,7 @@
         sinks: list[str],
         up: set[str],
         now_ms: Callable[[], float],
-        new_writer: Callable[[LogId, int, logs.Place], LogWriter],
+        new_writer: Callable[[LogId, int, logs.LogPosition], LogWriter],
         write: Callable[[LogWriter, list[logs.WriterAction]], None],
         exported: Callable[[LogWriter, str, str, bytes], None],
     ) -> None:
@@ -90,7 +90,7 @@
             except REFUSED as error:
                 self.copies.refuse(log, error)
 
-    def take(self, told: logs.Taken) -> None:
+    def take(self, told: logs.TakenOver) -> None:
         """This member is the one that goes on with a ledger."""
         log, epoch, last = told.log, told.epoch, told.last
         replica = self.copies.replicas[log]
@@ -98,16 +98,16 @@
         self.table[log] = TakenLedger(replica, writer)
         self.counters.add("usage.took_over")
         self.log(
-            "error" if told.without else "warning",
+            "error" if told.missing_holders else "warning",
             "usage.took_over",
             ledger=log[0],
             life=log[1].hex(),
             epoch=epoch,
-            of=told.of,
+            of=told.previous_writer,
             records=last[1],
-            without=list(told.without),
+            without=list(told.missing_holders),
             cause="its writer is dead, and no more than this can be had: these hold no copy"
-            if told.without
+            if told.missing_holders
             else "its writer is dead, and a majority of its holders has promised the epoch",
         )
         self._open(self.table[log])
@@ -163,7 +163,7 @@
         ):
             self.log("info", "usage.takeover_done", ledger=log[0], life=log[1].hex(), epoch=writer.epoch)
             for member in writer.copies:
-                self.send(member, logs.Over(log, writer.epoch))
+                self.send(member, logs.LogFinished(log, writer.epoch))
             self.copies.hold(self.copies.held_logs.over(log, writer.epoch))
 
     async def _export(self, taken: TakenLedger) -> None:
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -61,7 +61,9 @@
         own = self.holder.held_logs.own = self.name, folder.book.state.life
         self.writer = self._writer_of(own, epoch, (epoch, folder.log.following - 1), folder.before)
 
-    def _writer_of(self, log: LogId, epoch: int, last: logs.Place, before: logs.Place | None = None) -> LogWriter:
+    def _writer_of(
+        self, log: LogId, epoch: int, last: logs.LogPosition, before: logs.LogPosition | None = None
+    ) -> LogWriter:
         holders = self.placement.log_holders(log[0])
         others = tuple(name for name in holders if name != self.name)
         return LogWriter(log, epoch, last, others, len(holders) // 2, HELD_MS, before)
@@ -107,14 +109,14 @@
         own = [self.writer] if self.writer is not None else []
         return own + [taken.writer for taken in self.taken.table.values()]
 
-    def answered(self, member: str, at: logs.At) -> None:
+    def answered(self, member: str, at: logs.ReplicaStatus) -> None:
         for writer in self._writers():
             if writer.log == at.log:
                 self._write(writer, writer.told(self.now_ms(), member, at))
                 return
         self.holder.hold(self.holder.held_logs.told(member, at))
 
-    def asked(self, identity: str, word: logs.LogWord) -> None:
+    def asked(self, identity: str, word: logs.LogMessage) -> None:
         self.holder.hold(self.holder.held_logs.asked(identity, word))
 
     def tick(self) -> None:
@@ -153,13 +155,13 @@
             match action:
                 case logs.SendTo(member, word):
                     self.send(member, word)
-                case logs.WholeWanted(member):
+                case logs.SnapshotNeeded(member):
                     self.counters.add("usage.copies_filled")
                     try:
                         self._write(writer, writer.whole(member, self._whole(writer)))
                     except OSError as error:
                         self.log("error", "usage.copy_not_filled", name=member, cause=str(error))
-                case logs.Held():
+                case logs.Replicated():
                     if own and self.ledger is not None:
                         self.ledger.release()
                 case logs.GapBegan(cause):
@@ -184,7 +186,7 @@
                         epoch=writer.epoch,
                         holders=[name for name, copy in writer.copies.items() if copy.granted is not None],
                     )
-                case logs.Raised(epoch) if own:
+                case logs.EpochRaised(epoch) if own:
                     self._stand(writer, False)
                     self.log(
                         "warning",
--- a/flintshift/replication/log_holders.py
+++ b/flintshift/replication/log_holders.py
@@ -8,28 +8,28 @@
 from dataclasses import dataclass, field
 
 from flintshift.replication.logs import (
-    NOWHERE,
+    NO_POSITION,
+    AbandonLog,
     Answer,
     Append,
-    Ask,
-    At,
-    Drop,
+    DeleteReplica,
     Exported,
-    Forget,
     HolderAction,
+    InstallSnapshot,
     Join,
+    LogFinished,
     LogId,
-    LogWord,
-    Lost,
-    Note,
-    Over,
-    Part,
-    Place,
+    LogMessage,
+    LogPosition,
+    MarkFinished,
     Promise,
-    Replace,
-    Taken,
-    Word,
-    Write,
+    RecordExport,
+    ReplicaStatus,
+    ReplicaVerdict,
+    SendToHolder,
+    SnapshotPart,
+    TakenOver,
+    WriteRecords,
 )
 
 
@@ -48,7 +48,7 @@
     promised: int
     by: str  # the process that it was promised to
     writer: str  # the process whose records stand here
-    last: Place
+    last: LogPosition
     sure: bool  # all that it ever acknowledged stands here
     known: bool = True  # what stands here can be read
     dead_ms: float | None = None  # since when its writer is
@@ -80,11 +80,11 @@
         self.table: dict[LogId, HeldLog] = {}
         self.own: LogId | None = None  # that this process writes for its member: of that it is no second holder
 
-    def restored(self, log: LogId, promised: int, by: str, last: Place, sure: bool, over: bool) -> None:
+    def restored(self, log: LogId, promised: int, by: str, last: LogPosition, sure: bool, over: bool) -> None:
         self.table[log] = HeldLog(promised, by, by, last, sure, over=over)
 
     def put_back(
-        self, log: LogId, promised: int, by: str, last: Place, sure: bool, over: bool, known: bool = True
+        self, log: LogId, promised: int, by: str, last: LogPosition, sure: bool, over: bool, known: bool = True
     ) -> None:
         """The disk refused an action: this is what stands there, and all that counts. Whoever wrote the log last is
         known as before. ``sure`` False: it may lack what it acknowledged, until it is filled anew; ``known`` False:
@@ -97,14 +97,16 @@
         """Nothing of it could be kept: it is as if nobody had asked."""
         self.table.pop(log, None)
 
-    def asked(self, by: str, word: LogWord) -> list[HolderAction]:
+    def asked(self, by: str, word: LogMessage) -> list[HolderAction]:
         """By a process that writes a log, or wants to."""
         held = self.table.get(word.log)
         if word.log == self.own:
             return []  # it is still to hear that another has it
         if held is not None and held.over:
-            asks = isinstance(word, Join | Append | Part)
-            return [Answer(by, At(word.log, Word.OVER, held.promised, held.last))] if asks else []
+            asks = isinstance(word, Join | Append | SnapshotPart)
+            return (
+                [Answer(by, ReplicaStatus(word.log, ReplicaVerdict.FINISHED, held.promised, held.last))] if asks else []
+            )
         match word:
             case Join():
                 return self._join(by, word, held)
@@ -112,21 +114,24 @@
                 if held is None or held.promised != epoch or held.by != by:
                     return self._refused(by, log, held)
                 if first != held.last[1] + 1 or not held.sure:
-                    return [Answer(by, At(log, Word.GAP, epoch, held.last))]
+                    return [Answer(by, ReplicaStatus(log, ReplicaVerdict.GAP, epoch, held.last))]
                 held.last = epoch, first + len(records) - 1
-                return [Write(log, epoch, first, records), Answer(by, At(log, Word.GRANTED, epoch, held.last))]
-            case Part():
+                return [
+                    WriteRecords(log, epoch, first, records),
+                    Answer(by, ReplicaStatus(log, ReplicaVerdict.GRANTED, epoch, held.last)),
+                ]
+            case SnapshotPart():
                 return self._part(by, word, held)
             case Exported(log):
-                return [Note(word)] if held is not None else []
-            case Over(log, epoch):
+                return [RecordExport(word)] if held is not None else []
+            case LogFinished(log, epoch):
                 return self.over(log, epoch) if held is not None and epoch >= held.promised else []
         return []
 
     def reach(self, member: str) -> list[HolderAction]:
         """That member is in reach again: it may not have heard of what ended meanwhile, and holds it for ever."""
         return [
-            Ask(member, Over(log, held.promised))
+            SendToHolder(member, LogFinished(log, held.promised))
             for log, held in self.table.items()
             if held.over and member in self.holders(log[0])
         ]
@@ -134,42 +139,42 @@
     def over(self, log: LogId, epoch: int) -> list[HolderAction]:
         held = self.table[log]
         self.table[log] = HeldLog(epoch, held.by, held.writer, held.last, False, over=True)
-        return [Forget(log, epoch)]
+        return [MarkFinished(log, epoch)]
 
     def _refused(self, by: str, log: LogId, held: HeldLog | None) -> list[HolderAction]:
         if held is None:
-            return [Answer(by, At(log, Word.NO_VOTE, 0, NOWHERE))]
-        return [Answer(by, At(log, Word.OLD, held.promised, held.last))]
+            return [Answer(by, ReplicaStatus(log, ReplicaVerdict.NO_VOTE, 0, NO_POSITION))]
+        return [Answer(by, ReplicaStatus(log, ReplicaVerdict.STALE_EPOCH, held.promised, held.last))]
 
     def _join(self, by: str, word: Join, held: HeldLog | None) -> list[HolderAction]:
         log, epoch = word.log, word.epoch
-        if word.takes and not self._can_tell(log, held):
+        if word.takes_over and not self._can_tell(log, held):
             return []
         if held is None:
-            if word.takes:
+            if word.takes_over:
                 return self._refused(by, log, None)
             actions: list[HolderAction] = self._make_room()
             if len(self.table) >= self.pace.logs or self.me not in self.holders(log[0]):
-                return [Answer(by, At(log, Word.FULL, 0, NOWHERE))]
-            self.table[log] = HeldLog(epoch, by, by, NOWHERE, False)
+                return [Answer(by, ReplicaStatus(log, ReplicaVerdict.FULL, 0, NO_POSITION))]
+            self.table[log] = HeldLog(epoch, by, by, NO_POSITION, False)
             self._left(by, log)
-            return [*actions, Promise(log, epoch, by), Answer(by, self._no_vote(word, epoch, NOWHERE))]
+            return [*actions, Promise(log, epoch, by), Answer(by, self._no_vote(word, epoch, NO_POSITION))]
         if epoch < held.promised or (epoch == held.promised and by != held.by):
             return self._refused(by, log, held)
         own = (word.epoch, by) == (held.promised, held.by) and held.last[0] == word.epoch  # and the question is late
         if held.sure and held.last > word.last and not own:
-            return [Answer(by, At(log, Word.AHEAD, held.promised, held.last))]
+            return [Answer(by, ReplicaStatus(log, ReplicaVerdict.AHEAD, held.promised, held.last))]
         actions = []
         if (epoch, by) != (held.promised, held.by):
             held.promised, held.by, held.taking = epoch, by, 0
             actions.append(Promise(log, epoch, by))
-        if not word.takes:
+        if not word.takes_over:
             held.writer, held.dead_ms = by, None
             self._left(by, log)
         held.parts, held.parts_bytes = [], 0
         if not held.sure:
             return [*actions, Answer(by, self._no_vote(word, epoch, held.last))]
-        return [*actions, Answer(by, At(log, Word.GRANTED, epoch, held.last))]
+        return [*actions, Answer(by, ReplicaStatus(log, ReplicaVerdict.GRANTED, epoch, held.last))]
 
     def _can_tell(self, log: LogId, held: HeldLog | None) -> bool:
         """What stands here of a log is known. A word that nothing does would count in a takeover, so none is said
@@ -187,24 +192,28 @@
     def _make_room(self) -> list[HolderAction]:
         """What is over is remembered while there is room: a holder that was away then hears of it."""
         past = [log for log, held in self.table.items() if held.over]
-        return [Drop(self._dropped(log)) for log in past[: max(0, len(self.table) + 1 - self.pace.logs)]]
+        return [DeleteReplica(self._dropped(log)) for log in past[: max(0, len(self.table) + 1 - self.pace.logs)]]
 
     def _dropped(self, log: LogId) -> LogId:
         del self.table[log]
         return log
 
     @staticmethod
-    def _no_vote(word: Join, epoch: int, last: Place) -> At:
+    def _no_vote(word: Join, epoch: int, last: LogPosition) -> ReplicaStatus:
         """It can be filled by whoever writes the log, and has no word on who takes it over; ``last``: what it may hold,
         for another that is unsure too."""
-        return At(word.log, Word.NO_VOTE, epoch, last) if word.takes else At(word.log, Word.GRANTED, epoch, NOWHERE)
+        return (
+            ReplicaStatus(word.log, ReplicaVerdict.NO_VOTE, epoch, last)
+            if word.takes_over
+            else ReplicaStatus(word.log, ReplicaVerdict.GRANTED, epoch, NO_POSITION)
+        )
 
-    def _part(self, by: str, word: Part, held: HeldLog | None) -> list[HolderAction]:
+    def _part(self, by: str, word: SnapshotPart, held: HeldLog | None) -> list[HolderAction]:
         log = word.log
         if held is None or held.promised != word.epoch or held.by != by:
             return self._refused(by, log, held)
         if held.sure and held.last[0] == word.epoch and held.last >= word.last:  # it comes late: nothing goes back
-            return [Answer(by, At(log, Word.GRANTED, word.epoch, held.last))]
+            return [Answer(by, ReplicaStatus(log, ReplicaVerdict.GRANTED, word.epoch, held.last))]
         if word.number == 0:
             held.parts, held.parts_bytes = [], 0
         if word.number != len(held.parts) or held.parts_bytes + len(word.data) > self.pace.part_bytes:
@@ -212,28 +221,33 @@
         held.parts.append(word.data)
         held.parts_bytes += len(word.data)
         if word.more:
-            return [Answer(by, At(log, Word.GRANTED, word.epoch, NOWHERE, len(held.parts)))]
+            return [Answer(by, ReplicaStatus(log, ReplicaVerdict.GRANTED, word.epoch, NO_POSITION, len(held.parts)))]
         data, held.parts, held.parts_bytes = b"".join(held.parts), [], 0
         held.last, held.sure, held.known = word.last, True, True
-        return [Replace(log, word.last, data), Answer(by, At(log, Word.GRANTED, word.epoch, word.last))]
+        return [
+            InstallSnapshot(log, word.last, data),
+            Answer(by, ReplicaStatus(log, ReplicaVerdict.GRANTED, word.epoch, word.last)),
+        ]
 
     # Takeover.
 
-    def told(self, member: str, at: At) -> list[HolderAction]:
+    def told(self, member: str, at: ReplicaStatus) -> list[HolderAction]:
         """By another holder, of a takeover that this member began."""
         held = self.table.get(at.log)
         if held is None or not held.taking:
             return []
-        if at.word is Word.OVER:
+        if at.verdict is ReplicaVerdict.FINISHED:
             return self.over(at.log, max(at.epoch, held.promised))
-        more = at.word is Word.AHEAD or (not held.sure and at.word is Word.NO_VOTE and at.last > held.last)
+        more = at.verdict is ReplicaVerdict.AHEAD or (
+            not held.sure and at.verdict is ReplicaVerdict.NO_VOTE and at.last > held.last
+        )
         held.seen, held.behind = max(held.seen, at.epoch), held.behind or more
-        held.outbid = held.outbid or (at.word is Word.OLD and at.epoch >= held.taking)
+        held.outbid = held.outbid or (at.verdict is ReplicaVerdict.STALE_EPOCH and at.epoch >= held.taking)
         # An unsure copy has lost the end of its log, if anything: what it holds beyond this one may be all there is.
         waited_for = held.patient and at.last > held.last
-        if at.word is Word.NO_VOTE and not more and not waited_for:
+        if at.verdict is ReplicaVerdict.NO_VOTE and not more and not waited_for:
             held.wordless.add(member)
-        elif at.epoch == held.taking and at.word is Word.GRANTED:
+        elif at.epoch == held.taking and at.verdict is ReplicaVerdict.GRANTED:
             held.votes.add(member)
         return self._majority(at.log, held)
 
@@ -245,20 +259,20 @@
         elif silent and (held.patient or not silent <= {log[0]}):
             return []  # one that does not answer may hold more
         epoch, held.taking = held.taking, 0
-        if held.last == NOWHERE:
+        if held.last == NO_POSITION:
             return self._lost(log, held)
         of, held.writer = held.writer, self.identity
-        return [Taken(log, epoch, held.last, of, tuple(sorted(wordless)))]
+        return [TakenOver(log, epoch, held.last, of, tuple(sorted(wordless)))]
 
     def _lost(self, log: LogId, held: HeldLog) -> list[HolderAction]:
         del self.table[log]
-        return [Lost(log, held.writer)]
+        return [AbandonLog(log, held.writer)]
 
     def _never_filled(self, log: LogId, held: HeldLog) -> bool:
         """Nothing is lost with this copy, and no promise is forgotten that it gave to who takes the log over: it gave
         one to processes of the log's own member alone."""
         own = held.by.rpartition("#")[0] == log[0]
-        return held.known and not held.sure and held.last == NOWHERE and own
+        return held.known and not held.sure and held.last == NO_POSITION and own
 
     def tick(self, now_ms: float) -> list[HolderAction]:
         actions: list[HolderAction] = []
@@ -289,6 +303,8 @@
             held.promised = held.taking = max(held.promised, held.seen) + 1
             held.by = self.identity
             actions.append(Promise(log, held.promised, held.by))
-            actions += [Ask(name, Join(log, held.promised, held.last, True)) for name in holders if name != self.me]
+            actions += [
+                SendToHolder(name, Join(log, held.promised, held.last, True)) for name in holders if name != self.me
+            ]
             actions += self._majority(log, held)
         return actions
--- a/flintshift/replication/log_writer.py
+++ b/flintshift/replication/log_writer.py
@@ -9,23 +9,23 @@
 from enum import IntEnum
 
 from flintshift.replication.logs import (
-    NOWHERE,
+    NO_POSITION,
     Append,
-    At,
     Elected,
+    EpochRaised,
     Fenced,
     GapBegan,
     GapEnded,
-    Held,
     Join,
     LogId,
-    Part,
-    Place,
-    Raised,
+    LogPosition,
     Record,
+    ReplicaStatus,
+    Replicated,
+    ReplicaVerdict,
     SendTo,
-    WholeWanted,
-    Word,
+    SnapshotNeeded,
+    SnapshotPart,
     WriterAction,
 )
 
@@ -46,11 +46,11 @@
 
     state: State = State.AWAY
     at: int = 0  # the last sequence that it holds under this epoch
-    parts: list[Part] = field(default_factory=list)
+    parts: list[SnapshotPart] = field(default_factory=list)
     behind: deque[Append] = field(default_factory=deque)  # that came while it is filled
     waiting: int = 0  # records in those
     up: bool = False
-    granted: At | None = None  # the epoch of now, to this process
+    granted: ReplicaStatus | None = None  # the epoch of now, to this process
     asked: bool = False  # since the last look, so that one which does not answer is asked again
 
 
@@ -62,11 +62,11 @@
         self,
         log: LogId,
         epoch: int,
-        last: Place,
+        last: LogPosition,
         others: tuple[str, ...],
         needed: int,
         held_ms: float,
-        before: Place | None,
+        before: LogPosition | None,
     ) -> None:
         self.log, self.epoch, self.last, self.needed, self.held_ms = log, epoch, last, needed, held_ms
         self.takes = self.elected = before is None
@@ -131,27 +131,27 @@
         copy = self.copies[member]
         pieces = [data[at : at + PART_BYTES] for at in range(0, max(len(data), 1), PART_BYTES)]
         copy.parts = [
-            Part(self.log, self.epoch, self.last, number, number < len(pieces) - 1, piece)
+            SnapshotPart(self.log, self.epoch, self.last, number, number < len(pieces) - 1, piece)
             for number, piece in enumerate(pieces)
         ]
         copy.state = State.FILLING
         return [SendTo(member, copy.parts[0])]
 
-    def told(self, now_ms: float, member: str, at: At) -> list[WriterAction]:
+    def told(self, now_ms: float, member: str, at: ReplicaStatus) -> list[WriterAction]:
         copy = self.copies.get(member)
         if copy is None or self.fenced or not copy.up:
             return []
         copy.asked = True
-        match at.word:
-            case Word.AHEAD:
+        match at.verdict:
+            case ReplicaVerdict.AHEAD:
                 return self._fence(f"{member} holds records up to {at.last}, this process up to {self.last}")
-            case Word.OLD:
+            case ReplicaVerdict.STALE_EPOCH:
                 if self.takes:
                     return self._fence(f"{member} has promised epoch {at.epoch} to another process")
                 return self._raise(at.epoch)
-            case Word.OVER:
+            case ReplicaVerdict.FINISHED:
                 return self._fence(f"{member} says that all of it was exported")
-            case Word.FULL | Word.NO_VOTE:
+            case ReplicaVerdict.FULL | ReplicaVerdict.NO_VOTE:
                 copy.state = State.AWAY
                 return []
         if at.epoch != self.epoch:
@@ -163,12 +163,12 @@
             return self._granted(now_ms, copy, at)
         return self._follows(now_ms, member, copy, at)
 
-    def _granted(self, now_ms: float, copy: Copy, at: At) -> list[WriterAction]:
+    def _granted(self, now_ms: float, copy: Copy, at: ReplicaStatus) -> list[WriterAction]:
         copy.granted = at
         granted = {name: one.granted for name, one in self.copies.items() if one.granted is not None}
         # A copy without a word may have lost what another wrote meanwhile: it counts if none was before, or all tell.
-        sure = sum(told.last != NOWHERE for told in granted.values())
-        if (len(granted) if self.before == NOWHERE else sure) < self.needed and len(granted) < len(self.copies):
+        sure = sum(told.last != NO_POSITION for told in granted.values())
+        if (len(granted) if self.before == NO_POSITION else sure) < self.needed and len(granted) < len(self.copies):
             return []
         self.elected = True
         actions: list[WriterAction] = [Elected()]
@@ -176,12 +176,14 @@
             actions += self._follows(now_ms, member, self.copies[member], told)
         return actions
 
-    def _follows(self, now_ms: float, member: str, copy: Copy, at: At) -> list[WriterAction]:
-        if at.word is Word.GAP and copy.state is State.FOLLOWING:
-            return [WholeWanted(member)]
+    def _follows(self, now_ms: float, member: str, copy: Copy, at: ReplicaStatus) -> list[WriterAction]:
+        if at.verdict is ReplicaVerdict.GAP and copy.state is State.FOLLOWING:
+            return [SnapshotNeeded(member)]
         if copy.state is State.FILLING:
-            if at.last[0] != self.epoch or at.part:
-                return [SendTo(member, copy.parts[at.part])] if 0 < at.part < len(copy.parts) else []
+            if at.last[0] != self.epoch or at.parts_received:
+                return (
+                    [SendTo(member, copy.parts[at.parts_received])] if 0 < at.parts_received < len(copy.parts) else []
+                )
             sends = [SendTo(member, word) for word in copy.behind]
             self._away(copy)
             copy.state, copy.at = State.FOLLOWING, at.last[1]
@@ -192,7 +194,7 @@
         if copy.state is State.JOINING and at.last == self.last and at.last[0] == self.epoch:
             copy.state, copy.at = State.FOLLOWING, at.last[1]
             return self._count(now_ms)
-        return [WholeWanted(member)]
+        return [SnapshotNeeded(member)]
 
     def _raise(self, promised: int) -> list[WriterAction]:
         """A takeover was begun and came to nothing, as far as this process knows."""
@@ -201,7 +203,7 @@
         if self.elected:
             self.before, self.elected = self.last, False
         self.epoch = promised + 1
-        actions: list[WriterAction] = [Raised(self.epoch, self.before)]
+        actions: list[WriterAction] = [EpochRaised(self.epoch, self.before)]
         for member, copy in self.copies.items():
             if copy.up:
                 actions += self.reach(member, True)
@@ -220,7 +222,7 @@
             return []
         self.held = upto
         self.waiting_ms = now_ms if upto < self.awaited else math.inf
-        actions: list[WriterAction] = [Held(upto)]
+        actions: list[WriterAction] = [Replicated(upto)]
         if self.gap_ms is not None and upto >= self.last[1]:
             actions.append(GapEnded(now_ms - self.gap_ms))
             self.gap_ms = None
@@ -247,5 +249,5 @@
                 f"of {len(following)} copies that follow ({self.needed} must answer) too few did within "
                 f"{max(waited_ms, 0.0):.0f} ms, and answers were due"
             ),
-            Held(math.inf),
+            Replicated(math.inf),
         ]
--- a/flintshift/replication/logs.py
+++ b/flintshift/replication/logs.py
@@ -8,7 +8,7 @@
 - A copy grants an epoch to no writer that is **behind** it, in (epoch, sequence) of the last record; and nobody takes a
   log over without the word of a majority of its holders. So what stood at a majority is in every later writer's log.
 - A writer counts as one once a majority of the holders, itself among them, has granted it its epoch. What it wrote
-  before that under an epoch of its own is no sign that it lacks nothing: it shows how far it had come ``before``.
+  before that under an epoch of its own is no sign that it lacks nothing: it shows how far it had come ``elected_position``.
 - What a writer found is counted as held only together with a first record of its own epoch.
 - A copy that was never filled, or may have lost its end, has no word on who takes over; but where the writer stays dead
   for long, and no more can be had, the ledger goes on with what there is, and that is told. One that was never filled,
@@ -23,33 +23,33 @@
 from msgspec import Struct
 
 LogId = tuple[str, bytes]  # the member that began it, and its life
-Place = tuple[int, int]  # epoch and sequence of a last record
-NOWHERE: Place = (0, 0)
+LogPosition = tuple[int, int]  # epoch and sequence of a last record
+NO_POSITION: LogPosition = (0, 0)
 Record = tuple[int, bytes]  # kind and payload
 
 
-class Word(IntEnum):
+class ReplicaVerdict(IntEnum):
     """What a copy answers."""
 
     GRANTED = 1
-    OLD = 2  # a higher epoch was promised
+    STALE_EPOCH = 2  # a higher epoch was promised
     AHEAD = 3  # this copy holds what the asker lacks
     NO_VOTE = 4  # this copy does not hold the log, or may have lost its end
     FULL = 5  # no room for a further log
     GAP = 6  # records are missing before these, or the disk refused some: this copy is to be filled
-    OVER = 7  # nothing of the log is needed any more
+    FINISHED = 7  # nothing of the log is needed any more
 
 
 # Between members.
 
 
 class Join(Struct, frozen=True, gc=False):
-    """This process writes the log from here on, or wants to. ``takes``: it was another's."""
+    """This process writes the log from here on, or wants to. ``takes_over``: it was another's."""
 
     log: LogId
     epoch: int
-    last: Place
-    takes: bool = False
+    last: LogPosition
+    takes_over: bool = False
 
 
 class Append(Struct, frozen=True, gc=False):
@@ -59,25 +59,25 @@
     records: tuple[Record, ...]
 
 
-class Part(Struct, frozen=True, gc=False):
+class SnapshotPart(Struct, frozen=True, gc=False):
     """A piece of all that a copy needs to go on from a place, in place of what it holds."""
 
     log: LogId
     epoch: int
-    last: Place
+    last: LogPosition
     number: int
     more: bool
     data: bytes
 
 
-class At(Struct, frozen=True, gc=False):
-    """Where a copy stands. ``part``: of a whole that is coming, so many pieces are here."""
+class ReplicaStatus(Struct, frozen=True, gc=False):
+    """Where a copy stands. ``parts_received``: of a whole that is coming, so many pieces are here."""
 
     log: LogId
-    word: Word
+    verdict: ReplicaVerdict
     epoch: int  # promised
-    last: Place
-    part: int = 0
+    last: LogPosition
+    parts_received: int = 0
 
 
 class Exported(Struct, frozen=True, gc=False):
@@ -89,14 +89,14 @@
     digest: bytes
 
 
-class Over(Struct, frozen=True, gc=False):
+class LogFinished(Struct, frozen=True, gc=False):
     """Nothing of the log is needed any more."""
 
     log: LogId
     epoch: int
 
 
-LogWord = Join | Append | Part | At | Exported | Over
+LogMessage = Join | Append | SnapshotPart | ReplicaStatus | Exported | LogFinished
 
 
 # The writer's side.
@@ -105,21 +105,21 @@
 @dataclass(frozen=True, slots=True)
 class SendTo:
     member: str
-    word: LogWord
+    message: LogMessage
 
 
 @dataclass(frozen=True, slots=True)
-class WholeWanted:
+class SnapshotNeeded:
     """Hand in all that a copy needs, by ``LogWriter.whole``."""
 
     member: str
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class Replicated:
     """Records up to this one stand at a majority of the holders; past a gap, all may be let go."""
 
-    upto: float
+    up_to: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,15 +129,15 @@
 
 @dataclass(frozen=True, slots=True)
 class GapEnded:
-    for_ms: float
+    duration_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Raised:
-    """Keep where the log stood ``before``, then write under this epoch, a record of no content first."""
+class EpochRaised:
+    """Keep where the log stood ``elected_position``, then write under this epoch, a record of no content first."""
 
     epoch: int
-    before: Place
+    elected_position: LogPosition
 
 
 @dataclass(frozen=True, slots=True)
@@ -152,7 +152,7 @@
     cause: str
 
 
-WriterAction = SendTo | WholeWanted | Held | GapBegan | GapEnded | Raised | Elected | Fenced
+WriterAction = SendTo | SnapshotNeeded | Replicated | GapBegan | GapEnded | EpochRaised | Elected | Fenced
 
 
 # The holders' side.
@@ -164,11 +164,11 @@
 
     log: LogId
     epoch: int
-    by: str
+    process: str
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
+class WriteRecords:
     log: LogId
     epoch: int
     first: int
@@ -176,23 +176,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Replace:
+class InstallSnapshot:
     """Hold this in place of what stood there."""
 
     log: LogId
-    last: Place
+    last: LogPosition
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class RecordExport:
     """Keep that a sink has this document."""
 
-    told: Exported
+    export: Exported
 
 
 @dataclass(frozen=True, slots=True)
-class Forget:
+class MarkFinished:
     """Keep of it only that it is over, under this epoch."""
 
     log: LogId
@@ -200,41 +200,52 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drop:
+class DeleteReplica:
     log: LogId
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class AbandonLog:
     """Nothing of it is held here, and its writer stays dead: drop it, and tell."""
 
     log: LogId
-    of: str  # the process that wrote it
+    writer: str  # the process that wrote it
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
     to: str  # a process
-    word: At
+    message: ReplicaStatus
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SendToHolder:
     """Ask a member, or tell it that all of a log is over."""
 
     member: str
-    word: Join | Over
+    message: Join | LogFinished
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class TakenOver:
     """This member goes on with the log, under this epoch."""
 
     log: LogId
     epoch: int
-    last: Place
-    of: str  # the process that wrote it
-    without: tuple[str, ...]  # holders that had no word: what they and the dead writer alone held is missing
-
-
-HolderAction = Promise | Write | Replace | Note | Forget | Drop | Lost | Answer | Ask | Taken
+    last: LogPosition
+    previous_writer: str  # the process that wrote it
+    missing_holders: tuple[str, ...]  # holders that had no word: what they and the dead writer alone held is missing
+
+
+HolderAction = (
+    Promise
+    | WriteRecords
+    | InstallSnapshot
+    | RecordExport
+    | MarkFinished
+    | DeleteReplica
+    | AbandonLog
+    | Answer
+    | SendToHolder
+    | TakenOver
+)
--- a/flintshift/wire/peer_codec.py
+++ b/flintshift/wire/peer_codec.py
@@ -28,8 +28,8 @@
 NUMBERS = {outcome: number for number, outcome in enumerate(OUTCOMES, 1)}
 PEER_FRAME_MOST = 4 << 20  # bytes; a longer one is junk
 
-Word = Ask | Vote | Ended | FillAsk | Page | Accuse | logs.LogWord | PermitAsk | Permit
-Told = Ask | Vote | Ended | FillAsk | Page | Accused | logs.LogWord | PermitAsk | Permit
+Word = Ask | Vote | Ended | FillAsk | Page | Accuse | logs.LogMessage | PermitAsk | Permit
+Told = Ask | Vote | Ended | FillAsk | Page | Accused | logs.LogMessage | PermitAsk | Permit
 
 
 class WordsError(JunkError, ValueError):
@@ -127,8 +127,8 @@
                     _entry(page.entries.add(), entry)
             case Accuse(identity, lapsed):
                 batch.accused.add(identity=identity, lapsed=lapsed)
-            case logs.At():
-                at = batch.log_places.add(word=word.word, epoch=word.epoch, part=word.part)
+            case logs.ReplicaStatus():
+                at = batch.log_places.add(word=word.verdict, epoch=word.epoch, part=word.parts_received)
                 _log(at.log, word.log)
                 _place(at.last, word.last)
             case PermitAsk(number, holds, done):
@@ -144,15 +144,15 @@
     into.member, into.life = log
 
 
-def _place(into: pb.LogPlace, place: logs.Place) -> None:
+def _place(into: pb.LogPlace, place: logs.LogPosition) -> None:
     into.epoch, into.sequence = place
 
 
-def _place_of(told: pb.LogPlace) -> logs.Place:
+def _place_of(told: pb.LogPlace) -> logs.LogPosition:
     return told.epoch, told.sequence
 
 
-def _log_word(into: pb.LogWord, word: logs.LogWord) -> None:
+def _log_word(into: pb.LogWord, word: logs.LogMessage) -> None:
     _log(into.log, word.log)
     match word:
         case logs.Join(_, epoch, last, takes):
@@ -161,17 +161,17 @@
         case logs.Append(_, epoch, first, records):
             into.epoch, into.append.first = epoch, first
             into.append.records.extend(pb.LogRecord(kind=kind, payload=payload) for kind, payload in records)
-        case logs.Part(_, epoch, last, number, more, data):
+        case logs.SnapshotPart(_, epoch, last, number, more, data):
             into.epoch = epoch
             into.part.number, into.part.more, into.part.data = number, more, data
             _place(into.part.last, last)
         case logs.Exported(_, sink, name, digest):
             into.exported.sink, into.exported.name, into.exported.digest = sink, name, digest
-        case logs.Over(_, epoch):
+        case logs.LogFinished(_, epoch):
             into.epoch, into.over = epoch, True
 
 
-def _log_words_of(told: pb.LogWord) -> list[logs.LogWord]:
+def _log_words_of(told: pb.LogWord) -> list[logs.LogMessage]:
     log = told.log.member, told.log.life
     match told.WhichOneof("word"):
         case "join":
@@ -184,11 +184,11 @@
             ]
         case "part":
             part = told.part
-            return [logs.Part(log, told.epoch, _place_of(part.last), part.number, part.more, part.data)]
+            return [logs.SnapshotPart(log, told.epoch, _place_of(part.last), part.number, part.more, part.data)]
         case "exported":
             return [logs.Exported(log, told.exported.sink, told.exported.name, told.exported.digest)]
         case "over":
-            return [logs.Over(log, told.epoch)]
+            return [logs.LogFinished(log, told.epoch)]
     return []  # of a later release
 
 
@@ -251,7 +251,13 @@
             ),
             *(word for one in batch.logs for word in _log_words_of(one)),
             *(
-                logs.At((one.log.member, one.log.life), logs.Word(one.word), one.epoch, _place_of(one.last), one.part)
+                logs.ReplicaStatus(
+                    (one.log.member, one.log.life),
+                    logs.ReplicaVerdict(one.word),
+                    one.epoch,
+                    _place_of(one.last),
+                    one.part,
+                )
                 for one in batch.log_places
             ),
             *(PermitAsk(one.number, one.holds, one.done) for one in batch.permit_asks),
--- a/tests/replication/test_log_copies.py
+++ b/tests/replication/test_log_copies.py
@@ -85,21 +85,21 @@
 class VotesUnsure(HeldLogs):
     @staticmethod
     def _no_vote(word, epoch, last):
-        return logs.At(word.log, logs.Word.GRANTED, epoch, logs.NOWHERE)
+        return logs.ReplicaStatus(word.log, logs.ReplicaVerdict.GRANTED, epoch, logs.NO_POSITION)
 
     def _refused(self, by, log, held):
         told = super()._refused(by, log, held)
         return (
             told
             if held is not None
-            else [logs.Answer(by, self._no_vote(logs.Join(log, 0, logs.NOWHERE), 0, logs.NOWHERE))]
+            else [logs.Answer(by, self._no_vote(logs.Join(log, 0, logs.NO_POSITION), 0, logs.NO_POSITION))]
         )
 
 
 class TakesOldEpochs(HeldLogs):
     def asked(self, by, word):
         held = self.table.get(word.log)
-        if held is not None and isinstance(word, logs.Append | logs.Part):
+        if held is not None and isinstance(word, logs.Append | logs.SnapshotPart):
             held.promised, held.by = word.epoch, by
         return super().asked(by, word)
 
@@ -133,11 +133,11 @@
     log = ("n1", b"life")
     writer = LogWriter(log, 7, (7, 42), ("n4", "n5"), 1, 250.0, before=(6, 41))
     writer.reach("n5", True)
-    raised = writer.told(0.0, "n5", logs.At(log, logs.Word.OLD, 8, (7, 42)))
-    assert logs.Raised(9, (6, 41)) in raised
-    assert writer.told(1.0, "n5", logs.At(log, logs.Word.GRANTED, 9, (7, 42))) == []
+    raised = writer.told(0.0, "n5", logs.ReplicaStatus(log, logs.ReplicaVerdict.STALE_EPOCH, 8, (7, 42)))
+    assert logs.EpochRaised(9, (6, 41)) in raised
+    assert writer.told(1.0, "n5", logs.ReplicaStatus(log, logs.ReplicaVerdict.GRANTED, 9, (7, 42))) == []
     actions = writer.wrote(2.0, 43, ((1, b""),), False)
-    assert logs.Elected() in actions and logs.WholeWanted("n5") in actions
+    assert logs.Elected() in actions and logs.SnapshotNeeded("n5") in actions
 
 
 def test_a_holder_that_was_out_of_reach_when_a_ledger_ended_hears_of_it_when_it_is_back():
@@ -151,8 +151,10 @@
     assert not back.table[log].sure
     taker.over(log, 7)  # while no link stands between them
     told = taker.reach("n5")
-    assert told == [logs.Ask("n5", logs.Over(log, 7))] and taker.reach("n3") == []
-    assert back.asked("n2#1", told[0].word) == [logs.Forget(log, told[0].word.epoch)] and back.table[log].over
+    assert told == [logs.SendToHolder("n5", logs.LogFinished(log, 7))] and taker.reach("n3") == []
+    assert (
+        back.asked("n2#1", told[0].message) == [logs.MarkFinished(log, told[0].message.epoch)] and back.table[log].over
+    )
 
 
 def test_a_play_is_the_same_each_time():
--- a/tests/replication/test_unsure_copies.py
+++ b/tests/replication/test_unsure_copies.py
@@ -45,13 +45,13 @@
     def act(self, name, actions, reached=True):
         for action in actions:
             match action:
-                case logs.Ask(other, word) if reached and other in self.members:
+                case logs.SendToHolder(other, word) if reached and other in self.members:
                     for answer in self.members[other].asked(f"{name}#1", word):
                         if isinstance(answer, logs.Answer):
-                            self.act(name, self.members[name].told(other, answer.word))
-                case logs.Ask():
+                            self.act(name, self.members[name].told(other, answer.message))
+                case logs.SendToHolder():
                     pass
-                case logs.Taken() | logs.Lost():
+                case logs.TakenOver() | logs.AbandonLog():
                     self.done.append((name, action))
 
     def until(self, at_ms, reached=True):
@@ -63,36 +63,36 @@
 
 def test_copies_that_were_never_filled_are_let_go_once_their_writer_is_dead():
     holders = Holders()
-    holders.hold("n2", logs.NOWHERE, False)
-    holders.hold("n4", logs.NOWHERE, False)
+    holders.hold("n2", logs.NO_POSITION, False)
+    holders.hold("n4", logs.NO_POSITION, False)
     holders.until(PACE.take_over_ms)
     assert holders.done == []  # its writer may be away for a moment
     holders.until(PACE.take_over_ms + 5 * PACE.stagger_ms)
-    assert [(name, type(action)) for name, action in holders.done] == [("n2", logs.Lost), ("n4", logs.Lost)]
+    assert [(name, type(action)) for name, action in holders.done] == [("n2", logs.AbandonLog), ("n4", logs.AbandonLog)]
     assert all(not member.table for member in holders.members.values())
 
 
 def test_a_writer_that_comes_back_has_its_ledger_copied_again():
     holders = Holders()
-    holders.hold("n2", logs.NOWHERE, False)
+    holders.hold("n2", logs.NO_POSITION, False)
     holders.until(LATE_MS)
     joined = holders.members["n2"].asked("n1#2", logs.Join(LOG, 6, (5, 40)))
-    assert joined[-1].word.word is logs.Word.GRANTED
+    assert joined[-1].message.verdict is logs.ReplicaVerdict.GRANTED
 
 
 def test_an_empty_copy_whose_writer_writes_another_ledger_now_is_let_go_as_soon():
     holders = Holders()
     holders.alive.add("n1#2")
     holders.members["n2"].asked("n1#2", logs.Join(LOG, 6, (5, 40)))  # its disk refused to be filled
-    holders.members["n2"].asked("n1#2", logs.Join(("n1", b"new"), 7, logs.NOWHERE))
+    holders.members["n2"].asked("n1#2", logs.Join(("n1", b"new"), 7, logs.NO_POSITION))
     holders.until(PACE.take_over_ms + 5 * PACE.stagger_ms)
     ((name, lost),) = holders.done
-    assert name == "n2" and isinstance(lost, logs.Lost) and lost.log == LOG
+    assert name == "n2" and isinstance(lost, logs.AbandonLog) and lost.log == LOG
 
 
 def test_an_empty_copy_that_has_promised_the_ledger_to_another_stays_while_that_may_count():
     holders = Holders()
-    holders.hold("n2", logs.NOWHERE, False, by="n4#1")
+    holders.hold("n2", logs.NO_POSITION, False, by="n4#1")
     holders.until(PATIENCE_MS, reached=False)
     assert LOG in holders.members["n2"].table and holders.done == []
 
@@ -104,9 +104,9 @@
     holders.until(PATIENCE_MS)
     assert holders.done == []
     holders.until(LATE_MS * 3)
-    assert [(name, type(action)) for name, action in holders.done][:1] == [("n4", logs.Taken)]
+    assert [(name, type(action)) for name, action in holders.done][:1] == [("n4", logs.TakenOver)]
     taken = holders.done[0][1]
-    assert taken.last == (5, 44) and taken.without == ("n2",)
+    assert taken.last == (5, 44) and taken.missing_holders == ("n2",)
 
 
 def test_an_unsure_copy_never_goes_on_beside_one_that_is_sure():
@@ -117,7 +117,7 @@
     assert {name for name, _ in holders.done} <= {"n4"}
 
 
-@pytest.mark.parametrize("last", [logs.NOWHERE, (5, 40)])
+@pytest.mark.parametrize("last", [logs.NO_POSITION, (5, 40)])
 def test_an_unsure_copy_waits_for_a_holder_that_does_not_answer(last):
     holders = Holders()
     holders.hold("n2", last, False, by="n4#1")
@@ -130,7 +130,7 @@
 def test_an_unsure_copy_of_a_writer_that_lives_stays():
     holders = Holders()
     holders.alive.add("n1#1")
-    holders.hold("n2", logs.NOWHERE, False)
+    holders.hold("n2", logs.NO_POSITION, False)
     holders.until(LATE_MS)
     assert LOG in holders.members["n2"].table and holders.done == []
 
@@ -178,7 +178,7 @@
 
 
 def test_a_copy_whose_disk_cant_be_read_says_nothing_and_is_waited_for(beside_a_new_life):
-    beside_a_new_life.members["n4"].put_back(LOG, 5, "n1#1", logs.NOWHERE, False, False, known=False)
+    beside_a_new_life.members["n4"].put_back(LOG, 5, "n1#1", logs.NO_POSITION, False, False, known=False)
     beside_a_new_life.until(SOON_MS)
     assert beside_a_new_life.done == []
     beside_a_new_life.members["n4"].put_back(LOG, 5, "n1#1", (5, 41), True, False)  # it can be read again
@@ -188,28 +188,28 @@
 
 def test_a_copy_whose_disk_cant_be_read_is_not_let_go_as_if_it_held_nothing():
     holders = Holders()
-    holders.hold("n2", logs.NOWHERE, False)
-    holders.members["n2"].put_back(LOG, 5, "n1#1", logs.NOWHERE, False, False, known=False)
+    holders.hold("n2", logs.NO_POSITION, False)
+    holders.members["n2"].put_back(LOG, 5, "n1#1", logs.NO_POSITION, False, False, known=False)
     del holders.members["n4"]
     holders.until(LATE_MS, reached=False)
     assert holders.done == [] and LOG in holders.members["n2"].table
 
 
 def test_a_copy_that_can_never_be_read_takes_nothing_over_and_drops_nothing(beside_a_new_life):
-    beside_a_new_life.hold("n4", logs.NOWHERE, False, by="n2#0")
-    beside_a_new_life.members["n2"].put_back(LOG, 5, "n1#1", logs.NOWHERE, False, False, known=False)
+    beside_a_new_life.hold("n4", logs.NO_POSITION, False, by="n2#0")
+    beside_a_new_life.members["n2"].put_back(LOG, 5, "n1#1", logs.NO_POSITION, False, False, known=False)
     beside_a_new_life.until(LATE_MS * 3)
     assert "n2" not in {name for name, _ in beside_a_new_life.done}
     assert LOG in beside_a_new_life.members["n2"].table
 
 
 def test_a_copy_that_can_never_be_read_is_not_waited_for_for_ever(beside_a_new_life):
-    beside_a_new_life.members["n4"].put_back(LOG, 5, "n1#1", logs.NOWHERE, False, False, known=False)
+    beside_a_new_life.members["n4"].put_back(LOG, 5, "n1#1", logs.NO_POSITION, False, False, known=False)
     beside_a_new_life.until(PATIENCE_MS)
     assert beside_a_new_life.done == []
     beside_a_new_life.until(LATE_MS * 3)
     ((name, taken),) = beside_a_new_life.done
-    assert name == "n2" and taken.without == ("n1", "n4")
+    assert name == "n2" and taken.missing_holders == ("n1", "n4")
 
 
 def test_a_copy_that_could_not_be_read_can_be_once_its_writer_has_filled_it():
@@ -217,10 +217,10 @@
     holders.alive.add("n1#1")
     member = holders.members["n2"]
     holders.hold("n2", (5, 40), True)
-    member.put_back(LOG, 5, "n1#1", logs.NOWHERE, False, False, known=False)
+    member.put_back(LOG, 5, "n1#1", logs.NO_POSITION, False, False, known=False)
     joined = member.asked("n1#1", logs.Join(LOG, 5, (5, 44)))
-    assert joined[-1].word.word is logs.Word.GRANTED and joined[-1].word.last == logs.NOWHERE
-    member.asked("n1#1", logs.Part(LOG, 5, (5, 44), 0, False, b"whole"))
+    assert joined[-1].message.verdict is logs.ReplicaVerdict.GRANTED and joined[-1].message.last == logs.NO_POSITION
+    member.asked("n1#1", logs.SnapshotPart(LOG, 5, (5, 44), 0, False, b"whole"))
     held = member.table[LOG]
     assert (held.known, held.sure, held.last) == (True, True, (5, 44))
 
--- a/tests/replication/test_use_copies_refusals.py
+++ b/tests/replication/test_use_copies_refusals.py
@@ -101,11 +101,11 @@
     def life(self):
         """A copy's whole life: joined, filled, written, noted, promised anew, over; and again what was refused."""
         yield logs.Join(LOG, EPOCH, (EPOCH, 1))
-        yield logs.Part(LOG, EPOCH, (EPOCH, 1), 0, False, whole())
+        yield logs.SnapshotPart(LOG, EPOCH, (EPOCH, 1), 0, False, whole())
         yield logs.Append(LOG, EPOCH, 2, (TURNED,))
         yield logs.Exported(LOG, "folder", "n1.e5.20260101T000000.000Z.r0.usage", b"d" * 32)
         yield logs.Join(LOG, EPOCH + 1, (EPOCH, 2))
-        yield logs.Over(LOG, EPOCH + 1)
+        yield logs.LogFinished(LOG, EPOCH + 1)
 
 
 def operations_of_a_life():
@@ -138,11 +138,11 @@
         holder.asked(word)
     holder.files.refuse = {}
     joined = holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 2)))
-    if joined.word is logs.Word.NO_VOTE:  # it is asked again
+    if joined.verdict is logs.ReplicaVerdict.NO_VOTE:  # it is asked again
         joined = holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 2)))
-    assert joined.word is logs.Word.GRANTED
+    assert joined.verdict is logs.ReplicaVerdict.GRANTED
     if joined.last != (EPOCH, 2):
-        holder.asked(logs.Part(LOG, EPOCH, (EPOCH, 1), 0, False, whole()))
+        holder.asked(logs.SnapshotPart(LOG, EPOCH, (EPOCH, 1), 0, False, whole()))
         holder.asked(logs.Append(LOG, EPOCH, 2, (TURNED,)))
     holder.in_step()
     held = holder.copies.holder.held_logs.table[LOG]
@@ -158,7 +158,7 @@
     assert holder.asked(raised) is None
     assert holder.asked(raised) is None  # nothing was kept of it
     holder.files.refuse = {}
-    assert holder.asked(raised).word is logs.Word.GRANTED
+    assert holder.asked(raised).verdict is logs.ReplicaVerdict.GRANTED
     state = dict(on_disk.stands(holder.files, holder.copies.holder.folder)).popitem()[1]
     assert (state.promised, state.by) == (EPOCH + 1, WRITER)
 
@@ -168,9 +168,9 @@
     holder.files.refuse = {holder.files.count + place: errno.ENOSPC for place in range(1, 1000)}
     assert holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 1))) is None
     assert holder.copies.holder.held_logs.table == {} and holder.copies.holder.replicas == {}
-    assert holder.asked(logs.Append(LOG, EPOCH, 2, (TURNED,))).word is logs.Word.NO_VOTE
+    assert holder.asked(logs.Append(LOG, EPOCH, 2, (TURNED,))).verdict is logs.ReplicaVerdict.NO_VOTE
     holder.files.refuse = {}
-    assert holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 1))).word is logs.Word.GRANTED
+    assert holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 1))).verdict is logs.ReplicaVerdict.GRANTED
 
 
 def test_a_start_that_the_disk_refused_half_way_opens_its_copies_at_the_next_try():
@@ -210,11 +210,11 @@
         holder.now += 50.0
         holder.answers.clear()
         holder.copies.tick()
-        told += [one for one in holder.answers if isinstance(one, logs.At)]
-    assert [(one.word, one.epoch) for one in told] == [(logs.Word.GAP, EPOCH)]
+        told += [one for one in holder.answers if isinstance(one, logs.ReplicaStatus)]
+    assert [(one.verdict, one.epoch) for one in told] == [(logs.ReplicaVerdict.GAP, EPOCH)]
     writer = LogWriter(LOG, EPOCH, (EPOCH, 2), ("n2", "n3"), 1, 250.0, None)
     writer.copies["n2"].up, writer.copies["n2"].state = True, State.FOLLOWING
-    assert writer.told(holder.now, "n2", told[0]) == [logs.WholeWanted("n2")]
+    assert writer.told(holder.now, "n2", told[0]) == [logs.SnapshotNeeded("n2")]
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 5, 1000])
@@ -230,17 +230,17 @@
         holder.now += 50.0
         holder.answers.clear()
         holder.copies.tick()
-        asked = [one for one in holder.answers if isinstance(one, logs.Join) and one.takes]
+        asked = [one for one in holder.answers if isinstance(one, logs.Join) and one.takes_over]
     holder.answers.clear()
     holder.files.refuse = {holder.files.count + place: errno.ENOSPC for place in range(1, count + 1)}
-    holder.copies.answered("n3", logs.At(LOG, logs.Word.GRANTED, asked[0].epoch, (EPOCH, 2)))
+    holder.copies.answered("n3", logs.ReplicaStatus(LOG, logs.ReplicaVerdict.GRANTED, asked[0].epoch, (EPOCH, 2)))
     holder.now += 50.0
     holder.copies.tick()
     holder.files.refuse = {}
     for _ in range(10):
         holder.now += 50.0
         holder.copies.tick()
-    joins = [one for one in holder.answers if isinstance(one, logs.Join) and not one.takes]
+    joins = [one for one in holder.answers if isinstance(one, logs.Join) and not one.takes_over]
     assert {one.epoch for one in joins} == {asked[0].epoch}
     taken = holder.copies.taken.table[LOG]
     assert taken.writer.last == taken.replica.last
@@ -278,7 +278,7 @@
     other = "n1", b"m" * 16
     joined = holder.asked(logs.Join(other, EPOCH, (EPOCH, 1)))
     holder.in_step()
-    assert joined.word is logs.Word.GRANTED
+    assert joined.verdict is logs.ReplicaVerdict.GRANTED
 
 
 @pytest.mark.anyio
@@ -293,7 +293,9 @@
     life.files.refuse = {life.files.count + place: errno.ENOSPC for place in range(1, count + 1)}
     writer = holder.copies.writer
     holder.copies.reach("n2", True)
-    holder.copies.answered("n2", logs.At(writer.log, logs.Word.AHEAD, writer.epoch, (writer.epoch + 1, 9)))
+    holder.copies.answered(
+        "n2", logs.ReplicaStatus(writer.log, logs.ReplicaVerdict.AHEAD, writer.epoch, (writer.epoch + 1, 9))
+    )
     life.files.refuse = {}
     for _ in range(3):
         holder.now += 50.0
@@ -320,7 +322,7 @@
     holder.asked(promised)
     assert not held.table[LOG].sure
     holder.copies.asked(WRITER, logs.Join(LOG, EPOCH + 1, (EPOCH, 2)))
-    holder.copies.asked(WRITER, logs.Part(LOG, EPOCH + 1, (EPOCH + 1, 1), 0, False, whole()))
+    holder.copies.asked(WRITER, logs.SnapshotPart(LOG, EPOCH + 1, (EPOCH + 1, 1), 0, False, whole()))
     assert held.table[LOG].sure  # filled anew
     holder.files.refuse[holder.files.count + 1] = errno.EIO
     holder.asked(logs.Join(LOG, EPOCH + 2, (EPOCH + 1, 1)))
