--- a/flintshift/lab/logs_model.py
+++ b/flintshift/lab/logs_model.py
@@ -140,7 +140,7 @@
         elif isinstance(word, logs.ReplicaStatus):
             writer = machine.writers.get(word.log)
             if writer is not None:
-                self._write(machine, writer, writer.told(self.now, source, word))
+                self._write(machine, writer, writer.handle_status(self.now, source, word))
             else:
                 self._hold(machine, machine.heart.told(source, word))
         else:
@@ -154,7 +154,7 @@
                 for writer in list(machine.writers.values()):
                     self._write(machine, writer, writer.tick(self.now))
                     if self.draw.random() < 0.2:
-                        self._write(machine, writer, writer.again())
+                        self._write(machine, writer, writer.rejoin_replicas())
 
     def settle(self) -> None:
         """All are up and hear each other; deliver all, and let time pass."""
@@ -174,14 +174,14 @@
 
     def _reach(self, machine: Machine, member: str, up: bool) -> None:
         for writer in list(machine.writers.values()):
-            self._write(machine, writer, writer.reach(member, up))
+            self._write(machine, writer, writer.set_reachable(member, up))
 
     def _append(self, machine: Machine, log: LogId, records: Records, kind: int, payload: bytes) -> None:
         writer = machine.writers[log]
         records.append((writer.epoch, kind, payload))
         if log != machine.own:
             machine.heart.table[log].last = place(records)
-        self._write(machine, writer, writer.wrote(self.now, len(records), ((kind, payload),), kind == 1))
+        self._write(machine, writer, writer.handle_written(self.now, len(records), ((kind, payload),), kind == 1))
 
     def _write(self, machine: Machine, writer: LogWriter, actions: list[logs.WriterAction]) -> None:
         own = writer.log == machine.own
@@ -191,7 +191,7 @@
                 case logs.SendTo(member, word):
                     self.sent.append((machine.identity, member, word))
                 case logs.SnapshotNeeded(member):
-                    self._write(machine, writer, writer.whole(member, msgspec.msgpack.encode(records)))
+                    self._write(machine, writer, writer.send_snapshot(member, msgspec.msgpack.encode(records)))
                 case logs.Replicated(upto) if upto <= len(records):
                     self._now_held(machine, writer, records[: int(upto)])
                 case logs.Elected():
@@ -245,7 +245,7 @@
                     self._append(machine, log, machine.disk[log].records, TAKEN, machine.identity.encode())
                     for other in self.machines.values():
                         if other.up and other is not machine:
-                            self._write(machine, writer, writer.reach(other.name, True))
+                            self._write(machine, writer, writer.set_reachable(other.name, True))
                 case logs.MarkFinished(log):
                     machine.disk[log].over = True
                 case logs.AbandonLog(log) | logs.DeleteReplica(log):
--- a/flintshift/lifecycle/taken_ledgers.py
+++ b/flintshift/lifecycle/taken_ledgers.py
@@ -130,12 +130,12 @@
         )
         taken.opened = True
         for member in self.up:
-            self.write(writer, writer.reach(member, True))
+            self.write(writer, writer.set_reachable(member, True))
 
     def _append(self, taken: TakenLedger, *entries: Entry) -> None:
         first, items = taken.replica.write(*entries)
         self.copies.held_logs.table[taken.writer.log].last = taken.replica.last
-        self.write(taken.writer, taken.writer.wrote(self.now_ms(), first, tuple(items), False))
+        self.write(taken.writer, taken.writer.handle_written(self.now_ms(), first, tuple(items), False))
 
     def _go_on(self, log: LogId) -> None:
         """Close what is open, export it, and be done with it."""
@@ -149,7 +149,9 @@
             if isinstance(action, Append):
                 self._append(taken, action.entry)
         made = list(ledger.book.state.documents)
-        if made and writer.held >= writer.last[1]:  # nobody exports what another may close in another way
+        if (
+            made and writer.replicated_sequence >= writer.last[1]
+        ):  # nobody exports what another may close in another way
             self._append(taken, Published(ledger.write_documents(made)))
             taken.look()
         if taken.exporting is None and self.sinks and self.tasks is not None and not taken.waits:
@@ -158,11 +160,11 @@
         if (
             self.sinks
             and not taken.waits
-            and writer.held >= writer.last[1]
+            and writer.replicated_sequence >= writer.last[1]
             and not any(unacknowledged(self.files, taken.replica.folder, self.sinks).values())
         ):
             self.log("info", "usage.takeover_done", ledger=log[0], life=log[1].hex(), epoch=writer.epoch)
-            for member in writer.copies:
+            for member in writer.replicas:
                 self.send(member, logs.LogFinished(log, writer.epoch))
             self.copies.hold(self.copies.held_logs.over(log, writer.epoch))
 
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -73,7 +73,7 @@
     @property
     def held(self) -> float:
         assert self.writer is not None
-        return math.inf if self.writer.in_gap or not self.writer.needed else self.writer.held
+        return math.inf if self.writer.in_gap or not self.writer.needed_acks else self.writer.replicated_sequence
 
     @property
     def in_gap(self) -> bool:
@@ -81,19 +81,19 @@
 
     def stands(self, sequence: int) -> bool:
         assert self.writer is not None
-        return not self.writer.fenced and (self.writer.held >= sequence or not self.writer.needed)
+        return not self.writer.fenced and (self.writer.replicated_sequence >= sequence or not self.writer.needed_acks)
 
     def wrote(self, first: int, items: list[tuple[int, bytes]], answers: bool) -> None:
         assert self.writer is not None
         if not self.writer.fenced:
-            self._write(self.writer, self.writer.wrote(self.now_ms(), first, tuple(items), answers))
+            self._write(self.writer, self.writer.handle_written(self.now_ms(), first, tuple(items), answers))
 
     def exported(self, sink: str, name: str, digest: bytes) -> None:
         if self.writer is not None:
             self._tell_exported(self.writer, sink, name, digest)
 
     def _tell_exported(self, writer: LogWriter, sink: str, name: str, digest: bytes) -> None:
-        for member in writer.copies:
+        for member in writer.replicas:
             self.send(member, logs.Exported(writer.log, sink, name, digest))
 
     # Between members.
@@ -101,7 +101,7 @@
     def reach(self, member: str, up: bool) -> None:
         (self.up.add if up else self.up.discard)(member)
         for writer in self._writers():
-            self._write(writer, writer.reach(member, up))
+            self._write(writer, writer.set_reachable(member, up))
         if up:
             self.holder.hold(self.holder.held_logs.reach(member))
 
@@ -112,7 +112,7 @@
     def answered(self, member: str, at: logs.ReplicaStatus) -> None:
         for writer in self._writers():
             if writer.log == at.log:
-                self._write(writer, writer.told(self.now_ms(), member, at))
+                self._write(writer, writer.handle_status(self.now_ms(), member, at))
                 return
         self.holder.hold(self.holder.held_logs.told(member, at))
 
@@ -130,7 +130,7 @@
         for writer in self._writers():
             self._write(writer, writer.tick(now, self._due_ms() if writer is self.writer else math.inf))
             if again:
-                self._write(writer, writer.again())
+                self._write(writer, writer.rejoin_replicas())
         if again:
             self.again_ms = now
             self.holder.read_again()
@@ -158,7 +158,7 @@
                 case logs.SnapshotNeeded(member):
                     self.counters.add("usage.copies_filled")
                     try:
-                        self._write(writer, writer.whole(member, self._whole(writer)))
+                        self._write(writer, writer.send_snapshot(member, self._whole(writer)))
                     except OSError as error:
                         self.log("error", "usage.copy_not_filled", name=member, cause=str(error))
                 case logs.Replicated():
@@ -184,7 +184,7 @@
                         "usage.copied",
                         life=writer.log[1].hex(),
                         epoch=writer.epoch,
-                        holders=[name for name, copy in writer.copies.items() if copy.granted is not None],
+                        holders=[name for name, copy in writer.replicas.items() if copy.grant is not None],
                     )
                 case logs.EpochRaised(epoch) if own:
                     self._stand(writer, False)
@@ -209,7 +209,7 @@
         next start and is taken over: no harm is done."""
         try:
             on_disk.keep_standing(
-                self.files, self.usage.folder, on_disk.Standing(writer.log[1], *writer.before, elected)
+                self.files, self.usage.folder, on_disk.Standing(writer.log[1], *writer.elected_position, elected)
             )
         except OSError as error:
             self.log("error", "usage.copy_refused", ledger=self.name, cause=str(error))
@@ -241,7 +241,7 @@
             "usage.fenced",
             cause=cause,
             folder=str(self.aside),
-            records_not_held=max(0, before.book.state.sequence - writer.held),
+            records_not_held=max(0, before.book.state.sequence - writer.replicated_sequence),
             then="a ledger of its own begins; what stands in that folder is for people to look at",
         )
         self.fence, self.aside, self.not_begun = None, None, ""
@@ -250,7 +250,7 @@
         ledger.begin_anew(folder)
         for member in self.up:
             assert self.writer is not None
-            self._write(self.writer, self.writer.reach(member, True))
+            self._write(self.writer, self.writer.set_reachable(member, True))
 
     def _not_begun(self, cause: str) -> None:
         """Tell each cause once, not with each try."""
@@ -277,10 +277,10 @@
                     "life": writer.log[1].hex(),
                     "epoch": writer.epoch,
                     "records": writer.last[1],
-                    "held": writer.held,
+                    "held": writer.replicated_sequence,
                     "in_gap": writer.in_gap,
                     "role": "writes" if writer is self.writer else "took over",
-                    "copies": {name: copy.state.name.lower() for name, copy in writer.copies.items()},
+                    "copies": {name: copy.state.name.lower() for name, copy in writer.replicas.items()},
                 }
             )
         for log, held in self.holder.held_logs.table.items():
--- a/flintshift/replication/log_writer.py
+++ b/flintshift/replication/log_writer.py
@@ -33,7 +33,7 @@
 WINDOW = 20_000  # records that a copy has not acknowledged; past that it is filled anew
 
 
-class State(IntEnum):
+class ReplicaState(IntEnum):
     AWAY = 0
     JOINING = 1
     FILLING = 2
@@ -44,19 +44,19 @@
 class Copy:
     """What the writer knows of one."""
 
-    state: State = State.AWAY
+    state: ReplicaState = ReplicaState.AWAY
     at: int = 0  # the last sequence that it holds under this epoch
     parts: list[SnapshotPart] = field(default_factory=list)
     behind: deque[Append] = field(default_factory=deque)  # that came while it is filled
     waiting: int = 0  # records in those
-    up: bool = False
-    granted: ReplicaStatus | None = None  # the epoch of now, to this process
+    reachable: bool = False
+    grant: ReplicaStatus | None = None  # the epoch of now, to this process
     asked: bool = False  # since the last look, so that one which does not answer is asked again
 
 
 class LogWriter:
-    """``others`` hold copies; of them ``needed`` make a majority with this one. ``held_ms``: an answer waits no longer
-    for them. ``before``: the last record of the last time that it was elected; None: it took the log over, elected."""
+    """``others`` hold copies; of them ``needed_acks`` make a majority with this one. ``held_ms``: an answer waits no longer
+    for them. ``elected_position``: the last record of the last time that it was elected; None: it took the log over, elected."""
 
     def __init__(
         self,
@@ -64,15 +64,15 @@
         epoch: int,
         last: LogPosition,
         others: tuple[str, ...],
-        needed: int,
+        needed_acks: int,
         held_ms: float,
-        before: LogPosition | None,
+        elected_position: LogPosition | None,
     ) -> None:
-        self.log, self.epoch, self.last, self.needed, self.held_ms = log, epoch, last, needed, held_ms
-        self.takes = self.elected = before is None
-        self.before = last if before is None else before
-        self.copies = {name: Copy() for name in others}
-        self.held = 0
+        self.log, self.epoch, self.last, self.needed_acks, self.held_ms = log, epoch, last, needed_acks, held_ms
+        self.takes = self.elected = elected_position is None
+        self.elected_position = last if elected_position is None else elected_position
+        self.replicas = {name: Copy() for name in others}
+        self.replicated_sequence = 0
         self.waiting_ms = math.inf  # since when somebody waits for a majority
         self.awaited = 0  # the last record that somebody waits for
         self.gap_ms: float | None = None
@@ -82,24 +82,24 @@
     def in_gap(self) -> bool:
         return self.gap_ms is not None
 
-    def reach(self, member: str, up: bool) -> list[WriterAction]:
-        copy = self.copies.get(member)
+    def set_reachable(self, member: str, up: bool) -> list[WriterAction]:
+        copy = self.replicas.get(member)
         if copy is None or self.fenced:
             return []
         self._away(copy)
-        copy.up = up
+        copy.reachable = up
         if not up:
             return []
-        copy.state, copy.asked = State.JOINING, True
-        return [SendTo(member, Join(self.log, self.epoch, self.last if self.elected else self.before))]
+        copy.state, copy.asked = ReplicaState.JOINING, True
+        return [SendTo(member, Join(self.log, self.epoch, self.last if self.elected else self.elected_position))]
 
     @staticmethod
     def _away(copy: Copy) -> None:
-        copy.state, copy.at, copy.waiting, copy.granted = State.AWAY, 0, 0, None
+        copy.state, copy.at, copy.waiting, copy.grant = ReplicaState.AWAY, 0, 0, None
         copy.parts.clear()
         copy.behind.clear()
 
-    def wrote(self, now_ms: float, first: int, records: tuple[Record, ...], waits: bool) -> list[WriterAction]:
+    def handle_written(self, now_ms: float, first: int, records: tuple[Record, ...], waits: bool) -> list[WriterAction]:
         """These stand in the writer's own log. ``waits``: somebody is to be answered once a majority has them."""
         begins = self.last[0] != self.epoch
         self.last = self.epoch, first + len(records) - 1
@@ -108,38 +108,38 @@
         if waits:
             self.awaited = self.last[1]
         word, actions = Append(self.log, self.epoch, first, records), list[WriterAction]()
-        for member, copy in self.copies.items():
-            if copy.state is State.FOLLOWING:
+        for member, copy in self.replicas.items():
+            if copy.state is ReplicaState.FOLLOWING:
                 if self.last[1] - copy.at > WINDOW:  # it does not keep up: it is filled once it answers
-                    copy.state = State.JOINING
+                    copy.state = ReplicaState.JOINING
                 else:
                     actions.append(SendTo(member, word))
-            elif copy.state is State.FILLING:
+            elif copy.state is ReplicaState.FILLING:
                 copy.behind.append(word)
                 copy.waiting += len(records)
                 if copy.waiting > WINDOW:
                     self._away(copy)
-                    copy.state = State.JOINING
-        if begins:  # copies may have granted the epoch before its first record was written
-            for member, copy in self.copies.items():
-                if copy.granted is not None and copy.state is State.JOINING:
-                    actions += self.told(now_ms, member, copy.granted)
+                    copy.state = ReplicaState.JOINING
+        if begins:  # copies may have granted the epoch elected_position its first record was written
+            for member, copy in self.replicas.items():
+                if copy.grant is not None and copy.state is ReplicaState.JOINING:
+                    actions += self.handle_status(now_ms, member, copy.grant)
         return actions
 
-    def whole(self, member: str, data: bytes) -> list[WriterAction]:
+    def send_snapshot(self, member: str, data: bytes) -> list[WriterAction]:
         """All that a copy needs to go on from this process's last record."""
-        copy = self.copies[member]
+        copy = self.replicas[member]
         pieces = [data[at : at + PART_BYTES] for at in range(0, max(len(data), 1), PART_BYTES)]
         copy.parts = [
             SnapshotPart(self.log, self.epoch, self.last, number, number < len(pieces) - 1, piece)
             for number, piece in enumerate(pieces)
         ]
-        copy.state = State.FILLING
+        copy.state = ReplicaState.FILLING
         return [SendTo(member, copy.parts[0])]
 
-    def told(self, now_ms: float, member: str, at: ReplicaStatus) -> list[WriterAction]:
-        copy = self.copies.get(member)
-        if copy is None or self.fenced or not copy.up:
+    def handle_status(self, now_ms: float, member: str, at: ReplicaStatus) -> list[WriterAction]:
+        copy = self.replicas.get(member)
+        if copy is None or self.fenced or not copy.reachable:
             return []
         copy.asked = True
         match at.verdict:
@@ -152,61 +152,63 @@
             case ReplicaVerdict.FINISHED:
                 return self._fence(f"{member} says that all of it was exported")
             case ReplicaVerdict.FULL | ReplicaVerdict.NO_VOTE:
-                copy.state = State.AWAY
+                copy.state = ReplicaState.AWAY
                 return []
         if at.epoch != self.epoch:
             return []
         if self.last[0] != self.epoch:
-            copy.granted = at  # it counts once this process's first record of the epoch is written
+            copy.grant = at  # it counts once this process's first record of the epoch is written
             return []
         if not self.elected:
             return self._granted(now_ms, copy, at)
         return self._follows(now_ms, member, copy, at)
 
     def _granted(self, now_ms: float, copy: Copy, at: ReplicaStatus) -> list[WriterAction]:
-        copy.granted = at
-        granted = {name: one.granted for name, one in self.copies.items() if one.granted is not None}
-        # A copy without a word may have lost what another wrote meanwhile: it counts if none was before, or all tell.
+        copy.grant = at
+        granted = {name: one.grant for name, one in self.replicas.items() if one.grant is not None}
+        # A copy without a word may have lost what another wrote meanwhile: it counts if none was elected_position, or all tell.
         sure = sum(told.last != NO_POSITION for told in granted.values())
-        if (len(granted) if self.before == NO_POSITION else sure) < self.needed and len(granted) < len(self.copies):
+        if (len(granted) if self.elected_position == NO_POSITION else sure) < self.needed_acks and len(granted) < len(
+            self.replicas
+        ):
             return []
         self.elected = True
         actions: list[WriterAction] = [Elected()]
         for member, told in granted.items():
-            actions += self._follows(now_ms, member, self.copies[member], told)
+            actions += self._follows(now_ms, member, self.replicas[member], told)
         return actions
 
     def _follows(self, now_ms: float, member: str, copy: Copy, at: ReplicaStatus) -> list[WriterAction]:
-        if at.verdict is ReplicaVerdict.GAP and copy.state is State.FOLLOWING:
+        if at.verdict is ReplicaVerdict.GAP and copy.state is ReplicaState.FOLLOWING:
             return [SnapshotNeeded(member)]
-        if copy.state is State.FILLING:
+        if copy.state is ReplicaState.FILLING:
             if at.last[0] != self.epoch or at.parts_received:
                 return (
                     [SendTo(member, copy.parts[at.parts_received])] if 0 < at.parts_received < len(copy.parts) else []
                 )
             sends = [SendTo(member, word) for word in copy.behind]
             self._away(copy)
-            copy.state, copy.at = State.FOLLOWING, at.last[1]
+            copy.state, copy.at = ReplicaState.FOLLOWING, at.last[1]
             return [*sends, *self._count(now_ms)]
-        if at.last[0] == self.epoch and copy.state is State.FOLLOWING:
+        if at.last[0] == self.epoch and copy.state is ReplicaState.FOLLOWING:
             copy.at = max(copy.at, at.last[1])
             return self._count(now_ms)
-        if copy.state is State.JOINING and at.last == self.last and at.last[0] == self.epoch:
-            copy.state, copy.at = State.FOLLOWING, at.last[1]
+        if copy.state is ReplicaState.JOINING and at.last == self.last and at.last[0] == self.epoch:
+            copy.state, copy.at = ReplicaState.FOLLOWING, at.last[1]
             return self._count(now_ms)
         return [SnapshotNeeded(member)]
 
     def _raise(self, promised: int) -> list[WriterAction]:
         """A takeover was begun and came to nothing, as far as this process knows."""
         if promised < self.epoch:
-            return []  # told before this process raised it last
+            return []  # told elected_position this process raised it last
         if self.elected:
-            self.before, self.elected = self.last, False
+            self.elected_position, self.elected = self.last, False
         self.epoch = promised + 1
-        actions: list[WriterAction] = [EpochRaised(self.epoch, self.before)]
-        for member, copy in self.copies.items():
-            if copy.up:
-                actions += self.reach(member, True)
+        actions: list[WriterAction] = [EpochRaised(self.epoch, self.elected_position)]
+        for member, copy in self.replicas.items():
+            if copy.reachable:
+                actions += self.set_reachable(member, True)
         return actions
 
     def _fence(self, cause: str) -> list[WriterAction]:
@@ -214,13 +216,15 @@
         return [Fenced(cause)]
 
     def _count(self, now_ms: float) -> list[WriterAction]:
-        places = sorted((copy.at for copy in self.copies.values() if copy.state is State.FOLLOWING), reverse=True)
-        if len(places) < self.needed:
+        places = sorted(
+            (copy.at for copy in self.replicas.values() if copy.state is ReplicaState.FOLLOWING), reverse=True
+        )
+        if len(places) < self.needed_acks:
             return []
-        upto = places[self.needed - 1] if self.needed else self.last[1]
-        if upto <= self.held:
+        upto = places[self.needed_acks - 1] if self.needed_acks else self.last[1]
+        if upto <= self.replicated_sequence:
             return []
-        self.held = upto
+        self.replicated_sequence = upto
         self.waiting_ms = now_ms if upto < self.awaited else math.inf
         actions: list[WriterAction] = [Replicated(upto)]
         if self.gap_ms is not None and upto >= self.last[1]:
@@ -228,12 +232,12 @@
             self.gap_ms = None
         return actions
 
-    def again(self) -> list[WriterAction]:
+    def rejoin_replicas(self) -> list[WriterAction]:
         """At times, some seconds apart: whoever is in reach and does not follow is asked anew."""
         actions: list[WriterAction] = []
-        for member, copy in self.copies.items():
-            if copy.up and copy.state is not State.FOLLOWING and not copy.asked:
-                actions += self.reach(member, True)
+        for member, copy in self.replicas.items():
+            if copy.reachable and copy.state is not ReplicaState.FOLLOWING and not copy.asked:
+                actions += self.set_reachable(member, True)
             copy.asked = False
         return actions
 
@@ -243,10 +247,10 @@
         if self.gap_ms is not None or self.fenced or (waited_ms < self.held_ms and now_ms < due_ms):
             return []
         self.gap_ms = now_ms
-        following = [name for name, copy in self.copies.items() if copy.state is State.FOLLOWING]
+        following = [name for name, copy in self.replicas.items() if copy.state is ReplicaState.FOLLOWING]
         return [
             GapBegan(
-                f"of {len(following)} copies that follow ({self.needed} must answer) too few did within "
+                f"of {len(following)} copies that follow ({self.needed_acks} must answer) too few did within "
                 f"{max(waited_ms, 0.0):.0f} ms, and answers were due"
             ),
             Replicated(math.inf),
--- a/flintshift/replication/logs.py
+++ b/flintshift/replication/logs.py
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotNeeded:
-    """Hand in all that a copy needs, by ``LogWriter.whole``."""
+    """Hand in all that a copy needs, by ``LogWriter.send_snapshot``."""
 
     member: str
 
--- a/tests/replication/test_log_copies.py
+++ b/tests/replication/test_log_copies.py
@@ -106,11 +106,11 @@
 
 class ShowsAnEpochThatNobodyGranted(LogWriter):
     @property
-    def before(self):
+    def elected_position(self):
         return self.last
 
-    @before.setter
-    def before(self, place):
+    @elected_position.setter
+    def elected_position(self, place):
         pass
 
 
@@ -131,12 +131,12 @@
 def test_an_epoch_that_was_granted_before_its_first_record_counts_with_that_record():
     """Asked again only after seconds, the copies would follow so much later, and what is booked meanwhile has none."""
     log = ("n1", b"life")
-    writer = LogWriter(log, 7, (7, 42), ("n4", "n5"), 1, 250.0, before=(6, 41))
-    writer.reach("n5", True)
-    raised = writer.told(0.0, "n5", logs.ReplicaStatus(log, logs.ReplicaVerdict.STALE_EPOCH, 8, (7, 42)))
+    writer = LogWriter(log, 7, (7, 42), ("n4", "n5"), 1, 250.0, elected_position=(6, 41))
+    writer.set_reachable("n5", True)
+    raised = writer.handle_status(0.0, "n5", logs.ReplicaStatus(log, logs.ReplicaVerdict.STALE_EPOCH, 8, (7, 42)))
     assert logs.EpochRaised(9, (6, 41)) in raised
-    assert writer.told(1.0, "n5", logs.ReplicaStatus(log, logs.ReplicaVerdict.GRANTED, 9, (7, 42))) == []
-    actions = writer.wrote(2.0, 43, ((1, b""),), False)
+    assert writer.handle_status(1.0, "n5", logs.ReplicaStatus(log, logs.ReplicaVerdict.GRANTED, 9, (7, 42))) == []
+    actions = writer.handle_written(2.0, 43, ((1, b""),), False)
     assert logs.Elected() in actions and logs.SnapshotNeeded("n5") in actions
 
 
--- a/tests/replication/test_use_copies_refusals.py
+++ b/tests/replication/test_use_copies_refusals.py
@@ -29,7 +29,7 @@
 from flintshift.lifecycle.use_copies import AGAIN_MS, UseCopies
 from flintshift.replication import logs
 from flintshift.replication.log_holders import HolderPace
-from flintshift.replication.log_writer import LogWriter, State
+from flintshift.replication.log_writer import LogWriter, ReplicaState
 from flintshift.replication.placement import Placement
 from flintshift.settings.options import CopiesOptions, UsageOptions
 from flintshift.usage import replica as on_disk
@@ -213,8 +213,8 @@
         told += [one for one in holder.answers if isinstance(one, logs.ReplicaStatus)]
     assert [(one.verdict, one.epoch) for one in told] == [(logs.ReplicaVerdict.GAP, EPOCH)]
     writer = LogWriter(LOG, EPOCH, (EPOCH, 2), ("n2", "n3"), 1, 250.0, None)
-    writer.copies["n2"].up, writer.copies["n2"].state = True, State.FOLLOWING
-    assert writer.told(holder.now, "n2", told[0]) == [logs.SnapshotNeeded("n2")]
+    writer.replicas["n2"].reachable, writer.replicas["n2"].state = True, ReplicaState.FOLLOWING
+    assert writer.handle_status(holder.now, "n2", told[0]) == [logs.SnapshotNeeded("n2")]
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 5, 1000])
