--- a/flintshift/lab/logs_model.py
+++ b/flintshift/lab/logs_model.py
@@ -15,12 +15,12 @@
 import msgspec
 
 from flintshift.replication import logs
-from flintshift.replication.log_holders import HeldLogs, HolderPace
+from flintshift.replication.log_holders import HolderConfig, LogReplicas
 from flintshift.replication.log_writer import LogWriter
 from flintshift.replication.logs import LogId, Record
 from flintshift.replication.placement import Placement
 
-PACE = HolderPace(take_over_ms=1000.0, stagger_ms=200.0, again_ms=500.0)
+PACE = HolderConfig(takeover_delay_ms=1000.0, stagger_ms=200.0, retry_ms=500.0)
 NOTHING = 99  # the kind of a record without content
 TAKEN = 98  # of the first record of a takeover
 
@@ -51,7 +51,7 @@
     elected: bool = True
     disk: dict[LogId, Copy] = field(default_factory=dict)
     writers: dict[LogId, LogWriter] = field(default_factory=dict)
-    heart: HeldLogs = field(init=False)
+    heart: LogReplicas = field(init=False)
 
     @property
     def identity(self) -> str:
@@ -63,7 +63,7 @@
         self,
         halls: dict[str, str],
         seed: int,
-        holder: Callable[..., HeldLogs] = HeldLogs,
+        holder: Callable[..., LogReplicas] = LogReplicas,
         writer: Callable[..., LogWriter] = LogWriter,
     ) -> None:
         self.now, self.draw = 0.0, random.Random(seed)
@@ -83,7 +83,7 @@
         machine.up, machine.asleep = True, False
         machine.heart = self.new_holder(machine.name, machine.identity, self.placement.log_holders, self.alive, PACE)
         for log, copy in machine.disk.items():
-            machine.heart.restored(log, copy.promised, copy.by, place(copy.records), copy.sure, copy.over)
+            machine.heart.restore(log, copy.promised, copy.by, place(copy.records), copy.sure, copy.over)
         machine.writers = {}
         self._begin(machine)
         for other in self.machines.values():
@@ -99,7 +99,7 @@
         else:
             machine.epoch = machine.records[-1][0] + 1
         machine.before = place(machine.records) if machine.elected else machine.before
-        machine.elected, machine.heart.own = False, machine.own
+        machine.elected, machine.heart.own_log = False, machine.own
         machine.records.append((machine.epoch, NOTHING, b""))
         others = tuple(name for name in self.placement.log_holders(machine.name) if name != machine.name)
         machine.writers[machine.own] = self.new_writer(
@@ -142,9 +142,9 @@
             if writer is not None:
                 self._write(machine, writer, writer.handle_status(self.now, source, word))
             else:
-                self._hold(machine, machine.heart.told(source, word))
+                self._hold(machine, machine.heart.handle_status(source, word))
         else:
-            self._hold(machine, machine.heart.asked(sender, word))  # type: ignore[arg-type]
+            self._hold(machine, machine.heart.handle_message(sender, word))  # type: ignore[arg-type]
 
     def tick(self, by_ms: float) -> None:
         self.now += by_ms
--- a/flintshift/lifecycle/held_copies.py
+++ b/flintshift/lifecycle/held_copies.py
@@ -15,7 +15,7 @@
 from flintshift.core.ports import Log
 from flintshift.lifecycle.taken_ledgers import TakenLedgers
 from flintshift.replication import logs
-from flintshift.replication.log_holders import HeldLogs, HolderPace
+from flintshift.replication.log_holders import HolderConfig, LogReplicas
 from flintshift.replication.logs import LogId
 from flintshift.replication.placement import Placement
 from flintshift.settings.options import CopiesOptions
@@ -54,7 +54,7 @@
         self.options, self.files, self.boot, self.now_ms = options, files, boot, now_ms
         self.send, self.answer, self.counters, self.log = send, answer, counters, log
         self.folder = options.folder / FOLDER
-        self.held_logs = HeldLogs(name, identity, placement.log_holders, lives, HolderPace(options.take_over_ms))
+        self.held_logs = LogReplicas(name, identity, placement.log_holders, lives, HolderConfig(options.take_over_ms))
         self.replicas: dict[LogId, Replica] = {}
         self.refused: dict[LogId, float] = {}  # copies whose writer is to hear that their disk refused, and when
         self.ends: dict[LogId, int] = {}  # by log, the epoch of an end that the disk refused
@@ -93,7 +93,7 @@
                 on_disk.emptied(self.files, folder)
                 replica, sure = Replica(self.files, folder, state, self.options.segment_bytes), False
             self.replicas[log] = replica
-            self.held_logs.restored(log, state.promised, state.by, replica.last, sure, state.over)
+            self.held_logs.restore(log, state.promised, state.by, replica.last, sure, state.over)
             if not state.over:
                 replica.keep(sure=sure, boot=self.boot)
 
@@ -126,11 +126,11 @@
         if unsynced and replica is not None:
             replica.doubt()
         if replica is None:
-            self.held_logs.dropped(log)
+            self.held_logs.discard(log)
         elif log not in self.taken.table:
             state, last = replica.state, replica.last if known else logs.NO_POSITION
             sure = known and replica.whole
-            self.held_logs.put_back(log, state.promised, state.by, last, sure, state.over, known)
+            self.held_logs.reset_to_disk(log, state.promised, state.by, last, sure, state.over, known)
             self.refused.setdefault(log, self.now_ms() + TELL_REFUSED_MS)
         self.log(
             "error",
@@ -140,7 +140,7 @@
             then="tried again"
             if log in self.taken.table
             else "it goes on from what it holds"
-            if replica is not None and self.held_logs.table[log].sure
+            if replica is not None and self.held_logs.table[log].complete
             else "it is filled anew by whoever writes that ledger",
         )
 
@@ -149,18 +149,20 @@
         for log in [log for log, due_ms in self.refused.items() if now >= due_ms]:
             del self.refused[log]
             held = self.held_logs.table.get(log)
-            if held is not None and not held.over and log not in self.taken.table:
-                self.answer(held.by, logs.ReplicaStatus(log, logs.ReplicaVerdict.GAP, held.promised, held.last))
+            if held is not None and not held.finished and log not in self.taken.table:
+                self.answer(
+                    held.promised_to, logs.ReplicaStatus(log, logs.ReplicaVerdict.GAP, held.promised, held.last)
+                )
 
     def read_again(self) -> None:
         """Look again at copies that could not be read."""
         for log, held in list(self.held_logs.table.items()):
             replica = self.replicas.get(log)
-            if held.known or replica is None or log in self.taken.table or not self._recovered(log, replica):
+            if held.readable or replica is None or log in self.taken.table or not self._recovered(log, replica):
                 continue
             state = replica.state
             sure = replica.whole
-            self.held_logs.put_back(log, state.promised, state.by, replica.last, sure, state.over)
+            self.held_logs.reset_to_disk(log, state.promised, state.by, replica.last, sure, state.over)
             self.log("info", "usage.copy_readable", ledger=log[0], records=replica.last[1], sure=sure)
 
     def keep_ends(self) -> None:
@@ -168,7 +170,7 @@
         ends, self.ends = self.ends, {}
         for log, epoch in ends.items():
             if log in self.replicas and not self.replicas[log].state.over:
-                self.hold(self.held_logs.over(log, epoch))
+                self.hold(self.held_logs.mark_finished(log, epoch))
 
     def _recovered(self, log: LogId, replica: Replica) -> bool:
         """What stands on the disk of this copy is known, and it can go on from there. Told once, not with each look."""
@@ -176,7 +178,7 @@
         try:
             replica.recover()
         except REFUSED as error:
-            if held is None or held.known:
+            if held is None or held.readable:
                 self.log(
                     "warning",
                     "usage.copy_unreadable",
--- a/flintshift/lifecycle/taken_ledgers.py
+++ b/flintshift/lifecycle/taken_ledgers.py
@@ -15,7 +15,7 @@
 from flintshift.core.ports import Log
 from flintshift.lifecycle.exports import AGAIN_S, export_run
 from flintshift.replication import logs
-from flintshift.replication.log_holders import HeldLogs
+from flintshift.replication.log_holders import LogReplicas
 from flintshift.replication.log_writer import LogWriter
 from flintshift.replication.logs import LogId
 from flintshift.settings.options import UsageOptions
@@ -51,7 +51,7 @@
     """The member's copies of ledgers, as far as a takeover needs them."""
 
     files: Files
-    held_logs: HeldLogs
+    held_logs: LogReplicas
     replicas: dict[LogId, Replica]
     send: Callable[[str, logs.LogMessage], None]
     counters: Counters
@@ -166,7 +166,7 @@
             self.log("info", "usage.takeover_done", ledger=log[0], life=log[1].hex(), epoch=writer.epoch)
             for member in writer.replicas:
                 self.send(member, logs.LogFinished(log, writer.epoch))
-            self.copies.hold(self.copies.held_logs.over(log, writer.epoch))
+            self.copies.hold(self.copies.held_logs.mark_finished(log, writer.epoch))
 
     async def _export(self, taken: TakenLedger) -> None:
         assert self.usage.export is not None and taken.exporting is not None
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -58,7 +58,7 @@
     def _begin(self, epoch: int) -> None:
         assert self.ledger is not None
         folder = self.ledger.folder
-        own = self.holder.held_logs.own = self.name, folder.book.state.life
+        own = self.holder.held_logs.own_log = self.name, folder.book.state.life
         self.writer = self._writer_of(own, epoch, (epoch, folder.log.following - 1), folder.before)
 
     def _writer_of(
@@ -103,7 +103,7 @@
         for writer in self._writers():
             self._write(writer, writer.set_reachable(member, up))
         if up:
-            self.holder.hold(self.holder.held_logs.reach(member))
+            self.holder.hold(self.holder.held_logs.announce_finished(member))
 
     def _writers(self) -> list[LogWriter]:
         own = [self.writer] if self.writer is not None else []
@@ -114,10 +114,10 @@
             if writer.log == at.log:
                 self._write(writer, writer.handle_status(self.now_ms(), member, at))
                 return
-        self.holder.hold(self.holder.held_logs.told(member, at))
+        self.holder.hold(self.holder.held_logs.handle_status(member, at))
 
     def asked(self, identity: str, word: logs.LogMessage) -> None:
-        self.holder.hold(self.holder.held_logs.asked(identity, word))
+        self.holder.hold(self.holder.held_logs.handle_message(identity, word))
 
     def tick(self) -> None:
         now = self.now_ms()
@@ -284,7 +284,7 @@
                 }
             )
         for log, held in self.holder.held_logs.table.items():
-            if log not in self.taken.table and not held.over:
+            if log not in self.taken.table and not held.finished:
                 found.append(
                     {
                         "member": log[0],
@@ -292,10 +292,10 @@
                         "epoch": held.promised,
                         "records": held.last[1],
                         "role": "copies",
-                        "sure": held.sure,
-                        "readable": held.known,
+                        "sure": held.complete,
+                        "readable": held.readable,
                         "writer": held.writer,
-                        "writer_dead": held.dead_ms is not None,
+                        "writer_dead": held.writer_dead_since_ms is not None,
                     }
                 )
         return found
--- a/tests/replication/test_log_copies.py
+++ b/tests/replication/test_log_copies.py
@@ -9,7 +9,7 @@
 
 from flintshift.lab.logs_model import LogWorld
 from flintshift.replication import logs
-from flintshift.replication.log_holders import HeldLogs
+from flintshift.replication.log_holders import LogReplicas
 from flintshift.replication.log_writer import LogWriter
 
 HALLS = {"n1": "a", "n2": "a", "n3": "b", "n4": "b", "n5": "c"}
@@ -77,12 +77,12 @@
     assert ended > 30 and held > 2000  # the plays do something
 
 
-class GrantsToWhoIsBehind(HeldLogs):
+class GrantsToWhoIsBehind(LogReplicas):
     def _join(self, by, word, held):
         return super()._join(by, structs.replace(word, last=(1 << 30, 1 << 30)), held)
 
 
-class VotesUnsure(HeldLogs):
+class VotesUnsure(LogReplicas):
     @staticmethod
     def _no_vote(word, epoch, last):
         return logs.ReplicaStatus(word.log, logs.ReplicaVerdict.GRANTED, epoch, logs.NO_POSITION)
@@ -96,12 +96,12 @@
         )
 
 
-class TakesOldEpochs(HeldLogs):
-    def asked(self, by, word):
+class TakesOldEpochs(LogReplicas):
+    def handle_message(self, by, word):
         held = self.table.get(word.log)
         if held is not None and isinstance(word, logs.Append | logs.SnapshotPart):
-            held.promised, held.by = word.epoch, by
-        return super().asked(by, word)
+            held.promised, held.promised_to = word.epoch, by
+        return super().handle_message(by, word)
 
 
 class ShowsAnEpochThatNobodyGranted(LogWriter):
@@ -143,17 +143,18 @@
 def test_a_holder_that_was_out_of_reach_when_a_ledger_ended_hears_of_it_when_it_is_back():
     """Else it holds, for as long as the taker lives, a copy that nobody fills any more."""
     log, other = ("n5", b"old"), ("n1", b"old")
-    taker = HeldLogs("n2", "n2#1", lambda member: (member, "n2", "n4"), lambda identity: True)
-    back = HeldLogs("n5", "n5#2", taker.holders, lambda identity: True)
+    taker = LogReplicas("n2", "n2#1", lambda member: (member, "n2", "n4"), lambda identity: True)
+    back = LogReplicas("n5", "n5#2", taker.holders, lambda identity: True)
     for told in (log, other):
-        taker.restored(told, 7, "n2#1", (7, 40), True, over=False)
-    back.asked("n2#1", logs.Join(log, 7, (7, 41)))
-    assert not back.table[log].sure
-    taker.over(log, 7)  # while no link stands between them
-    told = taker.reach("n5")
-    assert told == [logs.SendToHolder("n5", logs.LogFinished(log, 7))] and taker.reach("n3") == []
+        taker.restore(told, 7, "n2#1", (7, 40), True, finished=False)
+    back.handle_message("n2#1", logs.Join(log, 7, (7, 41)))
+    assert not back.table[log].complete
+    taker.mark_finished(log, 7)  # while no link stands between them
+    told = taker.announce_finished("n5")
+    assert told == [logs.SendToHolder("n5", logs.LogFinished(log, 7))] and taker.announce_finished("n3") == []
     assert (
-        back.asked("n2#1", told[0].message) == [logs.MarkFinished(log, told[0].message.epoch)] and back.table[log].over
+        back.handle_message("n2#1", told[0].message) == [logs.MarkFinished(log, told[0].message.epoch)]
+        and back.table[log].finished
     )
 
 
--- a/tests/replication/test_use_copies_refusals.py
+++ b/tests/replication/test_use_copies_refusals.py
@@ -6,7 +6,7 @@
 Sequence: a member is asked to copy a ledger, and its disk refuses the folder. The state machine goes on with a copy
 that has no folder; the next piece of the ledger finds no entry in the table, and the exception ends the link.
 
-Cause: what the state machine knows of a copy (`HeldLogs.table`) and what stands on the disk (`UseCopies.replicas`)
+Cause: what the state machine knows of a copy (`LogReplicas.table`) and what stands on the disk (`UseCopies.replicas`)
 were changed one after the other, and a refusal between left the first alone. An epoch that was promised in memory, and
 refused by the disk, was granted at the next question without being kept.
 
@@ -28,7 +28,7 @@
 from flintshift.lifecycle.held_copies import HeldCopies
 from flintshift.lifecycle.use_copies import AGAIN_MS, UseCopies
 from flintshift.replication import logs
-from flintshift.replication.log_holders import HolderPace
+from flintshift.replication.log_holders import HolderConfig
 from flintshift.replication.log_writer import LogWriter, ReplicaState
 from flintshift.replication.placement import Placement
 from flintshift.settings.options import CopiesOptions, UsageOptions
@@ -90,12 +90,12 @@
         assert set(table) == set(self.copies.holder.replicas)
         for log, held in table.items():
             replica = self.copies.holder.replicas[log]
-            assert (held.promised, held.by, held.over) == (
+            assert (held.promised, held.promised_to, held.finished) == (
                 replica.state.promised,
                 replica.state.by,
                 replica.state.over,
             )
-            if held.sure:
+            if held.complete:
                 assert held.last == replica.last
 
     def life(self):
@@ -146,7 +146,7 @@
         holder.asked(logs.Append(LOG, EPOCH, 2, (TURNED,)))
     holder.in_step()
     held = holder.copies.holder.held_logs.table[LOG]
-    assert held.sure and held.last == (EPOCH, 2)
+    assert held.complete and held.last == (EPOCH, 2)
 
 
 def test_a_promise_that_the_disk_refused_is_not_given_at_the_next_question():
@@ -264,8 +264,8 @@
         holder.now += 50.0
         holder.copies.tick()
     holder.in_step()
-    assert holder.copies.holder.held_logs.table[LOG].over
-    assert Holder(holder.files.survived("kept")).copies.holder.held_logs.table[LOG].over
+    assert holder.copies.holder.held_logs.table[LOG].finished
+    assert Holder(holder.files.survived("kept")).copies.holder.held_logs.table[LOG].finished
 
 
 def test_a_refused_word_on_one_ledger_does_not_stop_those_on_another():
@@ -273,7 +273,7 @@
     holder = Holder()
     for word in holder.life():
         holder.asked(word)
-    holder.copies.holder.held_logs.pace = HolderPace(logs=1)
+    holder.copies.holder.held_logs.config = HolderConfig(max_logs=1)
     holder.files.refuse = {holder.files.count + 1: errno.EIO}
     other = "n1", b"m" * 16
     joined = holder.asked(logs.Join(other, EPOCH, (EPOCH, 1)))
@@ -314,19 +314,19 @@
     for word in (joined, filled, written):
         holder.asked(word)
     held = holder.copies.holder.held_logs
-    assert held.table[LOG].sure
+    assert held.table[LOG].complete
     holder.files.refuse[holder.files.count + 1] = errno.EIO
     await holder.copies.holder.sync()
-    assert not held.table[LOG].sure
+    assert not held.table[LOG].complete
     holder.files.refuse[holder.files.count + 1] = errno.EIO
     holder.asked(promised)
-    assert not held.table[LOG].sure
+    assert not held.table[LOG].complete
     holder.copies.asked(WRITER, logs.Join(LOG, EPOCH + 1, (EPOCH, 2)))
     holder.copies.asked(WRITER, logs.SnapshotPart(LOG, EPOCH + 1, (EPOCH + 1, 1), 0, False, whole()))
-    assert held.table[LOG].sure  # filled anew
+    assert held.table[LOG].complete  # filled anew
     holder.files.refuse[holder.files.count + 1] = errno.EIO
     holder.asked(logs.Join(LOG, EPOCH + 2, (EPOCH + 1, 1)))
-    assert held.table[LOG].sure  # and stays so
+    assert held.table[LOG].complete  # and stays so
 
 
 def test_a_copy_that_could_not_be_read_is_looked_at_again_and_counts_as_before():
@@ -338,11 +338,11 @@
     holder.copies.holder._recovered = lambda log, replica: False
     holder.files.refuse |= {holder.files.count + step: errno.EIO for step in range(1, 9)}  # the write and its retries
     holder.asked(written)
-    assert not table[LOG].known and not table[LOG].sure
+    assert not table[LOG].readable and not table[LOG].complete
     holder.copies.holder._recovered = recovered
     holder.now += AGAIN_MS
     holder.copies.tick()
-    assert table[LOG].known and table[LOG].sure and table[LOG].last == (EPOCH, 1)
+    assert table[LOG].readable and table[LOG].complete and table[LOG].last == (EPOCH, 1)
 
 
 @pytest.mark.parametrize("refused", [1, 2], ids=["the sync", "and the word of it"])
@@ -358,7 +358,7 @@
     await holder.copies.holder.sync()
     holder.copies.close()
     again = Holder(holder.files.survived("kept"))
-    assert not again.copies.holder.held_logs.table[LOG].sure
+    assert not again.copies.holder.held_logs.table[LOG].complete
 
 
 def test_a_copy_that_cant_be_read_is_told_once_and_shown():
