--- a/flintshift/replication/__init__.py
+++ b/flintshift/replication/__init__.py
@@ -1,1 +1,1 @@
-"""What a node holds for others, on further members: placement, agreement, takeover, refill. Pure but for the store."""
+"""Replication of keys and usage ledgers: placement, consensus, takeover and refill. Only `store` does I/O."""
--- a/flintshift/replication/placement.py
+++ b/flintshift/replication/placement.py
@@ -1,8 +1,7 @@
-"""Who holds a key: rendezvous hashing of its slot over the members, with copies in different halls where there are
-enough.
+"""Placement of keys on members: rendezvous hashing of a key's slot, with replicas in different halls where possible.
 
-Every member computes the same from the same list. When a member comes or goes, only keys move that it holds or is
-to hold: of each copy, 1/n on average.
+Every member computes the same placement from the same list of members. When a member joins or leaves, only the keys
+that it holds, or is to hold, move: 1/n of all replicas on average.
 """
 
 from __future__ import annotations
@@ -14,19 +13,19 @@
 
 from flintshift.replication.messages import Key
 
-SLOT_COUNT = 4096  # keys are spread over these, and slots over the members: a slot's holders are computed once
+SLOT_COUNT = 4096  # keys are hashed to slots and slots to members, so that a slot's holders are computed only once
 
 
 class Placement:
-    """``halls`` maps each member to its hall."""
+    """Maps keys and logs to the members that hold them. ``halls`` maps each member to its hall."""
 
     def __init__(self, halls: Mapping[str, str], replica_count: int) -> None:
         self.halls = dict(sorted(halls.items()))
         self.replica_count = min(replica_count, len(halls))
-        self.known: dict[int, tuple[str, ...]] = {}
-        self.logs: dict[str, tuple[str, ...]] = {}
-        seeds = {name: hashlib.blake2b(name.encode(), digest_size=16).digest() for name in self.halls}
-        self._seeded = {name: hashlib.blake2b(digest_size=8, key=seed) for name, seed in seeds.items()}
+        self.holders_by_slot: dict[int, tuple[str, ...]] = {}
+        self.holders_by_writer: dict[str, tuple[str, ...]] = {}
+        hash_keys = {name: hashlib.blake2b(name.encode(), digest_size=16).digest() for name in self.halls}
+        self._member_hashes = {name: hashlib.blake2b(digest_size=8, key=key) for name, key in hash_keys.items()}
 
     @property
     def majority(self) -> int:
@@ -34,8 +33,10 @@
 
     @property
     def fast_quorum(self) -> int:
-        """Of the holders, so many must accept a claim of round 0 for it to be chosen: any majority then holds more of
-        it than of any other."""
+        """The number of holders that must accept a claim in round 0 for it to be chosen.
+
+        With that many, any majority holds more acceptances of this claim than of any other.
+        """
         return -(-3 * self.replica_count // 4)
 
     @staticmethod
@@ -43,38 +44,39 @@
         return crc32(f"{key[0]}\n{key[1]}".encode()) % SLOT_COUNT
 
     def holders(self, key: Key) -> tuple[str, ...]:
-        return self._of_slot(self.slot(key))
+        return self._slot_holders(self.slot(key))
 
-    def _of_slot(self, slot: int) -> tuple[str, ...]:
-        found = self.known.get(slot)
-        if found is None:
-            found = self.known[slot] = self._compute_holders(slot.to_bytes(2, "big"))
-        return found
+    def _slot_holders(self, slot: int) -> tuple[str, ...]:
+        holders = self.holders_by_slot.get(slot)
+        if holders is None:
+            holders = self.holders_by_slot[slot] = self._compute_holders(slot.to_bytes(2, "big"))
+        return holders
 
     def log_holders(self, member: str) -> tuple[str, ...]:
-        """Who holds the logs that this member writes: itself, and others as far from it as there are."""
-        found = self.logs.get(member)
-        if found is None:
-            found = self.logs[member] = self._compute_holders(f"log of {member}".encode(), member)
-        return found
+        """The holders of this member's own logs: the member itself, then others in as many halls as possible."""
+        holders = self.holders_by_writer.get(member)
+        if holders is None:
+            holders = self.holders_by_writer[member] = self._compute_holders(f"log of {member}".encode(), member)
+        return holders
 
     def holder_sets_with(self, member: str) -> set[tuple[str, ...]]:
-        """All sets of holders that this member is one of."""
-        every = {self._of_slot(slot) for slot in range(SLOT_COUNT)}
-        return {holders for holders in every if member in holders}
+        """All sets of holders that include this member."""
+        holder_sets = {self._slot_holders(slot) for slot in range(SLOT_COUNT)}
+        return {holders for holders in holder_sets if member in holders}
 
-    def _compute_holders(self, text: bytes, first: str | None = None) -> tuple[str, ...]:
+    def _compute_holders(self, subject: bytes, first: str | None = None) -> tuple[str, ...]:
+        """The holders of what ``subject`` names; ``first`` is a holder in any case."""
         scores = []
-        for name, seeded in self._seeded.items():
-            score = seeded.copy()
-            score.update(text)
+        for name, member_hash in self._member_hashes.items():
+            score = member_hash.copy()
+            score.update(subject)
             scores.append((score.digest(), name))
         ranked = [name for _, name in sorted(scores, reverse=True)]
         chosen = [first] if first is not None else []
-        used: Counter[str] = Counter(self.halls[name] for name in chosen)
+        replicas_by_hall: Counter[str] = Counter(self.halls[name] for name in chosen)
         while len(chosen) < self.replica_count:
-            least = min(used[self.halls[name]] for name in ranked if name not in chosen)
-            name = next(name for name in ranked if name not in chosen and used[self.halls[name]] == least)
+            fewest = min(replicas_by_hall[self.halls[name]] for name in ranked if name not in chosen)
+            name = next(name for name in ranked if name not in chosen and replicas_by_hall[self.halls[name]] == fewest)
             chosen.append(name)
-            used[self.halls[name]] += 1
+            replicas_by_hall[self.halls[name]] += 1
         return tuple(chosen)
--- a/flintshift/replication/store.py
+++ b/flintshift/replication/store.py
@@ -1,12 +1,12 @@
-"""The copies on a disk: which store it is, and each change of a register, before a vote on it leaves.
+"""The replicated keys on the disk: the identity of the store, and each change of a register before its vote is sent.
 
-==========  ====================================================================================
-``LOCK``    held by the process that writes here
-``STORE``   the incarnation, and whether it votes: written whole, before the first vote under it
+==========  ==================================================================================================
+``LOCK``    locked by the process that writes here
+``STORE``   the store's incarnation and whether it votes; written whole before the first vote under it
 ``log/``    changes of registers (``storage/log.py``)
-==========  ====================================================================================
+==========  ==================================================================================================
 
-Registers live for seconds, so nothing is compacted: a segment goes when all that was written in it has lapsed.
+Registers live for seconds, so the log is not compacted: a segment is removed when everything in it has expired.
 """
 
 from __future__ import annotations
@@ -24,22 +24,24 @@
 from flintshift.storage.snapshot import DamagedError
 
 ENTRY_KIND, STORE_KIND = 1, 2
-STORE = "STORE"
-STATUS_SOCKET = "status.sock"  # where a running member tells operators how its copies stand
+STORE_FILE = "STORE"
+STATUS_SOCKET = "status.sock"  # on which a running member reports the state of its replicas to operators
 
-Packed = Callable[[Entry, float], bytes]
-Unpacked = Callable[[bytes], tuple[Entry, float]]
+PackEntry = Callable[[Entry, float], bytes]
+UnpackEntry = Callable[[bytes], tuple[Entry, float]]
 
 
 class StoreState(msgspec.Struct, frozen=True):
+    """The content of the ``STORE`` file."""
+
     incarnation: int
-    votes: bool  # it knows all that it ever promised
-    member: str  # whose it is; empty: of whoever opens it first
-    boot: str  # the machine's boot: what was not synced before another one may be gone
+    votes: bool  # the store knows all that it ever promised
+    member: str  # the owner of the store; empty: whoever opens it first
+    boot: str  # id of the machine's boot; what was not synced may be lost in another boot
 
 
 def boot_id() -> str:
-    """Of this machine's start; empty where the system does not tell it."""
+    """The id of the machine's current boot, or an empty text if the system doesn't provide it."""
     try:
         return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
@@ -47,19 +49,21 @@
 
 
 @dataclass(slots=True)
-class Found:
-    """What a start found."""
+class RecoveredStore:
+    """What was found on the disk at the start."""
 
     entries: list[Entry]
-    no_vote_reason: str = ""  # why the store does not vote; empty: it does
+    no_vote_reason: str = ""  # empty: the store votes
 
 
 class ReplicaFolder:
-    """The folder as the one process that writes in it holds it. Times are those of the machine's monotonic clock, but
-    for ``unix_ms``, from which a new store gets its number.
+    """The folder of a store, opened by the one process that writes to it.
+
+    Times are of the machine's monotonic clock, except ``unix_ms``, from which a new store gets its incarnation.
+    ``synced``: each change was synced to the disk before its vote was sent.
 
     Raises:
-        OSError, LockedError: it can't be used.
+        OSError, LockedError: the folder can't be used.
     """
 
     def __init__(
@@ -71,14 +75,14 @@
         unix_ms: float,
         boot: str,
         synced: bool,
-        packed: Packed,
-        unpacked: Unpacked,
+        pack: PackEntry,
+        unpack: UnpackEntry,
     ) -> None:
-        self.files, self.folder, self.packed, self.unpacked = files, folder, packed, unpacked
+        self.files, self.folder, self.pack, self.unpack = files, folder, pack, unpack
         self.member, self.boot = member, boot
         files.make_folder(folder / "log")
         self.lock = files.lock(folder / "LOCK")
-        self.lasting: dict[int, float] = {}  # by first sequence of a segment: until when something in it counts
+        self.segment_expiry_ms: dict[int, float] = {}  # by a segment's first sequence: when its last register expires
         try:
             snapshot.sweep(files, folder)
             self.recovered = self._open(now_ms, unix_ms, synced)
@@ -86,30 +90,31 @@
             self.lock.close()
             raise
 
-    def _open(self, now_ms: float, unix_ms: float, synced: bool) -> Found:
-        state, why = self._state()
+    def _open(self, now_ms: float, unix_ms: float, synced: bool) -> RecoveredStore:
+        state, reason = self._read_state()
         entries: list[Entry] = []
-        if not why:
+        if not reason:
             try:
                 entries = self._recover(now_ms, self.boot != "" and state.boot == self.boot)
             except DamagedError as error:
-                why = f"its disk is damaged: {error}"
-        if why:
-            self._empty()
+                reason = f"its disk is damaged: {error}"
+        if reason:
+            self._clear_log()
             state, entries = StoreState(max(int(unix_ms), state.incarnation + 1), False, self.member, self.boot), []
         elif state.boot != self.boot and not synced and state.votes:
-            why = "the machine was started anew, and what it promised last may not have reached the disk"
+            reason = "the machine was restarted, and what the store promised last may not have reached the disk"
             state = StoreState(state.incarnation + 1, False, self.member, self.boot)
         self.state = state
         self.write_state(msgspec.structs.replace(state, boot=self.boot, member=self.member))
-        return Found(entries, why or ("" if state.votes else "it was not filled when it ended"))
+        return RecoveredStore(entries, reason or ("" if state.votes else "it was not refilled when it ended"))
 
-    def _state(self) -> tuple[StoreState, str]:
+    def _read_state(self) -> tuple[StoreState, str]:
+        """The state on the disk, and why the store can't be used as it is; empty: it can."""
         empty = StoreState(0, False, self.member, self.boot)
-        if STORE not in self.files.names(self.folder):
+        if STORE_FILE not in self.files.names(self.folder):
             return empty, "its disk is empty"
         try:
-            record = snapshot.opened(self.folder / STORE, self.files.read(self.folder / STORE), STORE_KIND)
+            record = snapshot.opened(self.folder / STORE_FILE, self.files.read(self.folder / STORE_FILE), STORE_KIND)
             state = msgspec.msgpack.decode(record.payload, type=StoreState)
         except (DamagedError, msgspec.DecodeError) as error:
             return empty, f"its disk is damaged: {error}"
@@ -118,109 +123,123 @@
         return state, ""
 
     def _recover(self, now_ms: float, same_boot: bool) -> list[Entry]:
-        """``same_boot``: the steady clock goes on since these were written; else how long ago that was is not known,
-        and each counts for the whole of its time: for longer than told, never for shorter."""
+        """Reads the entries of the log that have not expired.
+
+        ``same_boot``: the monotonic clock has run on since they were written. Otherwise their age is unknown, and each
+        entry is kept for its whole time again: longer than promised, never shorter.
+        """
         found = segments(self.files, self.folder / "log")
         first = found[0][0] if found else 1
         reach, latest = Reach(first, 0), dict[tuple[str, str], Entry]()
         for record in records(self.files, self.folder / "log", first, reach):
             if record.kind == ENTRY_KIND:
-                entry, at_ms = self.unpacked(record.payload)
-                passed_ms = max(0.0, now_ms - at_ms) if same_boot else 0.0
-                latest[entry.key] = msgspec.structs.replace(entry, remaining_ms=entry.remaining_ms - passed_ms)
+                entry, written_ms = self.unpack(record.payload)
+                elapsed_ms = max(0.0, now_ms - written_ms) if same_boot else 0.0
+                latest[entry.key] = msgspec.structs.replace(entry, remaining_ms=entry.remaining_ms - elapsed_ms)
         self.log = Log(self.files, self.folder / "log", reach.epoch + 1, reach.following)
         self.log.resume(reach)
-        kept = [entry for entry in latest.values() if entry.remaining_ms > 0]
-        until = now_ms + max((entry.remaining_ms for entry in kept), default=0.0)
-        self.lasting = {start: until for start, _ in segments(self.files, self.folder / "log")}
-        return kept
+        entries = [entry for entry in latest.values() if entry.remaining_ms > 0]
+        expiry_ms = now_ms + max((entry.remaining_ms for entry in entries), default=0.0)
+        self.segment_expiry_ms = {start: expiry_ms for start, _ in segments(self.files, self.folder / "log")}
+        return entries
 
-    def _empty(self) -> None:
-        """Nothing here counts; what stands in the log would be taken for this store's own."""
+    def _clear_log(self) -> None:
+        """Removes the segments of an unusable store, which would be taken for those of the new one."""
         for _, name in segments(self.files, self.folder / "log"):
             self.files.remove(self.folder / "log" / name)
         self.log = Log(self.files, self.folder / "log", 1, 1)
         self.log.begin()
-        self.lasting = {1: 0.0}
+        self.segment_expiry_ms = {1: 0.0}
 
     def write_state(self, state: StoreState) -> None:
-        """``state`` of the folder is what the disk has taken: where it refuses, nothing has changed."""
+        """Writes the state to the disk. ``self.state`` changes only if the disk accepts it."""
         data = msgspec.msgpack.encode(state)
-        snapshot.publish(self.files, self.folder / STORE, snapshot.sealed(STORE_KIND, 1, 1, data))
+        snapshot.publish(self.files, self.folder / STORE_FILE, snapshot.sealed(STORE_KIND, 1, 1, data))
         self.state = state
 
     def write(self, entries: Iterable[Entry], now_ms: float) -> None:
-        """Changes of registers; they survive the death of the process from then on, and that of the system after
-        ``sync``.
+        """Appends changes of registers to the log.
+
+        They survive the death of the process from then on, and that of the system after the log's ``sync``.
 
         Raises:
-            OSError, BrokenError: the disk refused, until ``reopen``.
+            OSError, BrokenError: the disk rejected the write; every further one fails until ``reopen``.
         """
-        listed = list(entries)
-        self.log.append_with_retry([(ENTRY_KIND, self.packed(entry, now_ms)) for entry in listed])
-        last = max(self.lasting)
-        self.lasting[last] = max(self.lasting[last], now_ms + max(entry.remaining_ms for entry in listed))
+        written = list(entries)
+        self.log.append_with_retry([(ENTRY_KIND, self.pack(entry, now_ms)) for entry in written])
+        last = max(self.segment_expiry_ms)
+        self.segment_expiry_ms[last] = max(
+            self.segment_expiry_ms[last], now_ms + max(entry.remaining_ms for entry in written)
+        )
 
     def rotate(self, now_ms: float) -> int:
-        """Begin a new segment, and remove those of which nothing counts any more; returns how many went."""
+        """Begins a new segment, removes the segments in which everything has expired, and returns their number."""
         self.log.begin()
-        self.lasting[self.log.following] = 0.0
-        past = [start for start, until in self.lasting.items() if until <= now_ms and start != self.log.following]
-        gone = 0
-        for start in sorted(past):
-            if start != min(self.lasting):
-                break  # the log has no gaps
+        self.segment_expiry_ms[self.log.following] = 0.0
+        expired = [
+            start
+            for start, expiry_ms in self.segment_expiry_ms.items()
+            if expiry_ms <= now_ms and start != self.log.following
+        ]
+        removed = 0
+        for start in sorted(expired):
+            if start != min(self.segment_expiry_ms):
+                break  # the log must have no gaps
             self.files.remove(self.folder / "log" / segment_name(start))
-            del self.lasting[start]
-            gone += 1
-        return gone
+            del self.segment_expiry_ms[start]
+            removed += 1
+        return removed
 
     def reopen(self, entries: Iterable[Entry], now_ms: float) -> None:
-        """After a refusal: a new segment with all that counts. The one in which a write broke off goes, as it could not
-        be told from one that was damaged; a death before that leaves a store that is filled anew."""
+        """Begins a new segment with all valid entries after the disk rejected a write.
+
+        The older segments are removed, as the one in which a write broke off can't be told from a damaged one. If the
+        process dies before that, the store has to be refilled.
+        """
         self.rotate(now_ms)
-        listed = list(entries)
-        if listed:
-            self.write(listed, now_ms)
+        written = list(entries)
+        if written:
+            self.write(written, now_ms)
         self.log.sync()
-        for start in sorted(self.lasting)[:-1]:
+        for start in sorted(self.segment_expiry_ms)[:-1]:
             self.files.remove(self.folder / "log" / segment_name(start))
-            del self.lasting[start]
+            del self.segment_expiry_ms[start]
 
     def close(self) -> None:
         self.log.close()
         self.lock.close()
 
 
-def examine_store(files: Files, folder: Path, unpacked: Unpacked) -> tuple[StoreState, int, int]:
-    """The store that stands in a folder, its records and the registers in them. Nothing is changed; a folder in use
-    can be looked at too.
+def examine_store(files: Files, folder: Path, unpack: UnpackEntry) -> tuple[StoreState, int, int]:
+    """The state of the store in a folder, the number of its records and the number of different keys in them.
+
+    Nothing is changed, and a folder in use can be examined too.
 
     Raises:
-        OSError, DamagedError: it can't be read, or is not as it was written; the text says where.
+        OSError, DamagedError: the store can't be read or is damaged; the text says where.
     """
-    record = snapshot.opened(folder / STORE, files.read(folder / STORE), STORE_KIND)
+    record = snapshot.opened(folder / STORE_FILE, files.read(folder / STORE_FILE), STORE_KIND)
     state = msgspec.msgpack.decode(record.payload, type=StoreState)
     found = segments(files, folder / "log")
     first = found[0][0] if found else 1
     count, keys = 0, set()
-    for one in records(files, folder / "log", first, Reach(first, 0)):
+    for entry_record in records(files, folder / "log", first, Reach(first, 0)):
         count += 1
         try:
-            keys.add(unpacked(one.payload)[0].key)
+            keys.add(unpack(entry_record.payload)[0].key)
         except ValueError as error:
-            raise DamagedError(f"{folder}: record {one.sequence}: {error}") from error
+            raise DamagedError(f"{folder}: record {entry_record.sequence}: {error}") from error
     return state, count, len(keys)
 
 
 def create_empty_store(files: Files, folder: Path, now_ms: float, boot: str) -> None:
-    """Make the empty store of a fleet that begins: it votes from the first moment.
+    """Creates the empty store of a new fleet, which votes from the first moment.
 
     Raises:
-        FileExistsError: something stands in the folder.
+        FileExistsError: the folder is not empty.
     """
     if files.names(folder):
-        raise FileExistsError(f"{folder}: is not empty: founding it again would forget what it promised")
+        raise FileExistsError(f"{folder} is not empty; founding the store again would forget what it promised")
     files.make_folder(folder / "log")
     data = msgspec.msgpack.encode(StoreState(int(now_ms), True, "", boot))
-    snapshot.publish(files, folder / STORE, snapshot.sealed(STORE_KIND, 1, 1, data))
+    snapshot.publish(files, folder / STORE_FILE, snapshot.sealed(STORE_KIND, 1, 1, data))
