--- a/flintshift/replication/log_writer.py
+++ b/flintshift/replication/log_writer.py
@@ -1,5 +1,7 @@
-"""The writer of a copied log: whom it is copied to, how far each copy is, and when it may count on them. Without I/O;
-the rules stand in `logs.py`."""
+"""The writer of a replicated log: which holders copy it, how far each one is, and when records are on a majority.
+
+Without I/O; the rules are in `logs.py`.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +22,8 @@
     LogId,
     LogPosition,
     Record,
-    ReplicaStatus,
     Replicated,
+    ReplicaStatus,
     ReplicaVerdict,
     SendTo,
     SnapshotNeeded,
@@ -29,11 +31,13 @@
     WriterAction,
 )
 
-PART_BYTES = 256_000
-WINDOW = 20_000  # records that a copy has not acknowledged; past that it is filled anew
+SNAPSHOT_PART_BYTES = 256_000
+MAX_UNACKNOWLEDGED_RECORDS = 20_000  # of one replica; beyond that it gets a snapshot
 
 
 class ReplicaState(IntEnum):
+    """How a replica takes part in the replication."""
+
     AWAY = 0
     JOINING = 1
     FILLING = 2
@@ -41,22 +45,26 @@
 
 
 @dataclass(slots=True)
-class Copy:
-    """What the writer knows of one."""
+class ReplicaProgress:
+    """What the writer knows of one replica."""
 
     state: ReplicaState = ReplicaState.AWAY
-    at: int = 0  # the last sequence that it holds under this epoch
+    acknowledged: int = 0  # the last sequence that it holds under the current epoch
     parts: list[SnapshotPart] = field(default_factory=list)
-    behind: deque[Append] = field(default_factory=deque)  # that came while it is filled
-    waiting: int = 0  # records in those
+    queued: deque[Append] = field(default_factory=deque)  # written while the snapshot is being transferred
+    queued_records: int = 0
     reachable: bool = False
-    grant: ReplicaStatus | None = None  # the epoch of now, to this process
-    asked: bool = False  # since the last look, so that one which does not answer is asked again
+    grant: ReplicaStatus | None = None  # with which it granted the current epoch to this process
+    contacted: bool = False  # a message was exchanged since the last `rejoin_replicas`
 
 
 class LogWriter:
-    """``others`` hold copies; of them ``needed_acks`` make a majority with this one. ``held_ms``: an answer waits no longer
-    for them. ``elected_position``: the last record of the last time that it was elected; None: it took the log over, elected."""
+    """Replicates one log.
+
+    ``others`` hold the replicas; ``needed_acks`` of them make a majority together with the writer.
+    ``max_wait_ms``: an answer waits no longer than that for the replicas. ``elected_position``: the last record when the
+    log was elected last; None: this process took the log over and is elected.
+    """
 
     def __init__(
         self,
@@ -65,149 +73,158 @@
         last: LogPosition,
         others: tuple[str, ...],
         needed_acks: int,
-        held_ms: float,
+        max_wait_ms: float,
         elected_position: LogPosition | None,
     ) -> None:
-        self.log, self.epoch, self.last, self.needed_acks, self.held_ms = log, epoch, last, needed_acks, held_ms
-        self.takes = self.elected = elected_position is None
+        self.log, self.epoch, self.last, self.needed_acks, self.max_wait_ms = log, epoch, last, needed_acks, max_wait_ms
+        self.took_over = self.elected = elected_position is None
         self.elected_position = last if elected_position is None else elected_position
-        self.replicas = {name: Copy() for name in others}
+        self.replicas = {name: ReplicaProgress() for name in others}
         self.replicated_sequence = 0
-        self.waiting_ms = math.inf  # since when somebody waits for a majority
-        self.awaited = 0  # the last record that somebody waits for
-        self.gap_ms: float | None = None
+        self.waiting_since_ms = math.inf  # since when an answer waits for a majority
+        self.awaited_sequence = 0  # the last record for which an answer waits
+        self.gap_since_ms: float | None = None
         self.fenced = False
 
     @property
     def in_gap(self) -> bool:
-        return self.gap_ms is not None
+        return self.gap_since_ms is not None
 
-    def set_reachable(self, member: str, up: bool) -> list[WriterAction]:
-        copy = self.replicas.get(member)
-        if copy is None or self.fenced:
+    def set_reachable(self, member: str, reachable: bool) -> list[WriterAction]:
+        replica = self.replicas.get(member)
+        if replica is None or self.fenced:
             return []
-        self._away(copy)
-        copy.reachable = up
-        if not up:
+        self._reset(replica)
+        replica.reachable = reachable
+        if not reachable:
             return []
-        copy.state, copy.asked = ReplicaState.JOINING, True
+        replica.state, replica.contacted = ReplicaState.JOINING, True
         return [SendTo(member, Join(self.log, self.epoch, self.last if self.elected else self.elected_position))]
 
     @staticmethod
-    def _away(copy: Copy) -> None:
-        copy.state, copy.at, copy.waiting, copy.grant = ReplicaState.AWAY, 0, 0, None
-        copy.parts.clear()
-        copy.behind.clear()
+    def _reset(replica: ReplicaProgress) -> None:
+        replica.state, replica.acknowledged, replica.queued_records, replica.grant = ReplicaState.AWAY, 0, 0, None
+        replica.parts.clear()
+        replica.queued.clear()
 
-    def handle_written(self, now_ms: float, first: int, records: tuple[Record, ...], waits: bool) -> list[WriterAction]:
-        """These stand in the writer's own log. ``waits``: somebody is to be answered once a majority has them."""
-        begins = self.last[0] != self.epoch
+    def handle_written(
+        self, now_ms: float, first: int, records: tuple[Record, ...], answer_waits: bool
+    ) -> list[WriterAction]:
+        """These records are in the writer's own log. ``answer_waits``: an answer is sent once a majority has them."""
+        begins_epoch = self.last[0] != self.epoch
         self.last = self.epoch, first + len(records) - 1
-        if waits and self.waiting_ms == math.inf:
-            self.waiting_ms = now_ms
-        if waits:
-            self.awaited = self.last[1]
-        word, actions = Append(self.log, self.epoch, first, records), list[WriterAction]()
-        for member, copy in self.replicas.items():
-            if copy.state is ReplicaState.FOLLOWING:
-                if self.last[1] - copy.at > WINDOW:  # it does not keep up: it is filled once it answers
-                    copy.state = ReplicaState.JOINING
+        if answer_waits and self.waiting_since_ms == math.inf:
+            self.waiting_since_ms = now_ms
+        if answer_waits:
+            self.awaited_sequence = self.last[1]
+        append, actions = Append(self.log, self.epoch, first, records), list[WriterAction]()
+        for member, replica in self.replicas.items():
+            if replica.state is ReplicaState.FOLLOWING:
+                if self.last[1] - replica.acknowledged > MAX_UNACKNOWLEDGED_RECORDS:
+                    replica.state = ReplicaState.JOINING  # too slow: it gets a snapshot when it answers
                 else:
-                    actions.append(SendTo(member, word))
-            elif copy.state is ReplicaState.FILLING:
-                copy.behind.append(word)
-                copy.waiting += len(records)
-                if copy.waiting > WINDOW:
-                    self._away(copy)
-                    copy.state = ReplicaState.JOINING
-        if begins:  # copies may have granted the epoch elected_position its first record was written
-            for member, copy in self.replicas.items():
-                if copy.grant is not None and copy.state is ReplicaState.JOINING:
-                    actions += self.handle_status(now_ms, member, copy.grant)
+                    actions.append(SendTo(member, append))
+            elif replica.state is ReplicaState.FILLING:
+                replica.queued.append(append)
+                replica.queued_records += len(records)
+                if replica.queued_records > MAX_UNACKNOWLEDGED_RECORDS:
+                    self._reset(replica)
+                    replica.state = ReplicaState.JOINING
+        if begins_epoch:  # replicas may have granted the epoch before its first record was written
+            for member, replica in self.replicas.items():
+                if replica.grant is not None and replica.state is ReplicaState.JOINING:
+                    actions += self.handle_status(now_ms, member, replica.grant)
         return actions
 
     def send_snapshot(self, member: str, data: bytes) -> list[WriterAction]:
-        """All that a copy needs to go on from this process's last record."""
-        copy = self.replicas[member]
-        pieces = [data[at : at + PART_BYTES] for at in range(0, max(len(data), 1), PART_BYTES)]
-        copy.parts = [
+        """Sends a snapshot that lets a replica go on from this process's last record."""
+        replica = self.replicas[member]
+        pieces = [
+            data[start : start + SNAPSHOT_PART_BYTES] for start in range(0, max(len(data), 1), SNAPSHOT_PART_BYTES)
+        ]
+        replica.parts = [
             SnapshotPart(self.log, self.epoch, self.last, number, number < len(pieces) - 1, piece)
             for number, piece in enumerate(pieces)
         ]
-        copy.state = ReplicaState.FILLING
-        return [SendTo(member, copy.parts[0])]
+        replica.state = ReplicaState.FILLING
+        return [SendTo(member, replica.parts[0])]
 
-    def handle_status(self, now_ms: float, member: str, at: ReplicaStatus) -> list[WriterAction]:
-        copy = self.replicas.get(member)
-        if copy is None or self.fenced or not copy.reachable:
+    def handle_status(self, now_ms: float, member: str, status: ReplicaStatus) -> list[WriterAction]:
+        replica = self.replicas.get(member)
+        if replica is None or self.fenced or not replica.reachable:
             return []
-        copy.asked = True
-        match at.verdict:
+        replica.contacted = True
+        match status.verdict:
             case ReplicaVerdict.AHEAD:
-                return self._fence(f"{member} holds records up to {at.last}, this process up to {self.last}")
+                return self._fence(f"{member} holds records up to {status.last}, this process up to {self.last}")
             case ReplicaVerdict.STALE_EPOCH:
-                if self.takes:
-                    return self._fence(f"{member} has promised epoch {at.epoch} to another process")
-                return self._raise(at.epoch)
+                if self.took_over:
+                    return self._fence(f"{member} has promised epoch {status.epoch} to another process")
+                return self._raise_epoch(status.epoch)
             case ReplicaVerdict.FINISHED:
-                return self._fence(f"{member} says that all of it was exported")
+                return self._fence(f"{member} reports that the whole log was exported")
             case ReplicaVerdict.FULL | ReplicaVerdict.NO_VOTE:
-                copy.state = ReplicaState.AWAY
+                replica.state = ReplicaState.AWAY
                 return []
-        if at.epoch != self.epoch:
+        if status.epoch != self.epoch:
             return []
         if self.last[0] != self.epoch:
-            copy.grant = at  # it counts once this process's first record of the epoch is written
+            replica.grant = status  # it counts once this process has written its first record of the epoch
             return []
         if not self.elected:
-            return self._granted(now_ms, copy, at)
-        return self._follows(now_ms, member, copy, at)
+            return self._handle_grant(now_ms, replica, status)
+        return self._update_replica(now_ms, member, replica, status)
 
-    def _granted(self, now_ms: float, copy: Copy, at: ReplicaStatus) -> list[WriterAction]:
-        copy.grant = at
-        granted = {name: one.grant for name, one in self.replicas.items() if one.grant is not None}
-        # A copy without a word may have lost what another wrote meanwhile: it counts if none was elected_position, or all tell.
-        sure = sum(told.last != NO_POSITION for told in granted.values())
-        if (len(granted) if self.elected_position == NO_POSITION else sure) < self.needed_acks and len(granted) < len(
-            self.replicas
-        ):
+    def _handle_grant(self, now_ms: float, replica: ReplicaProgress, status: ReplicaStatus) -> list[WriterAction]:
+        replica.grant = status
+        grants = {name: progress.grant for name, progress in self.replicas.items() if progress.grant is not None}
+        # A replica without records may have lost what another process wrote meanwhile. Its grant counts if this log was
+        # never elected before, or if all replicas have answered.
+        with_records = sum(grant.last != NO_POSITION for grant in grants.values())
+        if (len(grants) if self.elected_position == NO_POSITION else with_records) < self.needed_acks and len(
+            grants
+        ) < len(self.replicas):
             return []
         self.elected = True
         actions: list[WriterAction] = [Elected()]
-        for member, told in granted.items():
-            actions += self._follows(now_ms, member, self.replicas[member], told)
+        for member, grant in grants.items():
+            actions += self._update_replica(now_ms, member, self.replicas[member], grant)
         return actions
 
-    def _follows(self, now_ms: float, member: str, copy: Copy, at: ReplicaStatus) -> list[WriterAction]:
-        if at.verdict is ReplicaVerdict.GAP and copy.state is ReplicaState.FOLLOWING:
+    def _update_replica(
+        self, now_ms: float, member: str, replica: ReplicaProgress, status: ReplicaStatus
+    ) -> list[WriterAction]:
+        if status.verdict is ReplicaVerdict.GAP and replica.state is ReplicaState.FOLLOWING:
             return [SnapshotNeeded(member)]
-        if copy.state is ReplicaState.FILLING:
-            if at.last[0] != self.epoch or at.parts_received:
+        if replica.state is ReplicaState.FILLING:
+            if status.last[0] != self.epoch or status.parts_received:
                 return (
-                    [SendTo(member, copy.parts[at.parts_received])] if 0 < at.parts_received < len(copy.parts) else []
+                    [SendTo(member, replica.parts[status.parts_received])]
+                    if 0 < status.parts_received < len(replica.parts)
+                    else []
                 )
-            sends = [SendTo(member, word) for word in copy.behind]
-            self._away(copy)
-            copy.state, copy.at = ReplicaState.FOLLOWING, at.last[1]
-            return [*sends, *self._count(now_ms)]
-        if at.last[0] == self.epoch and copy.state is ReplicaState.FOLLOWING:
-            copy.at = max(copy.at, at.last[1])
-            return self._count(now_ms)
-        if copy.state is ReplicaState.JOINING and at.last == self.last and at.last[0] == self.epoch:
-            copy.state, copy.at = ReplicaState.FOLLOWING, at.last[1]
-            return self._count(now_ms)
+            sends = [SendTo(member, append) for append in replica.queued]
+            self._reset(replica)
+            replica.state, replica.acknowledged = ReplicaState.FOLLOWING, status.last[1]
+            return [*sends, *self._count_acknowledged(now_ms)]
+        if status.last[0] == self.epoch and replica.state is ReplicaState.FOLLOWING:
+            replica.acknowledged = max(replica.acknowledged, status.last[1])
+            return self._count_acknowledged(now_ms)
+        if replica.state is ReplicaState.JOINING and status.last == self.last and status.last[0] == self.epoch:
+            replica.state, replica.acknowledged = ReplicaState.FOLLOWING, status.last[1]
+            return self._count_acknowledged(now_ms)
         return [SnapshotNeeded(member)]
 
-    def _raise(self, promised: int) -> list[WriterAction]:
-        """A takeover was begun and came to nothing, as far as this process knows."""
+    def _raise_epoch(self, promised: int) -> list[WriterAction]:
+        """Writes under a higher epoch: another process began a takeover that, as far as is known here, failed."""
         if promised < self.epoch:
-            return []  # told elected_position this process raised it last
+            return []  # sent before this process raised its epoch last
         if self.elected:
             self.elected_position, self.elected = self.last, False
         self.epoch = promised + 1
         actions: list[WriterAction] = [EpochRaised(self.epoch, self.elected_position)]
-        for member, copy in self.replicas.items():
-            if copy.reachable:
+        for member, replica in self.replicas.items():
+            if replica.reachable:
                 actions += self.set_reachable(member, True)
         return actions
 
@@ -215,42 +232,47 @@
         self.fenced = True
         return [Fenced(cause)]
 
-    def _count(self, now_ms: float) -> list[WriterAction]:
-        places = sorted(
-            (copy.at for copy in self.replicas.values() if copy.state is ReplicaState.FOLLOWING), reverse=True
+    def _count_acknowledged(self, now_ms: float) -> list[WriterAction]:
+        """Determines up to which record a majority has the log, and returns actions if that has advanced."""
+        sequences = sorted(
+            (replica.acknowledged for replica in self.replicas.values() if replica.state is ReplicaState.FOLLOWING),
+            reverse=True,
         )
-        if len(places) < self.needed_acks:
+        if len(sequences) < self.needed_acks:
             return []
-        upto = places[self.needed_acks - 1] if self.needed_acks else self.last[1]
-        if upto <= self.replicated_sequence:
+        up_to = sequences[self.needed_acks - 1] if self.needed_acks else self.last[1]
+        if up_to <= self.replicated_sequence:
             return []
-        self.replicated_sequence = upto
-        self.waiting_ms = now_ms if upto < self.awaited else math.inf
-        actions: list[WriterAction] = [Replicated(upto)]
-        if self.gap_ms is not None and upto >= self.last[1]:
-            actions.append(GapEnded(now_ms - self.gap_ms))
-            self.gap_ms = None
+        self.replicated_sequence = up_to
+        self.waiting_since_ms = now_ms if up_to < self.awaited_sequence else math.inf
+        actions: list[WriterAction] = [Replicated(up_to)]
+        if self.gap_since_ms is not None and up_to >= self.last[1]:
+            actions.append(GapEnded(now_ms - self.gap_since_ms))
+            self.gap_since_ms = None
         return actions
 
     def rejoin_replicas(self) -> list[WriterAction]:
-        """At times, some seconds apart: whoever is in reach and does not follow is asked anew."""
+        """Asks the reachable replicas that neither follow nor have answered since the last call to join again.
+
+        It is called every few seconds.
+        """
         actions: list[WriterAction] = []
-        for member, copy in self.replicas.items():
-            if copy.reachable and copy.state is not ReplicaState.FOLLOWING and not copy.asked:
+        for member, replica in self.replicas.items():
+            if replica.reachable and replica.state is not ReplicaState.FOLLOWING and not replica.contacted:
                 actions += self.set_reachable(member, True)
-            copy.asked = False
+            replica.contacted = False
         return actions
 
-    def tick(self, now_ms: float, due_ms: float = math.inf) -> list[WriterAction]:
-        """``due_ms``: then somebody who waits must be answered."""
-        waited_ms = now_ms - self.waiting_ms
-        if self.gap_ms is not None or self.fenced or (waited_ms < self.held_ms and now_ms < due_ms):
+    def tick(self, now_ms: float, deadline_ms: float = math.inf) -> list[WriterAction]:
+        """Begins a gap if a majority takes too long. ``deadline_ms``: when a waiting answer must be sent."""
+        waited_ms = now_ms - self.waiting_since_ms
+        if self.gap_since_ms is not None or self.fenced or (waited_ms < self.max_wait_ms and now_ms < deadline_ms):
             return []
-        self.gap_ms = now_ms
-        following = [name for name, copy in self.replicas.items() if copy.state is ReplicaState.FOLLOWING]
+        self.gap_since_ms = now_ms
+        following = [name for name, replica in self.replicas.items() if replica.state is ReplicaState.FOLLOWING]
         return [
             GapBegan(
-                f"of {len(following)} copies that follow ({self.needed_acks} must answer) too few did within "
+                f"of {len(following)} following replicas ({self.needed_acks} must answer) too few answered within "
                 f"{max(waited_ms, 0.0):.0f} ms, and answers were due"
             ),
             Replicated(math.inf),
--- a/flintshift/replication/logs.py
+++ b/flintshift/replication/logs.py
@@ -1,18 +1,25 @@
-"""A log that one process writes and further members copy: who may write it, what a copy takes, who goes on with it once
-its writer is dead: its messages. Without I/O; the state machines are `log_writer.py` and `log_holders.py`.
-
-A log belongs to the member that began it, and has a life drawn with it: a disk that was lost, and one that was taken
-over, never go on under their old name. It is copied record by record by the log's other holders (`Placement.log_holders`).
-
-- A writer has an **epoch**. A copy promises the highest that it was asked for, and takes nothing of a lower one.
-- A copy grants an epoch to no writer that is **behind** it, in (epoch, sequence) of the last record; and nobody takes a
-  log over without the word of a majority of its holders. So what stood at a majority is in every later writer's log.
-- A writer counts as one once a majority of the holders, itself among them, has granted it its epoch. What it wrote
-  before that under an epoch of its own is no sign that it lacks nothing: it shows how far it had come ``elected_position``.
-- What a writer found is counted as held only together with a first record of its own epoch.
-- A copy that was never filled, or may have lost its end, has no word on who takes over; but where the writer stays dead
-  for long, and no more can be had, the ledger goes on with what there is, and that is told. One that was never filled,
-  and has promised nothing to another, is let go as soon as its writer is dead.
+"""The rules of a replicated log, and its messages and actions.
+
+One process writes a log and further members hold replicas of it. The rules say who may write it, what a replica
+accepts, and who takes the log over once its writer is dead. Without I/O; the state machines are in `log_writer.py` and
+`log_holders.py`.
+
+A log belongs to the member that began it, and has a life that is drawn when it begins: after the loss of a disk, or
+after a takeover, the member begins another log. The other holders copy a log record by record
+(`Placement.log_holders`).
+
+- A writer has an **epoch**. A replica promises the highest epoch that it was asked for and rejects everything of a
+  lower one.
+- A replica grants an epoch to no writer that is **behind** it, in (epoch, sequence) of the last record, and nobody
+  takes a log over without the votes of a majority of its holders. So every later writer has all records that were on a
+  majority.
+- A writer is elected once a majority of the holders, itself among them, has granted it its epoch. Records that it wrote
+  under an epoch of its own before that don't show that it has all records, so it reports its ``elected_position``
+  instead: where it was when it was elected last.
+- The records that a writer found at its start count as replicated only together with a first record of its own epoch.
+- A replica that was never filled, or may have lost its end, has no vote on a takeover. But if the writer stays dead for
+  long and no more can be had, the log goes on with what there is, and this is logged. A replica that was never filled
+  and has promised nothing to another member is dropped as soon as its writer is dead.
 """
 
 from __future__ import annotations
@@ -22,29 +29,29 @@
 
 from msgspec import Struct
 
-LogId = tuple[str, bytes]  # the member that began it, and its life
+LogId = tuple[str, bytes]  # the member that began the log, and the log's life
 LogPosition = tuple[int, int]  # epoch and sequence of a last record
 NO_POSITION: LogPosition = (0, 0)
 Record = tuple[int, bytes]  # kind and payload
 
 
 class ReplicaVerdict(IntEnum):
-    """What a copy answers."""
+    """What the holder of a replica answers."""
 
     GRANTED = 1
     STALE_EPOCH = 2  # a higher epoch was promised
-    AHEAD = 3  # this copy holds what the asker lacks
-    NO_VOTE = 4  # this copy does not hold the log, or may have lost its end
+    AHEAD = 3  # this replica has records that the sender lacks
+    NO_VOTE = 4  # this member has no replica of the log, or one that may have lost its end
     FULL = 5  # no room for a further log
-    GAP = 6  # records are missing before these, or the disk refused some: this copy is to be filled
+    GAP = 6  # records before these are missing, or the disk rejected some: the replica needs a snapshot
     FINISHED = 7  # nothing of the log is needed any more
 
 
-# Between members.
+# Messages between members.
 
 
 class Join(Struct, frozen=True, gc=False):
-    """This process writes the log from here on, or wants to. ``takes_over``: it was another's."""
+    """The sender writes the log from here on, or wants to. ``takes_over``: it was another's."""
 
     log: LogId
     epoch: int
@@ -53,14 +60,16 @@
 
 
 class Append(Struct, frozen=True, gc=False):
+    """New records of a log."""
+
     log: LogId
     epoch: int
-    first: int
+    first: int  # sequence of the first of the records
     records: tuple[Record, ...]
 
 
 class SnapshotPart(Struct, frozen=True, gc=False):
-    """A piece of all that a copy needs to go on from a place, in place of what it holds."""
+    """A part of a snapshot, which replaces a replica and lets it go on from the position ``last``."""
 
     log: LogId
     epoch: int
@@ -71,11 +80,11 @@
 
 
 class ReplicaStatus(Struct, frozen=True, gc=False):
-    """Where a copy stands. ``parts_received``: of a whole that is coming, so many pieces are here."""
+    """The position of a replica. ``parts_received``: of a snapshot that is being transferred."""
 
     log: LogId
     verdict: ReplicaVerdict
-    epoch: int  # promised
+    epoch: int  # the promised one
     last: LogPosition
     parts_received: int = 0
 
@@ -99,42 +108,48 @@
 LogMessage = Join | Append | SnapshotPart | ReplicaStatus | Exported | LogFinished
 
 
-# The writer's side.
+# Actions of the writer.
 
 
 @dataclass(frozen=True, slots=True)
 class SendTo:
+    """Send a message to a holder."""
+
     member: str
     message: LogMessage
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotNeeded:
-    """Hand in all that a copy needs, by ``LogWriter.send_snapshot``."""
+    """Make a snapshot for this member and pass it to ``LogWriter.send_snapshot``."""
 
     member: str
 
 
 @dataclass(frozen=True, slots=True)
 class Replicated:
-    """Records up to this one stand at a majority of the holders; past a gap, all may be let go."""
+    """The records up to this sequence are on a majority of the holders. In a gap it is infinite: no answer waits."""
 
     up_to: float
 
 
 @dataclass(frozen=True, slots=True)
 class GapBegan:
+    """Too few replicas answer; answers no longer wait for them."""
+
     cause: str
 
 
 @dataclass(frozen=True, slots=True)
 class GapEnded:
+    """A majority has all records again."""
+
     duration_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class EpochRaised:
-    """Keep where the log stood ``elected_position``, then write under this epoch, a record of no content first."""
+    """Persist ``elected_position``, then write under this epoch, beginning with a record without content."""
 
     epoch: int
     elected_position: LogPosition
@@ -142,12 +157,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Elected:
-    """A majority has granted the epoch: keep that."""
+    """Persist that a majority has granted the epoch."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """The log is another's, or holds what this process lacks: write it no more."""
+    """Stop writing the log: it belongs to another process, or has records that this process lacks."""
 
     cause: str
 
@@ -155,12 +170,12 @@
 WriterAction = SendTo | SnapshotNeeded | Replicated | GapBegan | GapEnded | EpochRaised | Elected | Fenced
 
 
-# The holders' side.
+# Actions of the holders.
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Keep on the disk that this epoch is this process's, before anything is answered."""
+    """Persist that this epoch is promised to the process, before anything is answered."""
 
     log: LogId
     epoch: int
@@ -169,6 +184,8 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRecords:
+    """Append these records to the replica."""
+
     log: LogId
     epoch: int
     first: int
@@ -177,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """Hold this in place of what stood there."""
+    """Replace the content of the replica with this snapshot."""
 
     log: LogId
     last: LogPosition
@@ -186,14 +203,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordExport:
-    """Keep that a sink has this document."""
+    """Persist that a sink has this document."""
 
     export: Exported
 
 
 @dataclass(frozen=True, slots=True)
 class MarkFinished:
-    """Keep of it only that it is over, under this epoch."""
+    """Remove the content of the replica, and persist only that the log is finished under this epoch."""
 
     log: LogId
     epoch: int
@@ -201,26 +218,30 @@
 
 @dataclass(frozen=True, slots=True)
 class DeleteReplica:
+    """Delete the replica."""
+
     log: LogId
 
 
 @dataclass(frozen=True, slots=True)
 class AbandonLog:
-    """Nothing of it is held here, and its writer stays dead: drop it, and tell."""
+    """Delete a replica that holds no records and whose writer stays dead, and log it."""
 
     log: LogId
-    writer: str  # the process that wrote it
+    writer: str  # the process that wrote the log
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
+    """Answer a process with the status of a replica."""
+
     to: str  # a process
     message: ReplicaStatus
 
 
 @dataclass(frozen=True, slots=True)
 class SendToHolder:
-    """Ask a member, or tell it that all of a log is over."""
+    """Ask a member for its vote on a takeover, or tell it that a log is finished."""
 
     member: str
     message: Join | LogFinished
@@ -228,13 +249,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TakenOver:
-    """This member goes on with the log, under this epoch."""
+    """This member goes on with the log under this epoch."""
 
     log: LogId
     epoch: int
     last: LogPosition
-    previous_writer: str  # the process that wrote it
-    missing_holders: tuple[str, ...]  # holders that had no word: what they and the dead writer alone held is missing
+    previous_writer: str  # the process that wrote the log
+    missing_holders: tuple[str, ...]  # had no vote: records that only they and the dead writer held are missing
 
 
 HolderAction = (
