--- a/tests/replication/test_agreement.py
+++ b/tests/replication/test_agreement.py
@@ -337,7 +337,7 @@
 
     def handle(self, now_ms, event):
         if isinstance(event, Claim):
-            event = structs.replace(event, deadline_ms=now_ms + self.draw.choice([1.0, 5.0, 100.0]))
+            event = structs.replace(event, deadline_ms=now_ms + self.rng.choice([1.0, 5.0, 100.0]))
         actions = super().handle(now_ms, event)
         waits = [at for _, at in self.followed.values()]
         for proposal in self.active.values():
