--- a/tests/replication/mutants.py
+++ b/tests/replication/mutants.py
@@ -1,4 +1,4 @@
-"""The rules of the copies, each broken on purpose: whoever checks them must see it."""
+"""Deliberately broken versions of the replication rules. The checks must detect each of them."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from flintshift.replication.registers import Registers
 
 
-class VotesWhileEmpty(Registers):
-    """A store that lost its disk votes before it is filled."""
+class VotesBeforeRefill(Registers):
+    """A store that lost its disk votes before it is refilled."""
 
     def can_vote_on(self, now_ms, holders):
         return True
 
 
 class NoStoreCheck(Registers):
-    """Whoever counts on a store that is gone is heard."""
+    """A proposer that relies on a lost store gets a vote."""
 
     def vote(self, now_ms, ask):
         stores = tuple(self.stores.get(name, 0) for name in self.placement.holders(ask.key))
         return super().vote(now_ms, replace(ask, stores=stores))
 
 
-class MinorityEnds(Proposals):
-    """One holder's acceptance counts as the word of all."""
+class MinorityDecides(Proposals):
+    """The acceptance of a single holder counts as a majority."""
 
     def _evaluate_votes(self, now_ms, key, proposal):
         if proposal.step is Step.ACCEPT and any(vote.verdict is Verdict.OK for vote in proposal.votes.values()):
@@ -33,11 +33,11 @@
         return super()._evaluate_votes(now_ms, key, proposal)
 
 
-class MajorityOfFirst(Proposals):
-    """A claim of round 0 counts with two of three holders, though the third may tell another story with one of them."""
+class MajorityDecidesFastRound(Proposals):
+    """Two of three holders decide round 0, though another claim may get the third holder and one of the two."""
 
     def _evaluate_votes(self, now_ms, key, proposal):
-        good = [vote for vote in proposal.votes.values() if vote.verdict is Verdict.OK]
-        if proposal.step is Step.FIRST and len(good) >= self.placement.majority:
+        granting = [vote for vote in proposal.votes.values() if vote.verdict is Verdict.OK]
+        if proposal.step is Step.FIRST and len(granting) >= self.placement.majority:
             return self._handle_chosen(now_ms, key, proposal, proposal.value, 1)
         return super()._evaluate_votes(now_ms, key, proposal)
--- a/tests/replication/test_member_words.py
+++ b/tests/replication/test_member_messages.py
@@ -1,4 +1,4 @@
-"""Placement, and the words between members as they stand on the wire."""
+"""Placement, and the encoding of the messages between members."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 KEYS = [("submit-time", f"k{number}") for number in range(2000)]
 VALUE = Value(Stage.CLAIMED, "r1", "n1#1", b"\0\xff" * 8, 1234.5)
-WORDS = [
+MESSAGES = [
     Ask(1, "n1#1", Step.READ, ("c", "k"), NO_BALLOT, (1, 2, 3), None, True),
     Ask(2, "n1#1", Step.ACCEPT, ("c", "k"), (7, "n1#1"), (0, 2**63, 3), VALUE),
     Vote(3, Verdict.OK, (0, "n2#9"), (0, "n2#9"), VALUE, (1, 2, 3)),
@@ -38,13 +38,13 @@
 ]
 
 
-@pytest.mark.parametrize("word", WORDS, ids=lambda word: type(word).__name__)
-def test_words_come_as_they_went(word):
-    data = batch_of([word]).SerializeToString()
-    assert words_of(read_batch(data), "n1", "n1#1") == [word]
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
+def test_messages_are_decoded_as_they_were_encoded(message):
+    data = batch_of([message]).SerializeToString()
+    assert words_of(read_batch(data), "n1", "n1#1") == [message]
 
 
-def test_an_accusation_comes_with_its_accuser_and_every_outcome_has_a_number():
+def test_an_accusation_is_decoded_with_its_accuser_and_every_outcome_has_a_number():
     assert words_of(batch_of([Accuse("n3#1", True)]), "n2", "n2#1") == [Accused("n2", "n3#1", True)]
     assert set(OUTCOMES) == set(Outcome)
 
@@ -58,31 +58,31 @@
         pb.Batch(asks=[pb.Ask(step=2, value=pb.Value(stage=8))]),
     ],
 )
-def test_words_that_cannot_be_are_refused(batch):
+def test_invalid_messages_are_rejected(batch):
     with pytest.raises(WordsError):
         words_of(batch, "n1", "n1#1")
 
 
-def test_junk_is_no_batch_and_fields_of_a_later_release_are_skipped():
+def test_a_malformed_batch_is_rejected_and_fields_of_a_later_release_are_skipped():
     with pytest.raises(WordsError):
         read_batch(b"\xff" * 9)
-    later = batch_of([WORDS[1]]).SerializeToString() + b"\xfa\x07\x03abc"  # field 127
-    assert words_of(read_batch(later), "n1", "n1#1") == [WORDS[1]]
+    later = batch_of([MESSAGES[1]]).SerializeToString() + b"\xfa\x07\x03abc"  # field 127
+    assert words_of(read_batch(later), "n1", "n1#1") == [MESSAGES[1]]
 
 
 @pytest.mark.parametrize(
-    ("schema", "meets"), [(SCHEMA - 1, True), (SCHEMA, True), (SCHEMA + 1, True), (SCHEMA + 2, False)]
+    ("schema", "accepted"), [(SCHEMA - 1, True), (SCHEMA, True), (SCHEMA + 1, True), (SCHEMA + 2, False)]
 )
-def test_members_one_release_apart_go_on_together_both_ways(schema, meets):
-    mine, list_ = Greeting("n1", "n1#1", 1, b"digest"), ["n1", "n2"]
+def test_members_one_release_apart_accept_each_other(schema, accepted):
+    greeting, member_names = Greeting("n1", "n1#1", 1, b"digest"), ["n1", "n2"]
     hello = Greeting("n2", "n2#1", 1, b"digest").hello(7, 0).hello
     hello.schema = schema
-    told = read_batch(pb.Batch(hello=hello).SerializeToString() + b"\xfa\x07\x03abc").hello  # and a field of its own
-    assert bool(mine.refuses(told, list_)) is not meets
+    received = read_batch(pb.Batch(hello=hello).SerializeToString() + b"\xfa\x07\x03abc").hello  # and an unknown field
+    assert bool(greeting.refuses(received, member_names)) is not accepted
 
 
 @pytest.mark.parametrize(
-    ("halls", "copies", "least"),
+    ("halls", "replica_count", "min_halls"),
     [
         ({"n1": "a", "n2": "a", "n3": "a", "n4": "b", "n5": "b"}, 3, 2),
         ({f"n{n}": f"h{n % 3}" for n in range(9)}, 3, 3),
@@ -91,22 +91,22 @@
         ({f"n{n}": f"h{n % 2}" for n in range(7)}, 5, 2),
     ],
 )
-def test_copies_stand_on_different_members_and_in_as_many_halls_as_there_are(halls, copies, least):
-    placement = Placement(halls, copies)
+def test_replicas_are_on_different_members_and_in_as_many_halls_as_possible(halls, replica_count, min_halls):
+    placement = Placement(halls, replica_count)
     for key in KEYS[:200]:
         holders = placement.holders(key)
-        assert len(set(holders)) == len(holders) == min(copies, len(halls))
-        assert len({halls[name] for name in holders}) >= least
+        assert len(set(holders)) == len(holders) == min(replica_count, len(halls))
+        assert len({halls[name] for name in holders}) >= min_halls
 
 
-def test_only_what_a_member_holds_moves_when_it_goes():
+def test_only_the_keys_of_a_removed_member_move():
     halls = {f"n{n}": f"h{n % 3}" for n in range(12)}
     before, after = Placement(halls, 3), Placement({name: hall for name, hall in halls.items() if name != "n4"}, 3)
     for key in KEYS:
-        held, now = set(before.holders(key)), set(after.holders(key))
-        assert now >= held - {"n4"} if "n4" in held else now == held
+        old_holders, new_holders = set(before.holders(key)), set(after.holders(key))
+        assert new_holders >= old_holders - {"n4"} if "n4" in old_holders else new_holders == old_holders
 
 
-def test_the_order_of_the_list_does_not_matter():
-    one, other = Placement({"a": "x", "b": "y", "c": "x"}, 2), Placement({"c": "x", "b": "y", "a": "x"}, 2)
-    assert all(one.holders(key) == other.holders(key) for key in KEYS[:100])
+def test_the_order_of_the_members_does_not_matter():
+    first, second = Placement({"a": "x", "b": "y", "c": "x"}, 2), Placement({"c": "x", "b": "y", "a": "x"}, 2)
+    assert all(first.holders(key) == second.holders(key) for key in KEYS[:100])
--- a/tests/replication/test_replica_store.py
+++ b/tests/replication/test_replica_store.py
@@ -1,4 +1,4 @@
-"""A member's own store at the node's side: what ends the wait of one that is filled, and what it tells its host."""
+"""A member's own store in the node: when a refilled store begins to vote, and what it reports to its host."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     identity = "n1#1"
 
     def __init__(self):
-        self.told, self.now = [], 1000.0
+        self.events, self.now = [], 1000.0
 
     def tell(self, event):
-        self.told.append(event)
+        self.events.append(event)
 
-    def send(self, identity, word):
-        raise AssertionError("nobody asked")
+    def send(self, identity, message):
+        raise AssertionError("nothing is to be sent")
 
     def keep_for_ms(self):
         return WINDOW_MS
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def store(host):
-    """One whose disk is empty."""
+    """A store whose disk is empty."""
     placement = Placement({"n1": "ruwi-hall", "n2": "ruwi-hall", "n3": "seeb-hall"}, 3)
     options = CopiesOptions(Path("/srv/copies"), 3, "process-death", 1000, 1 << 20, 1 << 20)
     store = ReplicaStore(
@@ -52,15 +52,15 @@
     store.close()
 
 
-def test_a_store_that_nobody_answers_votes_once_its_window_has_passed_and_not_before(host, store):
-    number = store.registers.store
-    assert host.told == [ReachabilityChanged("n1", True, number)]
-    begun = host.now
-    assert sorted(store.asks(begun, REACHED)) == [(name, FillAsk(number, None)) for name in sorted(REACHED)]
+def test_a_store_without_answers_votes_once_its_window_has_passed_and_not_before(host, store):
+    incarnation = store.registers.store
+    assert host.events == [ReachabilityChanged("n1", True, incarnation)]
+    start_ms = host.now
+    assert sorted(store.asks(start_ms, REACHED)) == [(name, FillAsk(incarnation, None)) for name in sorted(REACHED)]
     assert (
-        store.asks(begun + WINDOW_MS - 1.0, REACHED) == [] and not store.registers.votes_on_all_keys
-    )  # asked once a link
+        store.asks(start_ms + WINDOW_MS - 1.0, REACHED) == [] and not store.registers.votes_on_all_keys
+    )  # one request per link
     store.link_lost("n2")
-    assert [name for name, _ in store.asks(begun + WINDOW_MS - 0.5, REACHED)] == ["n2"]
-    assert store.asks(begun + WINDOW_MS, REACHED) == [] and store.registers.votes_on_all_keys
+    assert [name for name, _ in store.asks(start_ms + WINDOW_MS - 0.5, REACHED)] == ["n2"]
+    assert store.asks(start_ms + WINDOW_MS, REACHED) == [] and store.registers.votes_on_all_keys
     assert store.folder.state.votes and store.refill is None
--- a/tests/replication/test_store.py
+++ b/tests/replication/test_store.py
@@ -1,4 +1,4 @@
-"""The store of the copies on a disk: which store it is, what it still knows, and whether it votes."""
+"""The replicated keys on the disk: the identity of the store, what it recovers, and whether it votes."""
 
 from __future__ import annotations
 
@@ -26,122 +26,128 @@
     return Entry(("submit-time", f"k{number}"), (2, "n1#1"), (1, "n1#1"), value, for_ms)
 
 
-def opened(files, now=NOW, member="n1", boot="b1", synced=False, unix_ms=None):
+def open_folder(files, now=NOW, member="n1", boot="b1", synced=False, unix_ms=None):
     unix_ms = now if unix_ms is None else unix_ms
     return ReplicaFolder(files, FOLDER, member, now, unix_ms, boot, synced, entry_bytes, entry_from)
 
 
-def founded(files=None):
+def create_store(files=None):
     files = files or SimFiles()
     create_empty_store(files, FOLDER, NOW, "b1")
     return files
 
 
-def test_a_founded_store_votes_and_one_that_was_not_does_not():
-    assert opened(founded()).recovered.no_vote_reason == "" and opened(founded()).state.votes
-    empty = opened(SimFiles())
+def test_a_created_store_votes_and_an_empty_disk_does_not():
+    assert open_folder(create_store()).recovered.no_vote_reason == "" and open_folder(create_store()).state.votes
+    empty = open_folder(SimFiles())
     assert empty.recovered.no_vote_reason == "its disk is empty" and not empty.state.votes
 
 
-def test_a_store_is_founded_once():
-    files = founded()
+def test_a_store_is_created_once():
+    files = create_store()
     with pytest.raises(FileExistsError):
         create_empty_store(files, FOLDER, NOW, "b1")
 
 
-def test_what_was_written_is_there_again_with_the_time_that_is_left():
-    files = founded()
-    store = opened(files)
+def test_written_entries_are_recovered_with_their_remaining_time():
+    files = create_store()
+    store = open_folder(files)
     store.write([entry(1), entry(2, for_ms=500.0)], NOW)
     store.write([Entry(("submit-time", "k3"), (7, "n2#1"), NO_BALLOT, None, 9000.0)], NOW)
     store.close()
-    again = opened(files, NOW + 1000.0)
+    again = open_folder(files, NOW + 1000.0)
     assert again.state.incarnation == store.state.incarnation
-    assert {one.key[1]: one.remaining_ms for one in again.recovered.entries} == {"k1": 29_000.0, "k3": 8000.0}
-    assert next(one for one in again.recovered.entries if one.key[1] == "k1").value == entry(1).value
+    assert {recovered.key[1]: recovered.remaining_ms for recovered in again.recovered.entries} == {
+        "k1": 29_000.0,
+        "k3": 8000.0,
+    }
+    assert next(recovered for recovered in again.recovered.entries if recovered.key[1] == "k1").value == entry(1).value
 
 
-def test_a_clock_set_back_keeps_what_is_held_for_longer_and_never_shorter():
-    files = founded()
-    store = opened(files)
+def test_after_a_backward_clock_step_entries_are_kept_longer_and_never_shorter():
+    files = create_store()
+    store = open_folder(files)
     store.write([entry(1)], NOW)
     store.close()
-    assert [one.remaining_ms for one in opened(files, NOW - 3_600_000.0).recovered.entries] == [30_000.0]
+    assert [recovered.remaining_ms for recovered in open_folder(files, NOW - 3_600_000.0).recovered.entries] == [
+        30_000.0
+    ]
 
 
 @pytest.mark.parametrize(
-    ("change", "why", "keeps"),
+    ("change", "reason", "keeps_entries"),
     [
         ({"member": "n2"}, "that of n1", False),
         ({"boot": "b2"}, "may not have reached the disk", True),
         ({"boot": "b2", "synced": True}, "", True),
     ],
 )
-def test_a_disk_that_may_not_know_all_is_another_store(change, why, keeps):
-    files = founded()
-    store = opened(files)
+def test_a_disk_that_may_lack_promises_gets_another_incarnation(change, reason, keeps_entries):
+    files = create_store()
+    store = open_folder(files)
     store.write([entry(1)], NOW)
     store.close()
-    again = opened(files, **change)
-    assert why in again.recovered.no_vote_reason and again.state.votes is (why == "")
-    assert (len(again.recovered.entries) == 1) is keeps
-    if keeps:
-        assert (again.state.incarnation > store.state.incarnation) is (why != "")
+    again = open_folder(files, **change)
+    assert reason in again.recovered.no_vote_reason and again.state.votes is (reason == "")
+    assert (len(again.recovered.entries) == 1) is keeps_entries
+    if keeps_entries:
+        assert (again.state.incarnation > store.state.incarnation) is (reason != "")
 
 
-def flip(files, path, place):
-    files.names_now[path].data[place] ^= 1
+def flip_bit(files, path, offset):
+    files.names_now[path].data[offset] ^= 1
 
 
-def test_a_flipped_byte_is_seen_and_the_store_begins_anew_without_a_vote():
-    files = founded()
-    store = opened(files)
+def test_a_flipped_bit_is_detected_and_the_store_begins_empty_without_a_vote():
+    files = create_store()
+    store = open_folder(files)
     store.write([entry(1), entry(2)], NOW)
     log = next(path for path in files.names_now if path.suffix == ".log")
-    for place in range(12, len(files.names_now[log].data) - 1, 7):
-        flip(files, log, place)
+    for offset in range(12, len(files.names_now[log].data) - 1, 7):
+        flip_bit(files, log, offset)
         with pytest.raises(DamagedError):
             examine_store(files, FOLDER, entry_from)
-        flip(files, log, place)
+        flip_bit(files, log, offset)
     assert examine_store(files, FOLDER, entry_from)[1:] == (2, 2)
     store.close()
-    flip(files, log, 40)
-    again = opened(files)
+    flip_bit(files, log, 40)
+    again = open_folder(files)
     assert "damaged" in again.recovered.no_vote_reason and not again.state.votes and again.recovered.entries == []
 
 
-def test_the_machine_stops_at_every_operation_and_nothing_written_is_lost_or_invented():
-    """A vote leaves after `write`: whatever it said is there in the next life, unless that life has no vote."""
+def test_a_machine_that_stops_at_any_operation_loses_and_invents_no_entries():
+    """A vote is sent after `write`. So each written entry is recovered at the next start, unless the store has no vote
+    then."""
 
-    def life(files):
-        store = opened(files)
+    def write_and_rotate(files):
+        store = open_folder(files)
         store.write([entry(1)], NOW)
-        kept.append("k1")
+        written.append("k1")
         store.rotate(NOW)
         store.write([entry(2)], NOW)
-        kept.append("k2")
+        written.append("k2")
         store.rotate(NOW + 1.0)
 
-    kept = []
-    whole = founded()
-    before = whole.count
-    life(whole)
-    for stop_at in range(before + 1, whole.count + 1):
+    written = []
+    undisturbed = create_store()
+    first_operation = undisturbed.count
+    write_and_rotate(undisturbed)
+    for stop_at in range(first_operation + 1, undisturbed.count + 1):
         for after in (False, True):
-            kept = []
-            files = founded(SimFiles())
+            written = []
+            files = create_store(SimFiles())
             files.stop_at, files.after = stop_at, after
             with pytest.raises(StoppedError):
-                life(files)
-            again = opened(files.survived("kept"))
+                write_and_rotate(files)
+            again = open_folder(files.survived("kept"))
             assert again.state.votes, (stop_at, after)
-            assert set(kept) <= {one.key[1] for one in again.recovered.entries} <= {"k1", "k2"}
+            assert set(written) <= {recovered.key[1] for recovered in again.recovered.entries} <= {"k1", "k2"}
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
-def test_a_disk_that_refuses_takes_again_after_reopen_with_all_that_counts(error):
-    files = founded()
-    store = opened(files)
+def test_after_reopen_a_failed_disk_has_all_valid_entries(error):
+    files = create_store()
+    store = open_folder(files)
     store.write([entry(1)], NOW)
     files.refuse = {files.count + 1: error}
     with pytest.raises(OSError, match="refused"):
@@ -150,29 +156,29 @@
         store.write([entry(3)], NOW)
     store.reopen([entry(1), entry(3)], NOW)
     store.close()
-    assert {one.key[1] for one in opened(files).recovered.entries} == {"k1", "k3"}
+    assert {recovered.key[1] for recovered in open_folder(files).recovered.entries} == {"k1", "k3"}
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
-def test_a_write_that_is_refused_twice_counts_for_nothing_and_the_next_one_stands(error):
-    files = founded()
-    store = opened(files)
+def test_a_write_that_fails_twice_leaves_nothing_and_the_next_one_is_durable(error):
+    files = create_store()
+    store = open_folder(files)
     store.write([entry(1)], NOW)
-    files.refuse = {files.count + 1: error, files.count + 3: error}  # the write, and the one behind its repair
+    files.refuse = {files.count + 1: error, files.count + 3: error}  # the write, and its retry after the repair
     with pytest.raises(OSError, match="refused"):
         store.write([entry(2)], NOW)
     store.write([entry(3)], NOW)
     store.close()
-    assert {one.key[1] for one in opened(files).recovered.entries} == {"k1", "k3"}
+    assert {recovered.key[1] for recovered in open_folder(files).recovered.entries} == {"k1", "k3"}
 
 
-def test_segments_go_once_nothing_in_them_counts():
-    files = founded()
-    store = opened(files)
+def test_segments_are_removed_once_all_their_entries_have_expired():
+    files = create_store()
+    store = open_folder(files)
     store.write([entry(1, for_ms=5000.0)], NOW)
     assert store.rotate(NOW + 1000.0) == 0
     store.write([entry(2, for_ms=5000.0)], NOW + 1000.0)
     assert store.rotate(NOW + 5500.0) == 1
     assert store.rotate(NOW + 9000.0) >= 1
     store.close()
-    assert opened(files, NOW + 9000.0).recovered.entries == []
+    assert open_folder(files, NOW + 9000.0).recovered.entries == []
--- a/tests/replication/test_store_refusals.py
+++ b/tests/replication/test_store_refusals.py
@@ -1,16 +1,14 @@
-"""A member votes on while its disk refuses single writes.
+"""A member continues to vote while its disk rejects single writes.
 
-What happened: in a fleet of five with three copies, one write in 200 refused on each disk made 8 to 46 % of the keyed
-answers refused or failed, and 1 to 2 % with no fault.
+In a fleet of five with three replicas, one rejected write in 200 on each disk made 8 to 46 % of the keyed requests fail
+or be rejected; without a fault it was 1 to 2 %. A holder took a single rejected write for a failed disk
+(`ReplicaStore._refuses`), reported that it couldn't vote and tried its disk again a second later, though the next write
+would have succeeded. Two of the three holders of a key were soon away at the same time, and nobody could claim it.
+Besides, the rest of a rejected write was not cut off from the log, though its length alone tells it from a whole
+record.
 
-Sequence: a holder's disk refuses one write. The holder says that it can't vote, and tries its disk again a second
-later. Two of three holders of a key are soon away at once, and nobody can claim it.
-
-Cause: a refused write was taken for a disk that refuses (`ReplicaStore._refuses`), though the next one would go well;
-and what a refused write leaves in the log could be told from a whole record by its length alone, but was not cut off.
-
-What settled it: "copies.disk_refuses" with "copies.disk_takes_again" 1.03 s behind each, 33 times in a play, and
-"no majority of the key's holders can vote" 1,669 times in another, with 34 single refusals.
+The logs showed "copies.disk_refuses" with "copies.disk_takes_again" 1.03 s after each, 33 times in one run, and "no
+majority of the key's holders can vote" 1,669 times in another, with 34 single rejected writes.
 """
 
 from __future__ import annotations
@@ -42,28 +40,28 @@
     identity = "n1#1"
 
     def __init__(self):
-        self.told, self.sent, self.now = [], [], 1000.0
+        self.events, self.sent, self.now = [], [], 1000.0
 
     def tell(self, event):
-        self.told.append(event)
+        self.events.append(event)
 
-    def send(self, identity, word):
-        self.sent.append(word)
+    def send(self, identity, message):
+        self.sent.append(message)
 
     def keep_for_ms(self):
         return WINDOW_MS
 
 
 class Member:
-    """A store that votes, on a disk that can be made to refuse."""
+    """A voting store on a disk that can be made to reject operations."""
 
     def __init__(self, durability="process-death"):
         self.files, self.host, self.logged = SimFiles(), Host(), []
         create_empty_store(self.files, FOLDER, 1.0, boot_id())
-        self.store = self.opened(durability)
-        self.numbers = 0
+        self.store = self.open_store(durability)
+        self.request_number = 0
 
-    def opened(self, durability="process-death"):
+    def open_store(self, durability="process-death"):
         placement = Placement({"n1": "ruwi-hall", "n2": "ruwi-hall", "n3": "seeb-hall"}, 3)
         store = ReplicaStore(
             self.host,
@@ -78,19 +76,19 @@
         store.open()
         return store
 
-    def refuse(self, *places):
-        """Of the operations from now on these fail, counted from 1."""
-        self.files.refuse = {self.files.count + place: errno.EIO for place in places}
+    def reject(self, *operations):
+        """Makes these of the following disk operations fail, counted from 1."""
+        self.files.refuse = {self.files.count + operation: errno.EIO for operation in operations}
 
-    def refuse_all(self):
-        self.refuse(*range(1, 10_000))
+    def reject_all(self):
+        self.reject(*range(1, 10_000))
 
     async def vote(self, key):
-        self.numbers += 1
-        value = Value(Stage.CLAIMED, f"r{self.numbers}", "n2#1", b"p" * 16, WINDOW_MS)
-        known, name = self.store.registers, ("submit-time", key)
-        stores = tuple(known.store if one == "n1" else 0 for one in known.placement.holders(name))
-        ask = Ask(self.numbers, "n2#1", Step.FIRST, name, NO_BALLOT, stores, value)
+        self.request_number += 1
+        value = Value(Stage.CLAIMED, f"r{self.request_number}", "n2#1", b"p" * 16, WINDOW_MS)
+        registers, full_key = self.store.registers, ("submit-time", key)
+        stores = tuple(registers.store if name == "n1" else 0 for name in registers.placement.holders(full_key))
+        ask = Ask(self.request_number, "n2#1", Step.FIRST, full_key, NO_BALLOT, stores, value)
         self.store.vote("n2#1", ask)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -99,41 +97,41 @@
     def keys_after_restart(self):
         self.files.refuse = {}
         self.store.close()
-        return {key[1] for key in self.opened().registers.table}
+        return {key[1] for key in self.open_store().registers.table}
 
 
-async def test_a_vote_is_given_though_the_disk_refuses_one_write():
+async def test_a_holder_votes_though_its_disk_rejects_one_write():
     member = Member()
-    member.refuse(1)
+    member.reject(1)
     assert await member.vote("k1") is Verdict.OK
     assert await member.vote("k2") is Verdict.OK
     assert member.keys_after_restart() == {"k1", "k2"}
 
 
-@pytest.mark.parametrize("places", [(1, 2), (1, 3), (1, 2, 3), (1, 2, 3, 4)])
-async def test_votes_go_on_within_100_ms_of_several_refusals(places):
+@pytest.mark.parametrize("operations", [(1, 2), (1, 3), (1, 2, 3), (1, 2, 3, 4)])
+async def test_votes_go_on_within_100_ms_after_several_rejected_operations(operations):
     member = Member()
-    member.refuse(*places)
-    given = {"k1"} if await member.vote("k1") is Verdict.OK else set()
-    for _ in range(2):  # ticks of the owner
+    member.reject(*operations)
+    voted_keys = {"k1"} if await member.vote("k1") is Verdict.OK else set()
+    for _ in range(2):  # ticks of the store's host
         member.host.now += 50.0
         member.store.usable(member.host.now)
     assert await member.vote("k2") is Verdict.OK
-    assert given | {"k2"} <= member.keys_after_restart()
+    assert voted_keys | {"k2"} <= member.keys_after_restart()
 
 
-async def test_a_disk_that_refuses_for_long_is_tried_less_and_less_often_and_votes_come_back():
+async def test_a_failed_disk_is_retried_with_backoff_and_votes_resume():
     member = Member()
-    member.refuse_all()
+    member.reject_all()
     assert await member.vote("k1") is Verdict.ABSENT
-    assert ReachabilityChanged("n1", False, 0) in member.host.told
-    tried, count = 0, member.files.count
+    assert ReachabilityChanged("n1", False, 0) in member.host.events
+    attempts, count = 0, member.files.count
     for _ in range(200):  # 10 s
         member.host.now += 50.0
         assert not member.store.usable(member.host.now)
-        tried += member.files.count > count
+        attempts += member.files.count > count
         count = member.files.count
-    assert 8 <= tried <= 20
+    assert 8 <= attempts <= 20
     assert member.logged.count("copies.disk_refuses") == 1
     member.files.refuse = {}
     for _ in range(21):
@@ -145,18 +143,18 @@
 
 
 class EmptyMember(Member):
-    """One that lost its disk; two others tell it what they hold."""
+    """A member that lost its disk, and that two others refill."""
 
     def __init__(self):
-        self.files, self.host, self.logged, self.numbers = SimFiles(), Host(), [], 0
-        self.store = self.opened()
+        self.files, self.host, self.logged, self.request_number = SimFiles(), Host(), [], 0
+        self.store = self.open_store()
 
     def tick(self):
         self.host.now += 50.0
         if self.store.usable(self.host.now):
-            for name, asked in self.store.asks(self.host.now, {"n2", "n3"}):
+            for name, request in self.store.asks(self.host.now, {"n2", "n3"}):
                 entry = Entry(("submit-time", f"from {name}"), NO_BALLOT, NO_BALLOT, VALUE, WINDOW_MS)
-                self.store.fill(name, Page((entry,), entry.key, True, True, asked.store))
+                self.store.fill(name, Page((entry,), entry.key, True, True, request.store))
 
     @property
     def state(self):
@@ -166,47 +164,47 @@
 VALUE = Value(Stage.CLAIMED, "r1", "n2#1", b"p" * 16, WINDOW_MS)
 
 
-def operations_of_a_refill():
+def count_refill_operations():
     member = EmptyMember()
-    begun = member.files.count
+    first_operation = member.files.count
     member.tick()
     assert member.state.votes
-    return member.files.count - begun
+    return member.files.count - first_operation
 
 
-@pytest.mark.parametrize("place", range(1, operations_of_a_refill() + 1))
-async def test_a_member_that_is_filled_votes_within_500_ms_of_each_single_refusal(place):
-    """A refused write of the last page, or of the state that it votes, ended the link that brought the page, and the
-    member had no vote until its whole window had passed."""
+@pytest.mark.parametrize("operation", range(1, count_refill_operations() + 1))
+async def test_a_member_in_refill_votes_within_500_ms_after_any_single_rejected_operation(operation):
+    """A rejected write of the last page, or of the state of the store, closed the link on which the page came, and the
+    member didn't vote until its whole window had passed."""
     member = EmptyMember()
-    member.refuse(place)
+    member.reject(operation)
     for _ in range(10):
         member.tick()
     assert member.store.registers.votes_on_all_keys and member.state.votes
     assert {"from n2", "from n3"} <= member.keys_after_restart()
 
 
-async def test_a_member_that_is_filled_while_its_disk_refuses_votes_once_it_takes_again():
+async def test_a_member_refilled_during_a_disk_failure_votes_once_its_disk_works_again():
     member = EmptyMember()
-    member.refuse_all()
+    member.reject_all()
     for _ in range(60):
         member.tick()
     assert not member.state.votes
     member.files.refuse = {}
-    for _ in range(40):  # 2 s: the longest wait between two tries is one
+    for _ in range(40):  # 2 s; the longest delay between two attempts is 1 s
         member.tick()
     assert member.store.registers.votes_on_all_keys and member.state.votes
     assert {"from n2", "from n3"} <= member.keys_after_restart()
 
 
-@pytest.mark.parametrize("place", range(1, 8))
-async def test_a_store_that_others_know_by_a_newer_one_outlasts_each_single_refusal(place):
+@pytest.mark.parametrize("operation", range(1, 8))
+async def test_a_store_with_an_outdated_incarnation_survives_any_single_rejected_operation(operation):
     member = Member()
-    member.refuse(place)
-    newer = member.store.registers.store + 5
-    member.store.met("n2", 1, newer)
+    member.reject(operation)
+    newer_store = member.store.registers.store + 5
+    member.store.met("n2", 1, newer_store)
     for _ in range(10):
         member.host.now += 50.0
         member.store.usable(member.host.now)
-    assert member.store.registers.store == member.store.folder.state.incarnation == newer + 1
+    assert member.store.registers.store == member.store.folder.state.incarnation == newer_store + 1
     assert not member.store.folder.state.votes
