--- a/tests/replication/test_usage_replica_refusals.py
+++ b/tests/replication/test_usage_replica_refusals.py
@@ -1,16 +1,14 @@
-"""Copies of ledgers stay in step with their disk while that refuses.
+"""The replicas of ledgers stay consistent with their disk while the disk rejects operations.
 
-What happened: disks of a fleet refused 300 of 1,000 writes for 5 s. Links between members ended 37 to 280 times a play,
-and some ledgers were never whole again.
+The disks of a fleet rejected 300 of 1,000 writes for 5 s. Links between members were closed 37 to 280 times per run,
+and some ledgers never became complete again. The state machine's replicas (`LogReplicas.table`) and those on the disk
+(`HeldCopies.replicas`) were changed one after the other, and an error between the two left the first change alone:
 
-Sequence: a member is asked to copy a ledger, and its disk refuses the folder. The state machine goes on with a copy
-that has no folder; the next piece of the ledger finds no entry in the table, and the exception ends the link.
+- A member was to replicate a ledger, and its disk rejected the folder. The state machine went on with a replica that
+  had no folder, so the next part of the ledger found no entry in the table, and the exception closed the link.
+- An epoch that was promised in memory and rejected by the disk was granted at the next join without being persisted.
 
-Cause: what the state machine knows of a copy (`LogReplicas.table`) and what stands on the disk (`UseCopies.replicas`)
-were changed one after the other, and a refusal between left the first alone. An epoch that was promised in memory, and
-refused by the disk, was granted at the next question without being kept.
-
-What settled it: `KeyError: ('n3', ...)` of `_held`, 129 times in one play, each followed by "peers.link_down".
+The logs showed `KeyError: ('n3', ...)` in `_held` 129 times in one run, each followed by "peers.link_down".
 """
 
 from __future__ import annotations
@@ -44,8 +42,8 @@
 TURNED = pack(Turned(1_000_000, 1000))
 
 
-def whole():
-    """All that a copy needs to hold the ledger's first record."""
+def snapshot_of_first_record():
+    """A snapshot of a ledger that has its first record only."""
     book = Book()
     book.apply(1, EPOCH, Opened("n1", LOG[1], 1000, ["a"], ["look"], 1_000_000))
     book.state.sequence = 1
@@ -53,244 +51,247 @@
 
 
 class Holder:
-    """A member that copies the ledger of n1, on a disk that can be made to refuse."""
+    """A member that holds a replica of n1's ledger, on a disk that can be made to reject operations."""
 
     def __init__(self, files=None, restore=True, name="n2", folder=Path("/srv/usage")):
         self.files, self.answers, self.logged, self.now = files or SimFiles(), [], [], 0.0
-        self.lives = True
+        self.writer_is_alive = True
         placement = Placement({"n1": "a", "n2": "b", "n3": "c"}, 3)
-        held = HeldCopies(
+        held_copies = HeldCopies(
             name,
             f"{name}#1",
             placement,
             CopiesOptions(Path("/srv/copies"), 3, "process-death", 1000, 1 << 20, 1 << 20, 1000.0),
             self.files,
             "boot",
-            lambda runner: self.lives,
+            lambda runner: self.writer_is_alive,
             lambda: self.now,
-            lambda member, word: self.answers.append(word),
-            lambda to, word: self.answers.append(word),
+            lambda member, message: self.answers.append(message),
+            lambda to, message: self.answers.append(message),
             Counters(),
             lambda level, event, **more: self.logged.append(event),
         )
         usage = UsageOptions(folder, 1000, 0, "process-death", 50.0, "serve", 1 << 20, 10**9, None)
-        self.copies = UseCopies(name, placement, usage, held)
+        self.copies = UseCopies(name, placement, usage, held_copies)
         if restore:
-            held.restore()
+            held_copies.restore()
 
-    def asked(self, word):
-        """The last answer to it; None: there was none."""
+    def send(self, message):
+        """Sends a message of the writer and returns the last answer, or None if there was none."""
         self.answers.clear()
-        self.copies.asked(WRITER, word)
+        self.copies.asked(WRITER, message)
         return self.answers[-1] if self.answers else None
 
-    def in_step(self):
-        """The state machine and the table name the same copies, and agree on what they promised and hold."""
+    def assert_consistent(self):
+        """Checks that the state machine and the disk have the same replicas, with the same promises and records."""
         table = self.copies.holder.held_logs.table
         assert set(table) == set(self.copies.holder.replicas)
-        for log, held in table.items():
+        for log, log_replica in table.items():
             replica = self.copies.holder.replicas[log]
-            assert (held.promised, held.promised_to, held.finished) == (
+            assert (log_replica.promised, log_replica.promised_to, log_replica.finished) == (
                 replica.state.promised,
                 replica.state.by,
                 replica.state.over,
             )
-            if held.complete:
-                assert held.last == replica.last
+            if log_replica.complete:
+                assert log_replica.last == replica.last
 
-    def life(self):
-        """A copy's whole life: joined, filled, written, noted, promised anew, over; and again what was refused."""
+    def life_cycle(self):
+        """The messages of a replica's life: join, snapshot, records, export, join under a higher epoch, end."""
         yield logs.Join(LOG, EPOCH, (EPOCH, 1))
-        yield logs.SnapshotPart(LOG, EPOCH, (EPOCH, 1), 0, False, whole())
+        yield logs.SnapshotPart(LOG, EPOCH, (EPOCH, 1), 0, False, snapshot_of_first_record())
         yield logs.Append(LOG, EPOCH, 2, (TURNED,))
         yield logs.Exported(LOG, "folder", "n1.e5.20260101T000000.000Z.r0.usage", b"d" * 32)
         yield logs.Join(LOG, EPOCH + 1, (EPOCH, 2))
         yield logs.LogFinished(LOG, EPOCH + 1)
 
 
-def operations_of_a_life():
+def count_life_cycle_operations():
     holder = Holder()
-    begun = holder.files.count
-    for word in holder.life():
-        holder.asked(word)
-    return holder.files.count - begun
+    first_operation = holder.files.count
+    for message in holder.life_cycle():
+        holder.send(message)
+    return holder.files.count - first_operation
 
 
-@pytest.mark.parametrize("place", range(1, operations_of_a_life() + 1))
+@pytest.mark.parametrize("operation", range(1, count_life_cycle_operations() + 1))
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO], ids=["full", "io"])
-def test_each_single_refusal_leaves_state_and_disk_in_step(place, error):
+def test_any_single_rejected_operation_leaves_state_and_disk_consistent(operation, error):
     holder = Holder()
-    holder.files.refuse = {holder.files.count + place: error}
-    for word in holder.life():
-        holder.asked(word)
-        holder.in_step()
+    holder.files.refuse = {holder.files.count + operation: error}
+    for message in holder.life_cycle():
+        holder.send(message)
+        holder.assert_consistent()
     holder.files.refuse = {}
-    again = Holder(holder.files.survived("kept"))  # what stands is opened again
-    again.in_step()
+    reopened = Holder(holder.files.survived("kept"))
+    reopened.assert_consistent()
 
 
-@pytest.mark.parametrize("place", range(1, operations_of_a_life() + 1))
-def test_after_each_single_refusal_the_writer_gets_the_copy_whole(place):
+@pytest.mark.parametrize("operation", range(1, count_life_cycle_operations() + 1))
+def test_after_any_single_rejected_operation_the_writer_completes_the_replica(operation):
     holder = Holder()
-    holder.files.refuse = {holder.files.count + place: errno.EIO}
-    steps = list(holder.life())[:3]
-    for word in steps:
-        holder.asked(word)
+    holder.files.refuse = {holder.files.count + operation: errno.EIO}
+    messages = list(holder.life_cycle())[:3]
+    for message in messages:
+        holder.send(message)
     holder.files.refuse = {}
-    joined = holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 2)))
-    if joined.verdict is logs.ReplicaVerdict.NO_VOTE:  # it is asked again
-        joined = holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 2)))
-    assert joined.verdict is logs.ReplicaVerdict.GRANTED
-    if joined.last != (EPOCH, 2):
-        holder.asked(logs.SnapshotPart(LOG, EPOCH, (EPOCH, 1), 0, False, whole()))
-        holder.asked(logs.Append(LOG, EPOCH, 2, (TURNED,)))
-    holder.in_step()
-    held = holder.copies.holder.held_logs.table[LOG]
-    assert held.complete and held.last == (EPOCH, 2)
-
-
-def test_a_promise_that_the_disk_refused_is_not_given_at_the_next_question():
+    status = holder.send(logs.Join(LOG, EPOCH, (EPOCH, 2)))
+    if status.verdict is logs.ReplicaVerdict.NO_VOTE:  # a second join follows
+        status = holder.send(logs.Join(LOG, EPOCH, (EPOCH, 2)))
+    assert status.verdict is logs.ReplicaVerdict.GRANTED
+    if status.last != (EPOCH, 2):
+        holder.send(logs.SnapshotPart(LOG, EPOCH, (EPOCH, 1), 0, False, snapshot_of_first_record()))
+        holder.send(logs.Append(LOG, EPOCH, 2, (TURNED,)))
+    holder.assert_consistent()
+    replica = holder.copies.holder.held_logs.table[LOG]
+    assert replica.complete and replica.last == (EPOCH, 2)
+
+
+def test_a_promise_that_the_disk_rejected_is_not_granted_at_the_next_join():
     holder = Holder()
-    for word in list(holder.life())[:3]:
-        holder.asked(word)
-    holder.files.refuse = {holder.files.count + place: errno.EIO for place in range(1, 1000)}
-    raised = logs.Join(LOG, EPOCH + 1, (EPOCH, 2))
-    assert holder.asked(raised) is None
-    assert holder.asked(raised) is None  # nothing was kept of it
+    for message in list(holder.life_cycle())[:3]:
+        holder.send(message)
+    holder.files.refuse = {holder.files.count + operation: errno.EIO for operation in range(1, 1000)}
+    higher_join = logs.Join(LOG, EPOCH + 1, (EPOCH, 2))
+    assert holder.send(higher_join) is None
+    assert holder.send(higher_join) is None  # nothing of it was persisted
     holder.files.refuse = {}
-    assert holder.asked(raised).verdict is logs.ReplicaVerdict.GRANTED
+    assert holder.send(higher_join).verdict is logs.ReplicaVerdict.GRANTED
     state = dict(on_disk.stands(holder.files, holder.copies.holder.folder)).popitem()[1]
     assert (state.promised, state.by) == (EPOCH + 1, WRITER)
 
 
-def test_a_copy_whose_folder_cannot_be_made_is_not_held_and_is_asked_for_again():
+def test_a_replica_whose_folder_cannot_be_created_is_not_held_and_can_be_joined_later():
     holder = Holder()
-    holder.files.refuse = {holder.files.count + place: errno.ENOSPC for place in range(1, 1000)}
-    assert holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 1))) is None
+    holder.files.refuse = {holder.files.count + operation: errno.ENOSPC for operation in range(1, 1000)}
+    assert holder.send(logs.Join(LOG, EPOCH, (EPOCH, 1))) is None
     assert holder.copies.holder.held_logs.table == {} and holder.copies.holder.replicas == {}
-    assert holder.asked(logs.Append(LOG, EPOCH, 2, (TURNED,))).verdict is logs.ReplicaVerdict.NO_VOTE
+    assert holder.send(logs.Append(LOG, EPOCH, 2, (TURNED,))).verdict is logs.ReplicaVerdict.NO_VOTE
     holder.files.refuse = {}
-    assert holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 1))).verdict is logs.ReplicaVerdict.GRANTED
+    assert holder.send(logs.Join(LOG, EPOCH, (EPOCH, 1))).verdict is logs.ReplicaVerdict.GRANTED
 
 
-def test_a_start_that_the_disk_refused_half_way_opens_its_copies_at_the_next_try():
+def test_a_start_that_fails_half_way_opens_its_replicas_at_the_next_attempt():
     holder = Holder()
-    for word in list(holder.life())[:3]:
-        holder.asked(word)
+    for message in list(holder.life_cycle())[:3]:
+        holder.send(message)
     holder.copies.close()
     files = holder.files
-    operations = files.count
+    first_operation = files.count
     Holder(files).copies.close()
-    for place in range(1, files.count - operations + 1):
-        files.refuse = {files.count + place: errno.EIO}
+    for operation in range(1, files.count - first_operation + 1):
+        files.refuse = {files.count + operation: errno.EIO}
         try:
-            again = Holder(files)
+            reopened = Holder(files)
         except OSError:
             files.refuse = {}
-            again = Holder(files)  # as a start does: the first try must hold nothing
+            reopened = Holder(files)  # as a start does: the failed attempt must leave nothing behind
         files.refuse = {}
-        again.in_step()
-        assert again.copies.holder.held_logs.table[LOG].last == (EPOCH, 2)
-        again.copies.close()
+        reopened.assert_consistent()
+        assert reopened.copies.holder.held_logs.table[LOG].last == (EPOCH, 2)
+        reopened.copies.close()
 
 
-@pytest.mark.parametrize("refused", [1, 1000], ids=["a record", "a record and what repairs it"])
-def test_a_writer_hears_that_records_were_refused_though_it_writes_no_more(refused):
-    """A ledger was not whole 30 s after its last record: its copy had refused that, said nothing, and its writer took
-    it for one that follows."""
+@pytest.mark.parametrize("rejected", [1, 1000], ids=["a record", "a record and its repair"])
+def test_a_writer_is_told_of_rejected_records_though_it_writes_no_more(rejected):
+    """The disk of a replica rejected the last record, no answer was sent, and the writer took the replica for a
+    following one. So the ledger was still incomplete 30 s later."""
     holder = Holder()
-    for word in list(holder.life())[:2]:
-        holder.asked(word)
-    holder.files.refuse = {holder.files.count + place: errno.EIO for place in range(1, 1000)}
-    assert holder.asked(logs.Append(LOG, EPOCH, 2, (TURNED,))) is None
-    if refused == 1:
+    for message in list(holder.life_cycle())[:2]:
+        holder.send(message)
+    holder.files.refuse = {holder.files.count + operation: errno.EIO for operation in range(1, 1000)}
+    assert holder.send(logs.Append(LOG, EPOCH, 2, (TURNED,))) is None
+    if rejected == 1:
         holder.files.refuse = {}
-    told = []
+    statuses = []
     for _ in range(40):  # 2 s
         holder.now += 50.0
         holder.answers.clear()
         holder.copies.tick()
-        told += [one for one in holder.answers if isinstance(one, logs.ReplicaStatus)]
-    assert [(one.verdict, one.epoch) for one in told] == [(logs.ReplicaVerdict.GAP, EPOCH)]
+        statuses += [answer for answer in holder.answers if isinstance(answer, logs.ReplicaStatus)]
+    assert [(status.verdict, status.epoch) for status in statuses] == [(logs.ReplicaVerdict.GAP, EPOCH)]
     writer = LogWriter(LOG, EPOCH, (EPOCH, 2), ("n2", "n3"), 1, 250.0, None)
     writer.replicas["n2"].reachable, writer.replicas["n2"].state = True, ReplicaState.FOLLOWING
-    assert writer.handle_status(holder.now, "n2", told[0]) == [logs.SnapshotNeeded("n2")]
+    assert writer.handle_status(holder.now, "n2", statuses[0]) == [logs.SnapshotNeeded("n2")]
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 5, 1000])
-def test_a_takeover_whose_first_record_was_refused_goes_on_once_the_disk_takes_it(count):
-    """A ledger that was taken over while the disk refused had no copies for ever: nobody was asked to follow."""
+def test_a_takeover_whose_first_record_was_rejected_goes_on_once_the_disk_works(count):
+    """A ledger that was taken over while the disk failed never got replicas: no member was asked to follow."""
     holder = Holder()
-    for word in list(holder.life())[:3]:
-        holder.asked(word)
+    for message in list(holder.life_cycle())[:3]:
+        holder.send(message)
     holder.copies.reach("n3", True)
-    holder.lives = False
-    asked = []
-    while not asked:
+    holder.writer_is_alive = False
+    takeover_joins = []
+    while not takeover_joins:
         holder.now += 50.0
         holder.answers.clear()
         holder.copies.tick()
-        asked = [one for one in holder.answers if isinstance(one, logs.Join) and one.takes_over]
+        takeover_joins = [answer for answer in holder.answers if isinstance(answer, logs.Join) and answer.takes_over]
     holder.answers.clear()
-    holder.files.refuse = {holder.files.count + place: errno.ENOSPC for place in range(1, count + 1)}
-    holder.copies.answered("n3", logs.ReplicaStatus(LOG, logs.ReplicaVerdict.GRANTED, asked[0].epoch, (EPOCH, 2)))
+    holder.files.refuse = {holder.files.count + operation: errno.ENOSPC for operation in range(1, count + 1)}
+    holder.copies.answered(
+        "n3", logs.ReplicaStatus(LOG, logs.ReplicaVerdict.GRANTED, takeover_joins[0].epoch, (EPOCH, 2))
+    )
     holder.now += 50.0
     holder.copies.tick()
     holder.files.refuse = {}
     for _ in range(10):
         holder.now += 50.0
         holder.copies.tick()
-    joins = [one for one in holder.answers if isinstance(one, logs.Join) and not one.takes_over]
-    assert {one.epoch for one in joins} == {asked[0].epoch}
+    joins = [answer for answer in holder.answers if isinstance(answer, logs.Join) and not answer.takes_over]
+    assert {join.epoch for join in joins} == {takeover_joins[0].epoch}
     taken = holder.copies.taken.table[LOG]
     assert taken.writer.last == taken.replica.last
-    assert taken.writer.last[0] == asked[0].epoch
-    assert not taken.replica.ledger.book.state.periods  # what was open is closed
-    assert taken.replica.ledger.book.state.epoch == asked[0].epoch
+    assert taken.writer.last[0] == takeover_joins[0].epoch
+    assert not taken.replica.ledger.book.state.periods  # the open ones were closed
+    assert taken.replica.ledger.book.state.epoch == takeover_joins[0].epoch
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 1000])
-def test_the_end_of_a_ledger_that_the_disk_refused_is_kept_once_it_takes_it(count):
-    """Whoever took the ledger over tells its end once; the copy stood on, as its writer lives."""
+def test_the_end_of_a_ledger_that_the_disk_rejected_is_persisted_once_the_disk_works(count):
+    """The member that took the ledger over reports its end only once. The replica remained, as its writer lives."""
     holder = Holder()
-    *words, over = list(holder.life())
-    for word in words:
-        holder.asked(word)
-    holder.files.refuse = {holder.files.count + place: errno.ENOSPC for place in range(1, count + 1)}
-    holder.asked(over)
-    holder.in_step()
+    *messages, log_finished = list(holder.life_cycle())
+    for message in messages:
+        holder.send(message)
+    holder.files.refuse = {holder.files.count + operation: errno.ENOSPC for operation in range(1, count + 1)}
+    holder.send(log_finished)
+    holder.assert_consistent()
     holder.files.refuse = {}
     for _ in range(20):  # 1 s
         holder.now += 50.0
         holder.copies.tick()
-    holder.in_step()
+    holder.assert_consistent()
     assert holder.copies.holder.held_logs.table[LOG].finished
     assert Holder(holder.files.survived("kept")).copies.holder.held_logs.table[LOG].finished
 
 
-def test_a_refused_word_on_one_ledger_does_not_stop_those_on_another():
-    """With no room for a further ledger, one that is over is dropped first: its refusal left the new one half made."""
+def test_a_rejected_operation_on_one_ledger_does_not_affect_another():
+    """Without room for a further ledger a finished one is deleted first. When that failed, the new replica was left
+    half created."""
     holder = Holder()
-    for word in holder.life():
-        holder.asked(word)
+    for message in holder.life_cycle():
+        holder.send(message)
     holder.copies.holder.held_logs.config = HolderConfig(max_logs=1)
     holder.files.refuse = {holder.files.count + 1: errno.EIO}
-    other = "n1", b"m" * 16
-    joined = holder.asked(logs.Join(other, EPOCH, (EPOCH, 1)))
-    holder.in_step()
-    assert joined.verdict is logs.ReplicaVerdict.GRANTED
+    other_log = "n1", b"m" * 16
+    status = holder.send(logs.Join(other_log, EPOCH, (EPOCH, 1)))
+    holder.assert_consistent()
+    assert status.verdict is logs.ReplicaVerdict.GRANTED
 
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("count", [1, 3, 6, 1000])
-async def test_a_ledger_that_another_has_begins_anew_once_the_disk_takes_it(count):
-    """The refusal was raised to the link that had brought the word, and the ledger was written no more."""
+async def test_a_fenced_ledger_begins_anew_once_the_disk_works(count):
+    """The disk's error was raised to the link on which the message had come, and the ledger was never written again."""
     life = Life(SimFiles(), BEGIN)
     ledger = life.ledger
     holder = Holder(life.files, name="n1", folder=FOLDER)
     holder.copies.write(ledger)
-    before = ledger.book.state.life
-    life.files.refuse = {life.files.count + place: errno.ENOSPC for place in range(1, count + 1)}
+    former_life = ledger.book.state.life
+    life.files.refuse = {life.files.count + operation: errno.ENOSPC for operation in range(1, count + 1)}
     writer = holder.copies.writer
     holder.copies.reach("n2", True)
     holder.copies.answered(
@@ -300,44 +301,46 @@
     for _ in range(3):
         holder.now += 50.0
         holder.copies.tick()
-    assert ledger.book.state.life not in (b"", before)
+    assert ledger.book.state.life not in (b"", former_life)
     assert holder.copies.writer.log == ("n1", ledger.book.state.life)
     assert load(life.files, FOLDER)[0].state.life == ledger.book.state.life
 
 
 @pytest.mark.anyio
-async def test_a_copy_whose_sync_failed_stays_unsure_through_a_later_refusal():
-    """What was written before a failed sync may be gone after a power cut, however well it can be read until then."""
+async def test_a_replica_whose_sync_failed_stays_incomplete_through_a_later_error():
+    """Records before a failed sync may be lost in a power cut, though they can be read until then."""
     holder = Holder()
     holder.copies.holder.options = replace(holder.copies.holder.options, durability="power-cut")
-    joined, filled, written, _, promised, _ = holder.life()
-    for word in (joined, filled, written):
-        holder.asked(word)
-    held = holder.copies.holder.held_logs
-    assert held.table[LOG].complete
+    join, snapshot, append, _, higher_join, _ = holder.life_cycle()
+    for message in (join, snapshot, append):
+        holder.send(message)
+    held_logs = holder.copies.holder.held_logs
+    assert held_logs.table[LOG].complete
     holder.files.refuse[holder.files.count + 1] = errno.EIO
     await holder.copies.holder.sync()
-    assert not held.table[LOG].complete
+    assert not held_logs.table[LOG].complete
     holder.files.refuse[holder.files.count + 1] = errno.EIO
-    holder.asked(promised)
-    assert not held.table[LOG].complete
+    holder.send(higher_join)
+    assert not held_logs.table[LOG].complete
     holder.copies.asked(WRITER, logs.Join(LOG, EPOCH + 1, (EPOCH, 2)))
-    holder.copies.asked(WRITER, logs.SnapshotPart(LOG, EPOCH + 1, (EPOCH + 1, 1), 0, False, whole()))
-    assert held.table[LOG].complete  # filled anew
+    holder.copies.asked(WRITER, logs.SnapshotPart(LOG, EPOCH + 1, (EPOCH + 1, 1), 0, False, snapshot_of_first_record()))
+    assert held_logs.table[LOG].complete  # it got a snapshot
     holder.files.refuse[holder.files.count + 1] = errno.EIO
-    holder.asked(logs.Join(LOG, EPOCH + 2, (EPOCH + 1, 1)))
-    assert held.table[LOG].complete  # and stays so
+    holder.send(logs.Join(LOG, EPOCH + 2, (EPOCH + 1, 1)))
+    assert held_logs.table[LOG].complete  # and it stays complete
 
 
-def test_a_copy_that_could_not_be_read_is_looked_at_again_and_counts_as_before():
+def test_an_unreadable_replica_is_read_again_and_counts_as_before():
     holder = Holder()
-    joined, filled, written, _, _, _ = holder.life()
-    for word in (joined, filled):
-        holder.asked(word)
+    join, snapshot, append, _, _, _ = holder.life_cycle()
+    for message in (join, snapshot):
+        holder.send(message)
     table, recovered = holder.copies.holder.held_logs.table, holder.copies.holder._recovered
     holder.copies.holder._recovered = lambda log, replica: False
-    holder.files.refuse |= {holder.files.count + step: errno.EIO for step in range(1, 9)}  # the write and its retries
-    holder.asked(written)
+    holder.files.refuse |= {
+        holder.files.count + operation: errno.EIO for operation in range(1, 9)
+    }  # the write and its retries
+    holder.send(append)
     assert not table[LOG].readable and not table[LOG].complete
     holder.copies.holder._recovered = recovered
     holder.now += AGAIN_MS
@@ -345,27 +348,28 @@
     assert table[LOG].readable and table[LOG].complete and table[LOG].last == (EPOCH, 1)
 
 
-@pytest.mark.parametrize("refused", [1, 2], ids=["the sync", "and the word of it"])
+@pytest.mark.parametrize("rejected", [1, 2], ids=["the sync", "the sync and its record"])
 @pytest.mark.anyio
-async def test_a_copy_whose_sync_failed_is_unsure_in_the_next_process_too(refused):
-    """The pages of a failed sync are taken for written: they can be read until a power cut, and are gone after it."""
+async def test_a_replica_whose_sync_failed_is_incomplete_in_the_next_process_too(rejected):
+    """The system takes the pages of a failed sync for written: they can be read until a power cut, and are lost after
+    it."""
     holder = Holder()
     holder.copies.holder.options = replace(holder.copies.holder.options, durability="power-cut")
-    joined, filled, written, *_ = holder.life()
-    for word in (joined, filled, written):
-        holder.asked(word)
-    holder.files.refuse |= {holder.files.count + step: errno.EIO for step in range(1, refused + 1)}
+    join, snapshot, append, *_ = holder.life_cycle()
+    for message in (join, snapshot, append):
+        holder.send(message)
+    holder.files.refuse |= {holder.files.count + operation: errno.EIO for operation in range(1, rejected + 1)}
     await holder.copies.holder.sync()
     holder.copies.close()
-    again = Holder(holder.files.survived("kept"))
-    assert not again.copies.holder.held_logs.table[LOG].complete
+    reopened = Holder(holder.files.survived("kept"))
+    assert not reopened.copies.holder.held_logs.table[LOG].complete
 
 
-def test_a_copy_that_cant_be_read_is_told_once_and_shown():
+def test_an_unreadable_replica_is_logged_once_and_shown():
     holder = Holder()
-    joined, filled, written, *_ = holder.life()
-    for word in (joined, filled):
-        holder.asked(word)
+    join, snapshot, append, *_ = holder.life_cycle()
+    for message in (join, snapshot):
+        holder.send(message)
     replica = holder.copies.holder.replicas[LOG]
 
     def unreadable():
@@ -373,11 +377,11 @@
 
     replica.recover = unreadable
     replica.ledger.log.broken, replica.ledger.log.torn = True, False
-    holder.files.refuse |= {holder.files.count + step: errno.EIO for step in range(1, 9)}
-    holder.asked(written)
+    holder.files.refuse |= {holder.files.count + operation: errno.EIO for operation in range(1, 9)}
+    holder.send(append)
     for _ in range(3):
         holder.now += AGAIN_MS
         holder.copies.tick()
     assert holder.logged.count("usage.copy_unreadable") == 1
-    ((shown,),) = ([one for one in holder.copies.shown() if one["role"] == "copies"],)
+    ((shown,),) = ([ledger for ledger in holder.copies.shown() if ledger["role"] == "copies"],)
     assert shown["readable"] is False
