--- a/tests/replication/test_replicated_logs.py
+++ b/tests/replication/test_replicated_logs.py
@@ -124,10 +124,8 @@
     [
         ({"holder": GrantsEpochToLaggingWriter}, 0),
         ({"holder": AcceptsStaleEpochs}, 0),
-        (
-            {"holder": VotesWithIncompleteReplica},
-            1200,
-        ),  # incomplete replicas rarely get so far: four of 6,000 scenarios detect it
+        # An incomplete replica is mostly dropped, or leaves the takeover to another: four of 6,000 scenarios detect it.
+        ({"holder": VotesWithIncompleteReplica}, 1200),
         ({"writer": ReportsUngrantedPosition}, 0),
     ],
     ids=lambda argument: next(iter(argument.values())).__name__ if isinstance(argument, dict) else "",
@@ -151,21 +149,21 @@
     assert logs.Elected() in actions and logs.SnapshotNeeded("n5") in actions
 
 
-def test_a_holder_that_was_unreachable_when_a_log_finished_is_told_when_it_is_back():
+def test_a_holder_that_was_unreachable_when_a_log_finished_is_informed_when_it_is_back():
     """Otherwise it would hold a replica that nobody fills for as long as the member lives that took the log over."""
     log, other_log = ("n5", b"old"), ("n1", b"old")
     taker = LogReplicas("n2", "n2#1", lambda member: (member, "n2", "n4"), lambda identity: True)
-    back = LogReplicas("n5", "n5#2", taker.holders, lambda identity: True)
+    returned_holder = LogReplicas("n5", "n5#2", taker.holders, lambda identity: True)
     for taken_over in (log, other_log):
         taker.restore(taken_over, 7, "n2#1", (7, 40), True, finished=False)
-    back.handle_message("n2#1", logs.Join(log, 7, (7, 41)))
-    assert not back.table[log].complete
+    returned_holder.handle_message("n2#1", logs.Join(log, 7, (7, 41)))
+    assert not returned_holder.table[log].complete
     taker.mark_finished(log, 7)  # while there is no link between them
     actions = taker.announce_finished("n5")
     assert actions == [logs.SendToHolder("n5", logs.LogFinished(log, 7))] and taker.announce_finished("n3") == []
     assert (
-        back.handle_message("n2#1", actions[0].message) == [logs.MarkFinished(log, actions[0].message.epoch)]
-        and back.table[log].finished
+        returned_holder.handle_message("n2#1", actions[0].message) == [logs.MarkFinished(log, actions[0].message.epoch)]
+        and returned_holder.table[log].finished
     )
 
 
--- a/tests/replication/test_store.py
+++ b/tests/replication/test_store.py
@@ -18,22 +18,22 @@
 from flintshift.wire.peer_codec import entry_bytes, entry_from
 
 FOLDER = Path("/srv/copies")
-NOW = 1_000_000.0
+NOW_MS = 1_000_000.0
 
 
-def entry(number, for_ms=30_000.0, stage=Stage.FINISHED):
-    value = Value(stage, f"r{number}", "n1#1", b"p" * 16, for_ms, Outcome.OK, b"result")
-    return Entry(("submit-time", f"k{number}"), (2, "n1#1"), (1, "n1#1"), value, for_ms)
+def entry(number, remaining_ms=30_000.0, stage=Stage.FINISHED):
+    value = Value(stage, f"r{number}", "n1#1", b"p" * 16, remaining_ms, Outcome.OK, b"result")
+    return Entry(("submit-time", f"k{number}"), (2, "n1#1"), (1, "n1#1"), value, remaining_ms)
 
 
-def open_folder(files, now=NOW, member="n1", boot="b1", synced=False, unix_ms=None):
+def open_folder(files, now=NOW_MS, member="n1", boot="b1", synced=False, unix_ms=None):
     unix_ms = now if unix_ms is None else unix_ms
     return ReplicaFolder(files, FOLDER, member, now, unix_ms, boot, synced, entry_bytes, entry_from)
 
 
 def create_store(files=None):
     files = files or SimFiles()
-    create_empty_store(files, FOLDER, NOW, "b1")
+    create_empty_store(files, FOLDER, NOW_MS, "b1")
     return files
 
 
@@ -46,32 +46,30 @@
 def test_a_store_is_created_once():
     files = create_store()
     with pytest.raises(FileExistsError):
-        create_empty_store(files, FOLDER, NOW, "b1")
+        create_empty_store(files, FOLDER, NOW_MS, "b1")
 
 
 def test_written_entries_are_recovered_with_their_remaining_time():
     files = create_store()
     store = open_folder(files)
-    store.write([entry(1), entry(2, for_ms=500.0)], NOW)
-    store.write([Entry(("submit-time", "k3"), (7, "n2#1"), NO_BALLOT, None, 9000.0)], NOW)
+    store.write([entry(1), entry(2, remaining_ms=500.0)], NOW_MS)
+    store.write([Entry(("submit-time", "k3"), (7, "n2#1"), NO_BALLOT, None, 9000.0)], NOW_MS)
     store.close()
-    again = open_folder(files, NOW + 1000.0)
-    assert again.state.incarnation == store.state.incarnation
-    assert {recovered.key[1]: recovered.remaining_ms for recovered in again.recovered.entries} == {
+    reopened = open_folder(files, NOW_MS + 1000.0)
+    assert reopened.state.incarnation == store.state.incarnation
+    assert {found.key[1]: found.remaining_ms for found in reopened.recovered.entries} == {
         "k1": 29_000.0,
         "k3": 8000.0,
     }
-    assert next(recovered for recovered in again.recovered.entries if recovered.key[1] == "k1").value == entry(1).value
+    assert next(found for found in reopened.recovered.entries if found.key[1] == "k1").value == entry(1).value
 
 
 def test_after_a_backward_clock_step_entries_are_kept_longer_and_never_shorter():
     files = create_store()
     store = open_folder(files)
-    store.write([entry(1)], NOW)
+    store.write([entry(1)], NOW_MS)
     store.close()
-    assert [recovered.remaining_ms for recovered in open_folder(files, NOW - 3_600_000.0).recovered.entries] == [
-        30_000.0
-    ]
+    assert [found.remaining_ms for found in open_folder(files, NOW_MS - 3_600_000.0).recovered.entries] == [30_000.0]
 
 
 @pytest.mark.parametrize(
@@ -85,13 +83,13 @@
 def test_a_disk_that_may_lack_promises_gets_another_incarnation(change, reason, keeps_entries):
     files = create_store()
     store = open_folder(files)
-    store.write([entry(1)], NOW)
+    store.write([entry(1)], NOW_MS)
     store.close()
-    again = open_folder(files, **change)
-    assert reason in again.recovered.no_vote_reason and again.state.votes is (reason == "")
-    assert (len(again.recovered.entries) == 1) is keeps_entries
+    reopened = open_folder(files, **change)
+    assert reason in reopened.recovered.no_vote_reason and reopened.state.votes is (reason == "")
+    assert (len(reopened.recovered.entries) == 1) is keeps_entries
     if keeps_entries:
-        assert (again.state.incarnation > store.state.incarnation) is (reason != "")
+        assert (reopened.state.incarnation > store.state.incarnation) is (reason != "")
 
 
 def flip_bit(files, path, offset):
@@ -101,7 +99,7 @@
 def test_a_flipped_bit_is_detected_and_the_store_begins_empty_without_a_vote():
     files = create_store()
     store = open_folder(files)
-    store.write([entry(1), entry(2)], NOW)
+    store.write([entry(1), entry(2)], NOW_MS)
     log = next(path for path in files.names_now if path.suffix == ".log")
     for offset in range(12, len(files.names_now[log].data) - 1, 7):
         flip_bit(files, log, offset)
@@ -111,8 +109,10 @@
     assert examine_store(files, FOLDER, entry_from)[1:] == (2, 2)
     store.close()
     flip_bit(files, log, 40)
-    again = open_folder(files)
-    assert "damaged" in again.recovered.no_vote_reason and not again.state.votes and again.recovered.entries == []
+    reopened = open_folder(files)
+    assert (
+        "damaged" in reopened.recovered.no_vote_reason and not reopened.state.votes and reopened.recovered.entries == []
+    )
 
 
 def test_a_machine_that_stops_at_any_operation_loses_and_invents_no_entries():
@@ -121,12 +121,12 @@
 
     def write_and_rotate(files):
         store = open_folder(files)
-        store.write([entry(1)], NOW)
+        store.write([entry(1)], NOW_MS)
         written.append("k1")
-        store.rotate(NOW)
-        store.write([entry(2)], NOW)
+        store.rotate(NOW_MS)
+        store.write([entry(2)], NOW_MS)
         written.append("k2")
-        store.rotate(NOW + 1.0)
+        store.rotate(NOW_MS + 1.0)
 
     written = []
     undisturbed = create_store()
@@ -139,46 +139,46 @@
             files.stop_at, files.after = stop_at, after
             with pytest.raises(StoppedError):
                 write_and_rotate(files)
-            again = open_folder(files.survived("kept"))
-            assert again.state.votes, (stop_at, after)
-            assert set(written) <= {recovered.key[1] for recovered in again.recovered.entries} <= {"k1", "k2"}
+            reopened = open_folder(files.survived("kept"))
+            assert reopened.state.votes, (stop_at, after)
+            assert set(written) <= {found.key[1] for found in reopened.recovered.entries} <= {"k1", "k2"}
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 def test_after_reopen_a_failed_disk_has_all_valid_entries(error):
     files = create_store()
     store = open_folder(files)
-    store.write([entry(1)], NOW)
+    store.write([entry(1)], NOW_MS)
     files.refuse = {files.count + 1: error}
     with pytest.raises(OSError, match="refused"):
         store.log.sync()
     with pytest.raises(BrokenError):
-        store.write([entry(3)], NOW)
-    store.reopen([entry(1), entry(3)], NOW)
+        store.write([entry(3)], NOW_MS)
+    store.reopen([entry(1), entry(3)], NOW_MS)
     store.close()
-    assert {recovered.key[1] for recovered in open_folder(files).recovered.entries} == {"k1", "k3"}
+    assert {found.key[1] for found in open_folder(files).recovered.entries} == {"k1", "k3"}
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 def test_a_write_that_fails_twice_leaves_nothing_and_the_next_one_is_durable(error):
     files = create_store()
     store = open_folder(files)
-    store.write([entry(1)], NOW)
+    store.write([entry(1)], NOW_MS)
     files.refuse = {files.count + 1: error, files.count + 3: error}  # the write, and its retry after the repair
     with pytest.raises(OSError, match="refused"):
-        store.write([entry(2)], NOW)
-    store.write([entry(3)], NOW)
+        store.write([entry(2)], NOW_MS)
+    store.write([entry(3)], NOW_MS)
     store.close()
-    assert {recovered.key[1] for recovered in open_folder(files).recovered.entries} == {"k1", "k3"}
+    assert {found.key[1] for found in open_folder(files).recovered.entries} == {"k1", "k3"}
 
 
 def test_segments_are_removed_once_all_their_entries_have_expired():
     files = create_store()
     store = open_folder(files)
-    store.write([entry(1, for_ms=5000.0)], NOW)
-    assert store.rotate(NOW + 1000.0) == 0
-    store.write([entry(2, for_ms=5000.0)], NOW + 1000.0)
-    assert store.rotate(NOW + 5500.0) == 1
-    assert store.rotate(NOW + 9000.0) >= 1
+    store.write([entry(1, remaining_ms=5000.0)], NOW_MS)
+    assert store.rotate(NOW_MS + 1000.0) == 0
+    store.write([entry(2, remaining_ms=5000.0)], NOW_MS + 1000.0)
+    assert store.rotate(NOW_MS + 5500.0) == 1
+    assert store.rotate(NOW_MS + 9000.0) >= 1
     store.close()
-    assert open_folder(files, NOW + 9000.0).recovered.entries == []
+    assert open_folder(files, NOW_MS + 9000.0).recovered.entries == []
