--- a/flintshift/replication/log_holders.py
+++ b/flintshift/replication/log_holders.py
@@ -61,7 +61,7 @@
     last_attempt_ms: float = -math.inf  # when this member tried last to take the log over
     votes: set[str] = field(default_factory=set)  # holders that granted the takeover epoch
     without_vote: set[str] = field(default_factory=set)  # holders that have no vote, and no more records than this one
-    waits_for_silent: bool = True  # a holder that does not answer may have more records
+    waits_for_silent: bool = True  # silent holders, and longer incomplete replicas, are waited for
     takeover_epoch: int = 0  # under which the current attempt is made; 0: there is none
     highest_seen_epoch: int = 0  # that another holder has promised
     outbid: bool = False  # another holder promised that epoch or a higher one: raise it and retry without a long wait
