--- a/benchmarks/copies_model.py
+++ b/benchmarks/copies_model.py
@@ -22,13 +22,13 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.copies.messages import Value  # noqa: E402
-from flintshift.copies.placement import SLOTS, Placement  # noqa: E402
-from flintshift.copies.registers import Entry, HolderBounds, Registers  # noqa: E402
 from flintshift.core.keys import Stage  # noqa: E402
 from flintshift.interface import Outcome  # noqa: E402
 from flintshift.lab.copies_model import World  # noqa: E402
 from flintshift.peers import members as who  # noqa: E402
+from flintshift.replication.messages import Value  # noqa: E402
+from flintshift.replication.placement import SLOT_COUNT, Placement  # noqa: E402
+from flintshift.replication.registers import Entry, HolderBounds, Registers  # noqa: E402
 
 HOP_MS, RUN_MS = 0.5, 20.0
 
@@ -41,16 +41,16 @@
     """The share of copies that move when one member leaves, and when one joins, against the least possible."""
     names = halls_of(count, halls)
     full = Placement(names, 3)
-    slots = [slot.to_bytes(2, "big") for slot in range(SLOTS)]
+    slots = [slot.to_bytes(2, "big") for slot in range(SLOT_COUNT)]
 
     def changed(fewer: dict[str, str]) -> tuple[float, float]:
         other, held, went = Placement(fewer, 3), 0, 0
         gone = set(names) - set(fewer)
         for slot in slots:
-            before, after = set(full._computed(slot)), set(other._computed(slot))
+            before, after = set(full._compute_holders(slot)), set(other._compute_holders(slot))
             went += len(after - before)
             held += bool(before & gone)
-        return went / (3 * SLOTS), held / (3 * SLOTS)
+        return went / (3 * SLOT_COUNT), held / (3 * SLOT_COUNT)
 
     one = changed({name: hall for name, hall in names.items() if name != "n001"})
     hall = changed({name: hall for name, hall in names.items() if hall != "hall1"})
@@ -134,7 +134,7 @@
         began = world.now
         while world.now < began + 60_000.0:
             playing.run(world.now + 50.0, claims_per_s)
-            if all(world.machines[name].registers.full_vote for name in names):
+            if all(world.machines[name].registers.votes_on_all_keys for name in names):
                 break
         told[f"loss_of_{what}"] = {
             "members": len(names),
@@ -204,7 +204,7 @@
             Outcome.OK,
             number.to_bytes(result, "big"),
         )
-        registers.take(
+        registers.merge(
             0.0, Entry(("submit-time", f"key-{number:08d}"), (2, "n2#18f2c0a1"), (1, "n2#18f2c0a1"), value, 30_000.0)
         )
     gc.collect()
@@ -212,7 +212,7 @@
         "keys": keys,
         "bytes_of_a_result": result,
         "resident_bytes_a_key": (resident() - before) // keys,
-        "counted_bytes_a_key": registers.bytes // keys,
+        "counted_bytes_a_key": registers.stored_bytes // keys,
     }
 
 
--- a/flintshift/lab/copies_model.py
+++ b/flintshift/lab/copies_model.py
@@ -12,35 +12,35 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from flintshift.copies.messages import (
+from flintshift.core.keys import Stage
+from flintshift.interface import Outcome
+from flintshift.replication.messages import (
     Action,
     Ask,
     Claim,
+    ClaimedByOther,
     Ended,
     Event,
     Finish,
+    FollowedKeyEnded,
     Free,
     Granted,
     Key,
-    Known,
-    NoWord,
-    Reach,
+    MajorityUnavailable,
+    ReachabilityChanged,
     Send,
     Settled,
     TakeOver,
     Tick,
-    Told,
     TookOver,
     Value,
     Vote,
     Voted,
 )
-from flintshift.copies.placement import Placement
-from flintshift.copies.proposals import Pace, Proposals
-from flintshift.copies.refill import FillAsk, Page, Refill, page
-from flintshift.copies.registers import Entry, HolderBounds, Registers
-from flintshift.core.keys import Stage
-from flintshift.interface import Outcome
+from flintshift.replication.placement import Placement
+from flintshift.replication.proposals import Proposals, ProposalTiming
+from flintshift.replication.refill import FillAsk, Page, Refill, build_page
+from flintshift.replication.registers import Entry, HolderBounds, Registers
 
 KEEP_MS = 30_000.0
 Word = Ask | Vote | Ended | FillAsk | Page
@@ -115,8 +115,10 @@
             0.0 if machine.votes else self.now + self.window_ms,
         )
         for entry in machine.disk.values():
-            machine.registers.take(self.now, entry)
-        machine.proposals = self.new_proposals(machine.identity, self.placement, self.lives, self.draw, Pace())
+            machine.registers.merge(self.now, entry)
+        machine.proposals = self.new_proposals(
+            machine.identity, self.placement, self.lives, self.draw, ProposalTiming()
+        )
         machine.refill = None if machine.votes else Refill(name for name in self.machines if name != machine.name)
         for other in self.machines.values():
             if other.up:
@@ -126,8 +128,8 @@
 
     def _reach(self, machine: Machine, other: Machine, up: bool) -> None:
         if not up and machine.refill is not None:
-            machine.refill.link_lost(other.name)
-        self._tell(machine, Reach(other.name, up, other.registers.store if up else 0))
+            machine.refill.handle_link_lost(other.name)
+        self._tell(machine, ReachabilityChanged(other.name, up, other.registers.store if up else 0))
 
     def lives(self, identity: str) -> bool:
         return any(machine.up and machine.identity == identity for machine in self.machines.values())
@@ -185,19 +187,19 @@
                 if entry is not None:
                     machine.disk[entry.key] = entry
                 self._send(machine, message.sender, vote)
-                for follower in machine.registers.ended(ask.key):
+                for follower in machine.registers.pop_watchers_if_ended(ask.key):
                     self._send(machine, follower, Ended(ask.key))
             case Vote() as vote:
                 self._tell(machine, Voted(sender, vote))
             case Ended() as ended:
                 self._tell(machine, ended)
             case FillAsk() as fill:
-                self._send(machine, message.sender, page(self.now, machine.registers, sender, fill))
+                self._send(machine, message.sender, build_page(self.now, machine.registers, sender, fill))
             case Page() as told if machine.refill is not None:
-                for entry in machine.refill.told(self.now, machine.registers, sender, told):
+                for entry in machine.refill.receive_page(self.now, machine.registers, sender, told):
                     machine.disk[entry.key] = entry
                 machine.store = machine.registers.store
-                machine.votes = machine.votes or machine.registers.full_vote
+                machine.votes = machine.votes or machine.registers.votes_on_all_keys
 
     def lose(self, place: int) -> None:
         self._link_lost(self.sent.pop(place))
@@ -208,7 +210,7 @@
         for one, other in (ends, ends[::-1]):
             refill = self.machines[one].refill
             if refill is not None:
-                refill.link_lost(other)
+                refill.handle_link_lost(other)
 
     def tick(self, by_ms: float) -> None:
         self.now += by_ms
@@ -217,12 +219,12 @@
                 continue
             machine.registers.purge(self.now)
             self._tell(machine, Tick())
-            for key, owner in machine.registers.orphans(self.now, self.lives, 400.0):
-                if key not in machine.proposals.under_way:
+            for key, owner in machine.registers.find_orphaned_claims(self.now, self.lives, 400.0):
+                if key not in machine.proposals.active:
                     self._tell(machine, TakeOver(key, owner))
             if machine.refill is not None:
                 others = [one.name for one in self.machines.values() if one.up and one is not machine]
-                for name, ask in machine.refill.due(self.now, machine.registers.store, others):
+                for name, ask in machine.refill.due_requests(self.now, machine.registers.store, others):
                     self._send(machine, name, ask)
 
     def settle(self, most: int = 100_000) -> None:
@@ -230,7 +232,7 @@
         for _ in range(most):
             if self.sent:
                 self.deliver(self.draw.randrange(len(self.sent)))
-            elif any(one.proposals.under_way or one.proposals.followed for one in self.machines.values() if one.up):
+            elif any(one.proposals.active or one.proposals.followed for one in self.machines.values() if one.up):
                 self.tick(50.0)
             else:
                 return
@@ -250,22 +252,22 @@
             case Send(to, ask):
                 self._send(machine, to, ask)
             case Granted(owner):
-                key = next(key for key, one in machine.proposals.granted.items() if one == owner)
+                key = next(key for key, one in machine.proposals.granted_claims.items() if one == owner)
                 if self.ran.get(key):
                     self.wrong.append(f"{key}: {owner} is granted after {self.ran[key]}")
                 self.ran.setdefault(key, []).append(owner)
                 self.running[key] = owner, machine.identity
                 self.answers[owner] = "granted"
-            case Known(waiting, key, value):
+            case ClaimedByOther(waiting, key, value):
                 for owner in waiting:
                     self.answers[owner] = value.stage.name
                 self._result(key, value)
-            case NoWord(owner, may_have_run, _):
+            case MajorityUnavailable(owner, may_have_run, _):
                 self.answers[owner] = "unsure" if may_have_run else "refused"
                 self.counts["no_word"] += 1
             case Settled(key, owner, outcome, result):
                 self._result(key, Value(Stage.FINISHED, owner, "", b"p", 0.0, outcome, result))
-            case Told(key, value):
+            case FollowedKeyEnded(key, value):
                 self._result(key, value)
             case TookOver(_, value):
                 self.took_over.append(value.owner)
--- a/flintshift/lab/logs_model.py
+++ b/flintshift/lab/logs_model.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from flintshift.copies import logs
-from flintshift.copies.log_holders import HeldLogs, HolderPace
-from flintshift.copies.log_writer import LogWriter
-from flintshift.copies.logs import LogId, Record
-from flintshift.copies.placement import Placement
+from flintshift.replication import logs
+from flintshift.replication.log_holders import HolderConfig, LogReplicas
+from flintshift.replication.log_writer import LogWriter
+from flintshift.replication.logs import LogId, Record
+from flintshift.replication.placement import Placement
 
-PACE = HolderPace(take_over_ms=1000.0, stagger_ms=200.0, again_ms=500.0)
+PACE = HolderConfig(takeover_delay_ms=1000.0, stagger_ms=200.0, retry_ms=500.0)
 NOTHING = 99  # the kind of a record without content
 TAKEN = 98  # of the first record of a takeover
 
@@ -47,11 +47,11 @@
     own: LogId = ("", b"")
     epoch: int = 0
     records: Records = field(default_factory=list)  # of its own ledger, on its disk
-    before: logs.Place = logs.NOWHERE  # beside it: where that stood when it was elected last
+    before: logs.LogPosition = logs.NO_POSITION  # beside it: where that stood when it was elected last
     elected: bool = True
     disk: dict[LogId, Copy] = field(default_factory=dict)
     writers: dict[LogId, LogWriter] = field(default_factory=dict)
-    heart: HeldLogs = field(init=False)
+    heart: LogReplicas = field(init=False)
 
     @property
     def identity(self) -> str:
@@ -63,7 +63,7 @@
         self,
         halls: dict[str, str],
         seed: int,
-        holder: Callable[..., HeldLogs] = HeldLogs,
+        holder: Callable[..., LogReplicas] = LogReplicas,
         writer: Callable[..., LogWriter] = LogWriter,
     ) -> None:
         self.now, self.draw = 0.0, random.Random(seed)
@@ -81,9 +81,9 @@
     def _boot(self, machine: Machine) -> None:
         machine.life += 1
         machine.up, machine.asleep = True, False
-        machine.heart = self.new_holder(machine.name, machine.identity, self.placement.of_log, self.alive, PACE)
+        machine.heart = self.new_holder(machine.name, machine.identity, self.placement.log_holders, self.alive, PACE)
         for log, copy in machine.disk.items():
-            machine.heart.restored(log, copy.promised, copy.by, place(copy.records), copy.sure, copy.over)
+            machine.heart.restore(log, copy.promised, copy.by, place(copy.records), copy.sure, copy.over)
         machine.writers = {}
         self._begin(machine)
         for other in self.machines.values():
@@ -94,14 +94,14 @@
     def _begin(self, machine: Machine) -> None:
         if not machine.records:
             self.lives += 1
-            machine.before, machine.elected = logs.NOWHERE, True
+            machine.before, machine.elected = logs.NO_POSITION, True
             machine.own, machine.epoch = (machine.name, bytes([self.lives // 256, self.lives % 256])), 1000 * self.lives
         else:
             machine.epoch = machine.records[-1][0] + 1
         machine.before = place(machine.records) if machine.elected else machine.before
-        machine.elected, machine.heart.own = False, machine.own
+        machine.elected, machine.heart.own_log = False, machine.own
         machine.records.append((machine.epoch, NOTHING, b""))
-        others = tuple(name for name in self.placement.of_log(machine.name) if name != machine.name)
+        others = tuple(name for name in self.placement.log_holders(machine.name) if name != machine.name)
         machine.writers[machine.own] = self.new_writer(
             machine.own, machine.epoch, place(machine.records), others, 1, 100.0, machine.before
         )
@@ -137,14 +137,14 @@
             return
         if machine.asleep:
             self.sent.append((sender, to, word))
-        elif isinstance(word, logs.At):
+        elif isinstance(word, logs.ReplicaStatus):
             writer = machine.writers.get(word.log)
             if writer is not None:
-                self._write(machine, writer, writer.told(self.now, source, word))
+                self._write(machine, writer, writer.handle_status(self.now, source, word))
             else:
-                self._hold(machine, machine.heart.told(source, word))
+                self._hold(machine, machine.heart.handle_status(source, word))
         else:
-            self._hold(machine, machine.heart.asked(sender, word))  # type: ignore[arg-type]
+            self._hold(machine, machine.heart.handle_message(sender, word))  # type: ignore[arg-type]
 
     def tick(self, by_ms: float) -> None:
         self.now += by_ms
@@ -154,7 +154,7 @@
                 for writer in list(machine.writers.values()):
                     self._write(machine, writer, writer.tick(self.now))
                     if self.draw.random() < 0.2:
-                        self._write(machine, writer, writer.again())
+                        self._write(machine, writer, writer.rejoin_replicas())
 
     def settle(self) -> None:
         """All are up and hear each other; deliver all, and let time pass."""
@@ -174,14 +174,14 @@
 
     def _reach(self, machine: Machine, member: str, up: bool) -> None:
         for writer in list(machine.writers.values()):
-            self._write(machine, writer, writer.reach(member, up))
+            self._write(machine, writer, writer.set_reachable(member, up))
 
     def _append(self, machine: Machine, log: LogId, records: Records, kind: int, payload: bytes) -> None:
         writer = machine.writers[log]
         records.append((writer.epoch, kind, payload))
         if log != machine.own:
             machine.heart.table[log].last = place(records)
-        self._write(machine, writer, writer.wrote(self.now, len(records), ((kind, payload),), kind == 1))
+        self._write(machine, writer, writer.handle_written(self.now, len(records), ((kind, payload),), kind == 1))
 
     def _write(self, machine: Machine, writer: LogWriter, actions: list[logs.WriterAction]) -> None:
         own = writer.log == machine.own
@@ -190,13 +190,13 @@
             match action:
                 case logs.SendTo(member, word):
                     self.sent.append((machine.identity, member, word))
-                case logs.WholeWanted(member):
-                    self._write(machine, writer, writer.whole(member, msgspec.msgpack.encode(records)))
-                case logs.Held(upto) if upto <= len(records):
+                case logs.SnapshotNeeded(member):
+                    self._write(machine, writer, writer.send_snapshot(member, msgspec.msgpack.encode(records)))
+                case logs.Replicated(upto) if upto <= len(records):
                     self._now_held(machine, writer, records[: int(upto)])
                 case logs.Elected():
                     machine.elected = True
-                case logs.Raised(_, before):
+                case logs.EpochRaised(_, before):
                     machine.before, machine.elected = before, False
                     self._append(machine, writer.log, records, NOTHING, b"")
                 case logs.Fenced() if own:
@@ -229,31 +229,31 @@
                 case logs.Promise(log, epoch, by):
                     copy = machine.disk.setdefault(log, Copy(epoch, by))
                     copy.promised, copy.by = epoch, by
-                case logs.Write(log, epoch, _, records):
+                case logs.WriteRecords(log, epoch, _, records):
                     machine.disk[log].records += [(epoch, *one) for one in records]
-                case logs.Replace(log, (epoch, _), data):
+                case logs.InstallSnapshot(log, (epoch, _), data):
                     told: list[tuple[int, int, bytes]] = msgspec.msgpack.decode(data, type=list[tuple[int, int, bytes]])
                     machine.disk[log].records, machine.disk[log].sure = told, True
                 case logs.Answer(to, word):
                     self.sent.append((machine.identity, to, word))
-                case logs.Ask(member, word):
+                case logs.SendToHolder(member, word):
                     self.sent.append((machine.identity, member, word))
-                case logs.Taken(log, epoch, last):
-                    others = tuple(name for name in self.placement.of_log(log[0]) if name != machine.name)
+                case logs.TakenOver(log, epoch, last):
+                    others = tuple(name for name in self.placement.log_holders(log[0]) if name != machine.name)
                     writer = self.new_writer(log, epoch, last, others, 1, 100.0, None)
                     machine.writers[log] = writer
                     self._append(machine, log, machine.disk[log].records, TAKEN, machine.identity.encode())
                     for other in self.machines.values():
                         if other.up and other is not machine:
-                            self._write(machine, writer, writer.reach(other.name, True))
-                case logs.Forget(log):
+                            self._write(machine, writer, writer.set_reachable(other.name, True))
+                case logs.MarkFinished(log):
                     machine.disk[log].over = True
-                case logs.Lost(log) | logs.Drop(log):
+                case logs.AbandonLog(log) | logs.DeleteReplica(log):
                     del machine.disk[log]
 
 
-def place(records: Records) -> logs.Place:
-    return (records[-1][0], len(records)) if records else logs.NOWHERE
+def place(records: Records) -> logs.LogPosition:
+    return (records[-1][0], len(records)) if records else logs.NO_POSITION
 
 
 __all__ = ["LogWorld", "Record"]
--- a/flintshift/lifecycle/copied_claims.py
+++ b/flintshift/lifecycle/copied_claims.py
@@ -7,21 +7,6 @@
 import math
 from collections.abc import Callable
 
-from flintshift.copies.messages import (
-    Action,
-    Claim,
-    Event,
-    Finish,
-    Free,
-    Gone,
-    Granted,
-    Key,
-    Known,
-    NoWord,
-    Overdue,
-    Settled,
-    Told,
-)
 from flintshift.core import attempts as at
 from flintshift.core.attempts import Attempt
 from flintshift.core.counters import Counters
@@ -31,6 +16,21 @@
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log
 from flintshift.interface import Outcome, RequestClass
+from flintshift.replication.messages import (
+    Action,
+    CallerDeparted,
+    Claim,
+    ClaimedByOther,
+    Event,
+    Finish,
+    FollowedKeyEnded,
+    Free,
+    Granted,
+    Key,
+    MajorityUnavailable,
+    OutcomeOverdue,
+    Settled,
+)
 
 
 class CopiedClaims:
@@ -88,7 +88,7 @@
     def cancel_claim(self, request: str) -> None:
         key = self.keys.pop(request, None)
         if key is not None:
-            self.tell(Gone(key, request))
+            self.tell(CallerDeparted(key, request))
 
     def on_key_claimed(self, attempt: Attempt) -> None:
         """The table holds its entry; the holders have its claim."""
@@ -124,14 +124,14 @@
             case Granted(owner):
                 self.keys.pop(owner, None)
                 pending.append(at.ClaimAnswered(owner, True))
-            case Known(waiting, key, value):
+            case ClaimedByOther(waiting, key, value):
                 until = self.wall_ms() + self.limits.clock_skew_ms + self.limits.claim_timeout_ms
-                held = Held(value.owner, until, value.print, value.outcome, value.result, foreign=True)
+                held = Held(value.owner, until, value.fingerprint, value.outcome, value.result, foreign=True)
                 pending.extend(at.RunFinished(follower, Outcome.ERROR) for follower in keys.adopt(key, held, -math.inf))
                 for owner in waiting:
                     self.keys.pop(owner, None)
                     pending.append(at.ClaimAnswered(owner, False))
-            case NoWord(owner, may_have_run, cause):
+            case MajorityUnavailable(owner, may_have_run, cause):
                 self.keys.pop(owner, None)
                 self.counters.add("copies.no_word")
                 # Without the request's id, so that a flood of them is told as one with its count.
@@ -150,9 +150,9 @@
                         cause="another member settled this run while this one was out of reach",
                     )
                 pending.append(at.OutcomeRecorded(owner, outcome, result))
-            case Overdue(owner):
+            case OutcomeOverdue(owner):
                 pending.append(at.OutcomeRecorded(owner, None))
-            case Told(key, value):
+            case FollowedKeyEnded(key, value):
                 other = keys.foreign_entry(key, value.owner)
                 if other is None:
                     return
--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/copying.py
@@ -1,5 +1,5 @@
-"""The copies at the node's side: the state machines of `copies/` and `peers/`, their disk, their links, their clock,
-and what the planner is to hear of them. Imported only where copies are on.
+"""The copies at the node's side: the state machines of `replication/` and `peers/`, their disk, their links, their
+clock, and what the planner is to hear of them. Imported only where copies are on.
 
 Everything happens in turns of one event loop; what the planner is to hear goes through its mailbox. This member's own
 store is held by `lifecycle/replica_store.py`.
@@ -19,14 +19,25 @@
 
 import anyio
 
-from flintshift.copies import logs
-from flintshift.copies.messages import (
+from flintshift.core import attempts as at
+from flintshift.core.counters import Counters
+from flintshift.core.decisions import Decisions
+from flintshift.core.limits import Limits
+from flintshift.core.ports import Log
+from flintshift.interface import Outcome
+from flintshift.lifecycle.copied_claims import CopiedClaims
+from flintshift.lifecycle.copies_status import copies_status
+from flintshift.lifecycle.replica_store import ReplicaStore
+from flintshift.peers import members as who
+from flintshift.proto import peers_pb2 as pb
+from flintshift.replication import logs
+from flintshift.replication.messages import (
     Action,
     Ask,
     Ended,
     Event,
     Key,
-    Reach,
+    ReachabilityChanged,
     Send,
     TakeOver,
     Tick,
@@ -34,21 +45,10 @@
     Vote,
     Voted,
 )
-from flintshift.copies.placement import Placement
-from flintshift.copies.proposals import Proposals
-from flintshift.copies.refill import FillAsk, Page
-from flintshift.copies.store import boot_id
-from flintshift.core import attempts as at
-from flintshift.core.counters import Counters
-from flintshift.core.decisions import Decisions
-from flintshift.core.limits import Limits
-from flintshift.core.ports import Log
-from flintshift.interface import Outcome
-from flintshift.lifecycle.copied_claims import CopiedClaims
-from flintshift.lifecycle.copies_status import copies_status
-from flintshift.lifecycle.replica_store import ReplicaStore
-from flintshift.peers import members as who
-from flintshift.proto import peers_pb2 as pb
+from flintshift.replication.placement import Placement
+from flintshift.replication.proposals import Proposals
+from flintshift.replication.refill import FillAsk, Page
+from flintshift.replication.store import boot_id
 from flintshift.settings.options import CopiesOptions, PeersOptions, UsageOptions
 from flintshift.startup.backoff import Uniform
 from flintshift.startup.permits import Permit, PermitAsk
@@ -331,7 +331,7 @@
                     self._event(word)
                 case Page():
                     self.store.fill(member, word)
-                case logs.At() if self.use is not None:
+                case logs.ReplicaStatus() if self.use is not None:
                     self.use.answered(member, word)
                 case Permit() if self.permits is not None:
                     self.permits.answered(member, word)
@@ -343,7 +343,7 @@
         self.reached.add(member)
         self.not_linked.pop(member, None)
         self.log("info", "peers.link_up", name=member, identity=told.identity, reached=len(self.reached))
-        self._event(Reach(member, True, told.store))
+        self._event(ReachabilityChanged(member, True, told.store))
         if self.use is not None and member != self.name:
             self.use.reach(member, True)
 
@@ -353,7 +353,7 @@
         if member in self.reached:
             self.reached.discard(member)
             self.log("warning", "peers.link_down", name=member, cause=cause, reached=len(self.reached))
-            self._event(Reach(member, False, 0))
+            self._event(ReachabilityChanged(member, False, 0))
             self.store.link_lost(member)
             if self.use is not None:
                 self.use.reach(member, False)
@@ -439,7 +439,7 @@
             return
         for member, ask in self.store.asks(now, self.reached):
             self.links[member].send(ask, now, False)
-        for key, owner in self.store.registers.orphans(now, self._lives, STAGGER_MS):
-            if key not in self.proposals.under_way:
+        for key, owner in self.store.registers.find_orphaned_claims(now, self._lives, STAGGER_MS):
+            if key not in self.proposals.active:
                 self._event(TakeOver(key, owner))
         self.store.purge(now)
--- a/flintshift/lifecycle/held_copies.py
+++ b/flintshift/lifecycle/held_copies.py
@@ -11,13 +11,13 @@
 
 import anyio
 
-from flintshift.copies import logs
-from flintshift.copies.log_holders import HeldLogs, HolderPace
-from flintshift.copies.logs import LogId
-from flintshift.copies.placement import Placement
 from flintshift.core.counters import Counters
 from flintshift.core.ports import Log
 from flintshift.lifecycle.taken_ledgers import TakenLedgers
+from flintshift.replication import logs
+from flintshift.replication.log_holders import HolderConfig, LogReplicas
+from flintshift.replication.logs import LogId
+from flintshift.replication.placement import Placement
 from flintshift.settings.options import CopiesOptions
 from flintshift.storage.files import Files
 from flintshift.storage.log import BrokenError
@@ -46,19 +46,19 @@
         boot: str,
         lives: Callable[[str], bool],
         now_ms: Callable[[], float],
-        send: Callable[[str, logs.LogWord], None],
-        answer: Callable[[str, logs.LogWord], None],
+        send: Callable[[str, logs.LogMessage], None],
+        answer: Callable[[str, logs.LogMessage], None],
         counters: Counters,
         log: Log,
     ) -> None:
         self.options, self.files, self.boot, self.now_ms = options, files, boot, now_ms
         self.send, self.answer, self.counters, self.log = send, answer, counters, log
         self.folder = options.folder / FOLDER
-        self.held_logs = HeldLogs(name, identity, placement.of_log, lives, HolderPace(options.take_over_ms))
+        self.held_logs = LogReplicas(name, identity, placement.log_holders, lives, HolderConfig(options.take_over_ms))
         self.replicas: dict[LogId, Replica] = {}
         self.refused: dict[LogId, float] = {}  # copies whose writer is to hear that their disk refused, and when
         self.ends: dict[LogId, int] = {}  # by log, the epoch of an end that the disk refused
-        self.unsynced: list[tuple[LogId, str, logs.LogWord]] = []
+        self.unsynced: list[tuple[LogId, str, logs.LogMessage]] = []
         self.sync_wanted = anyio.Event()
 
     def restore(self) -> None:
@@ -93,7 +93,7 @@
                 on_disk.emptied(self.files, folder)
                 replica, sure = Replica(self.files, folder, state, self.options.segment_bytes), False
             self.replicas[log] = replica
-            self.held_logs.restored(log, state.promised, state.by, replica.last, sure, state.over)
+            self.held_logs.restore(log, state.promised, state.by, replica.last, sure, state.over)
             if not state.over:
                 replica.keep(sure=sure, boot=self.boot)
 
@@ -103,9 +103,9 @@
         refused: set[LogId] = set()
         for action in actions:
             log = (
-                action.word.log
-                if isinstance(action, logs.Answer | logs.Ask)
-                else (action.told.log if isinstance(action, logs.Note) else action.log)
+                action.message.log
+                if isinstance(action, logs.Answer | logs.SendToHolder)
+                else (action.export.log if isinstance(action, logs.RecordExport) else action.log)
             )
             if log in refused:
                 continue
@@ -114,7 +114,7 @@
             except REFUSED as error:
                 refused.add(log)
                 self.refuse(log, error)
-                if isinstance(action, logs.Forget):  # it was told once, and is not asked for again
+                if isinstance(action, logs.MarkFinished):  # it was told once, and is not asked for again
                     self.ends[log] = action.epoch
 
     def refuse(self, log: LogId, error: Exception, unsynced: bool = False) -> None:
@@ -126,11 +126,11 @@
         if unsynced and replica is not None:
             replica.doubt()
         if replica is None:
-            self.held_logs.dropped(log)
+            self.held_logs.discard(log)
         elif log not in self.taken.table:
-            state, last = replica.state, replica.last if known else logs.NOWHERE
+            state, last = replica.state, replica.last if known else logs.NO_POSITION
             sure = known and replica.whole
-            self.held_logs.put_back(log, state.promised, state.by, last, sure, state.over, known)
+            self.held_logs.reset_to_disk(log, state.promised, state.by, last, sure, state.over, known)
             self.refused.setdefault(log, self.now_ms() + TELL_REFUSED_MS)
         self.log(
             "error",
@@ -140,7 +140,7 @@
             then="tried again"
             if log in self.taken.table
             else "it goes on from what it holds"
-            if replica is not None and self.held_logs.table[log].sure
+            if replica is not None and self.held_logs.table[log].complete
             else "it is filled anew by whoever writes that ledger",
         )
 
@@ -149,18 +149,20 @@
         for log in [log for log, due_ms in self.refused.items() if now >= due_ms]:
             del self.refused[log]
             held = self.held_logs.table.get(log)
-            if held is not None and not held.over and log not in self.taken.table:
-                self.answer(held.by, logs.At(log, logs.Word.GAP, held.promised, held.last))
+            if held is not None and not held.finished and log not in self.taken.table:
+                self.answer(
+                    held.promised_to, logs.ReplicaStatus(log, logs.ReplicaVerdict.GAP, held.promised, held.last)
+                )
 
     def read_again(self) -> None:
         """Look again at copies that could not be read."""
         for log, held in list(self.held_logs.table.items()):
             replica = self.replicas.get(log)
-            if held.known or replica is None or log in self.taken.table or not self._recovered(log, replica):
+            if held.readable or replica is None or log in self.taken.table or not self._recovered(log, replica):
                 continue
             state = replica.state
             sure = replica.whole
-            self.held_logs.put_back(log, state.promised, state.by, replica.last, sure, state.over)
+            self.held_logs.reset_to_disk(log, state.promised, state.by, replica.last, sure, state.over)
             self.log("info", "usage.copy_readable", ledger=log[0], records=replica.last[1], sure=sure)
 
     def keep_ends(self) -> None:
@@ -168,7 +170,7 @@
         ends, self.ends = self.ends, {}
         for log, epoch in ends.items():
             if log in self.replicas and not self.replicas[log].state.over:
-                self.hold(self.held_logs.over(log, epoch))
+                self.hold(self.held_logs.mark_finished(log, epoch))
 
     def _recovered(self, log: LogId, replica: Replica) -> bool:
         """What stands on the disk of this copy is known, and it can go on from there. Told once, not with each look."""
@@ -176,7 +178,7 @@
         try:
             replica.recover()
         except REFUSED as error:
-            if held is None or held.known:
+            if held is None or held.readable:
                 self.log(
                     "warning",
                     "usage.copy_unreadable",
@@ -191,12 +193,12 @@
         match action:
             case logs.Promise(_, epoch, by):
                 self._promise(log, epoch, by)
-            case logs.Write(_, epoch, first, records):
+            case logs.WriteRecords(_, epoch, first, records):
                 self.replicas[log].append(epoch, first, records)
-            case logs.Replace(_, (epoch, sequence), data):
+            case logs.InstallSnapshot(_, (epoch, sequence), data):
                 self.replicas[log].replace(epoch, sequence, data)
                 self.replicas[log].keep(sure=True)
-            case logs.Note(told):
+            case logs.RecordExport(told):
                 self.replicas[log].note(told.sink, told.name, told.digest)
             case logs.Answer(to, word):
                 if self.options.durability == "power-cut":
@@ -204,16 +206,16 @@
                     self.sync_wanted.set()
                 else:
                     self.answer(to, word)
-            case logs.Ask(member, word):
+            case logs.SendToHolder(member, word):
                 self.send(member, word)
-            case logs.Taken():
+            case logs.TakenOver():
                 self.taken.take(action)
-            case logs.Forget(_, epoch):
+            case logs.MarkFinished(_, epoch):
                 self.replicas[log].forget(epoch)
                 self.taken.leave(log)
-            case logs.Drop():
+            case logs.DeleteReplica():
                 self.replicas.pop(log).drop()
-            case logs.Lost(_, of):
+            case logs.AbandonLog(_, of):
                 self._lost(log, of)
 
     def _lost(self, log: LogId, of: str) -> None:
--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -16,13 +16,13 @@
 import anyio
 from msgspec import structs
 
-from flintshift.copies.messages import NO_BALLOT, Ask, Ended, Event, Key, Reach, Verdict, Vote, Voted
-from flintshift.copies.placement import Placement
-from flintshift.copies.refill import FillAsk, Page, Refill, page
-from flintshift.copies.registers import Entry, HolderBounds, Registers
-from flintshift.copies.store import CopiesFolder, boot_id
 from flintshift.core.counters import Counters
 from flintshift.core.ports import Log
+from flintshift.replication.messages import NO_BALLOT, Ask, Ended, Event, Key, ReachabilityChanged, Verdict, Vote, Voted
+from flintshift.replication.placement import Placement
+from flintshift.replication.refill import FillAsk, Page, Refill, build_page
+from flintshift.replication.registers import Entry, HolderBounds, Registers
+from flintshift.replication.store import ReplicaFolder, boot_id
 from flintshift.settings.options import CopiesOptions
 from flintshift.storage.files import Files
 from flintshift.storage.log import BrokenError
@@ -73,7 +73,7 @@
     ) -> None:
         self.host, self.name, self.placement, self.options, self.files = host, name, placement, options, files
         self.now_ms, self.counters, self.log = now_ms, counters, log
-        self.folder: CopiesFolder | None = None
+        self.folder: ReplicaFolder | None = None
         self.registers = Registers(name, 0, placement, self._bounds(), False, math.inf)
         self.refill: Refill | None = None
         self.entries: list[Entry] = []  # not written yet
@@ -98,7 +98,7 @@
         Raises:
             OSError, LockedError, DamagedError: it can't be used, or another process has it.
         """
-        self.folder = CopiesFolder(
+        self.folder = ReplicaFolder(
             self.files,
             self.options.folder,
             self.name,
@@ -109,7 +109,7 @@
             entry_bytes,
             entry_from,
         )
-        found, state, now = self.folder.found, self.folder.state, self.now_ms()
+        found, state, now = self.folder.recovered, self.folder.state, self.now_ms()
         before = self.registers.stores
         self.registers = Registers(
             self.name,
@@ -121,7 +121,7 @@
         )
         self.registers.stores |= {member: store for member, store in before.items() if member != self.name}
         for entry in found.entries:
-            self.registers.take(now, entry)
+            self.registers.merge(now, entry)
         self.refill = None if state.votes else self._new_refill()
         self.log(
             "info",
@@ -131,9 +131,9 @@
             store=state.incarnation,
             keys=len(found.entries),
             votes=state.votes,
-            cause=found.why_empty,
+            cause=found.no_vote_reason,
         )
-        self.host.tell(Reach(self.name, True, state.incarnation))
+        self.host.tell(ReachabilityChanged(self.name, True, state.incarnation))
         self.holding.set()
 
     def close(self) -> None:
@@ -169,7 +169,7 @@
         )
         self.refill = self._new_refill()
         self._keep_state()
-        self.host.tell(Reach(self.name, True, known + 1))
+        self.host.tell(ReachabilityChanged(self.name, True, known + 1))
 
     # Votes.
 
@@ -204,7 +204,7 @@
                 self.host.tell(Voted(self.name, vote))
             else:
                 self.host.send(identity, vote)
-            for follower in self.registers.ended(key):
+            for follower in self.registers.pop_watchers_if_ended(key):
                 if follower == self.host.identity:
                     self.host.tell(Ended(key))
                 else:
@@ -246,7 +246,7 @@
         self.refusing_ms = self.now_ms()
         self.reopen_after_ms = FIRST_REOPEN_MS
         self.reopen_ms = self.refusing_ms + FIRST_REOPEN_MS
-        self.host.tell(Reach(self.name, False, 0))
+        self.host.tell(ReachabilityChanged(self.name, False, 0))
 
     async def sync(self) -> None:
         """Let votes go once what they changed is synced; until cancelled."""
@@ -277,7 +277,9 @@
         """Have the disk hold what the registers stand for: which store this is, and whether it knows all that it ever
         promised. Tried again with each look; a death before that leaves a store that is filled anew."""
         assert self.folder is not None
-        state = structs.replace(self.folder.state, incarnation=self.registers.store, votes=self.registers.full_vote)
+        state = structs.replace(
+            self.folder.state, incarnation=self.registers.store, votes=self.registers.votes_on_all_keys
+        )
         if state == self.folder.state or self.refusing_ms is not None:
             return
         try:
@@ -300,7 +302,7 @@
             return
         after_ms, self.refusing_ms = now - self.refusing_ms, None
         self.log("warning", "copies.disk_takes_again", keys=len(self.registers.table), after_ms=round(after_ms))
-        self.host.tell(Reach(self.name, True, self.registers.store))
+        self.host.tell(ReachabilityChanged(self.name, True, self.registers.store))
 
     def purge(self, now: float) -> None:
         """Forget what is past, here and on the disk; does nothing where that was done a moment ago."""
@@ -312,7 +314,7 @@
             return
         self.turned_ms = now
         try:
-            self.folder.turn(self.now_ms())
+            self.folder.rotate(self.now_ms())
         except (OSError, BrokenError) as error:
             self._outlasted(error)
 
@@ -321,7 +323,7 @@
     def page_for(self, member: str, ask: FillAsk) -> Page:
         """What this store tells a member whose own is filled."""
         self.counters.add("copies.pages")
-        return page(self.now_ms(), self.registers, member, ask)
+        return build_page(self.now_ms(), self.registers, member, ask)
 
     def asks(self, now: float, reached: set[str]) -> list[tuple[str, FillAsk]]:
         """Whom to ask now for what this store lacks."""
@@ -330,32 +332,32 @@
         if now >= self.registers.voting_from_ms:
             self._filled("a whole window has passed: nothing from before is still promised")
             return []
-        return self.refill.due(now, self.registers.store, reached)
+        return self.refill.due_requests(now, self.registers.store, reached)
 
     def link_lost(self, member: str) -> None:
         """What was asked of that member for the refill will not be answered."""
         if self.refill is not None:
-            self.refill.link_lost(member)
+            self.refill.handle_link_lost(member)
 
     def fill(self, member: str, told: Page) -> None:
         """Take what another store tells this one."""
         if self.refill is None or self.folder is None:
             return
         before = self.registers.store
-        changed = self.refill.told(self.now_ms(), self.registers, member, told)
+        changed = self.refill.receive_page(self.now_ms(), self.registers, member, told)
         self.counters.add("copies.filled_keys", len(changed))
         if changed:
             self._written(changed)  # where the disk refuses, they are written with all else once it takes again
         if self.registers.store != before:
-            self.host.tell(Reach(self.name, True, self.registers.store))
-        if told.done and told.counts:
+            self.host.tell(ReachabilityChanged(self.name, True, self.registers.store))
+        if told.done and told.authoritative:
             self.log("info", "copies.filled_by", name=member, keys=len(self.registers.table))
-        if self.registers.full_vote:
+        if self.registers.votes_on_all_keys:
             self._filled("a majority of the holders of each of its keys has told what it knows")
         self._keep_state()
 
     def _filled(self, cause: str) -> None:
         self.refill = None
-        self.registers.full_vote = True
+        self.registers.votes_on_all_keys = True
         self._keep_state()
         self.log("info", "copies.votes", keys=len(self.registers.table), cause=cause)
--- a/flintshift/lifecycle/taken_ledgers.py
+++ b/flintshift/lifecycle/taken_ledgers.py
@@ -11,13 +11,13 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from flintshift.copies import logs
-from flintshift.copies.log_holders import HeldLogs
-from flintshift.copies.log_writer import LogWriter
-from flintshift.copies.logs import LogId
 from flintshift.core.counters import Counters
 from flintshift.core.ports import Log
 from flintshift.lifecycle.exports import AGAIN_S, export_run
+from flintshift.replication import logs
+from flintshift.replication.log_holders import LogReplicas
+from flintshift.replication.log_writer import LogWriter
+from flintshift.replication.logs import LogId
 from flintshift.settings.options import UsageOptions
 from flintshift.storage.files import Files
 from flintshift.storage.log import BrokenError
@@ -51,9 +51,9 @@
     """The member's copies of ledgers, as far as a takeover needs them."""
 
     files: Files
-    held_logs: HeldLogs
+    held_logs: LogReplicas
     replicas: dict[LogId, Replica]
-    send: Callable[[str, logs.LogWord], None]
+    send: Callable[[str, logs.LogMessage], None]
     counters: Counters
     log: Log
 
@@ -72,7 +72,7 @@
         sinks: list[str],
         up: set[str],
         now_ms: Callable[[], float],
-        new_writer: Callable[[LogId, int, logs.Place], LogWriter],
+        new_writer: Callable[[LogId, int, logs.LogPosition], LogWriter],
         write: Callable[[LogWriter, list[logs.WriterAction]], None],
         exported: Callable[[LogWriter, str, str, bytes], None],
     ) -> None:
@@ -90,7 +90,7 @@
             except REFUSED as error:
                 self.copies.refuse(log, error)
 
-    def take(self, told: logs.Taken) -> None:
+    def take(self, told: logs.TakenOver) -> None:
         """This member is the one that goes on with a ledger."""
         log, epoch, last = told.log, told.epoch, told.last
         replica = self.copies.replicas[log]
@@ -98,16 +98,16 @@
         self.table[log] = TakenLedger(replica, writer)
         self.counters.add("usage.took_over")
         self.log(
-            "error" if told.without else "warning",
+            "error" if told.missing_holders else "warning",
             "usage.took_over",
             ledger=log[0],
             life=log[1].hex(),
             epoch=epoch,
-            of=told.of,
+            of=told.previous_writer,
             records=last[1],
-            without=list(told.without),
+            without=list(told.missing_holders),
             cause="its writer is dead, and no more than this can be had: these hold no copy"
-            if told.without
+            if told.missing_holders
             else "its writer is dead, and a majority of its holders has promised the epoch",
         )
         self._open(self.table[log])
@@ -130,12 +130,12 @@
         )
         taken.opened = True
         for member in self.up:
-            self.write(writer, writer.reach(member, True))
+            self.write(writer, writer.set_reachable(member, True))
 
     def _append(self, taken: TakenLedger, *entries: Entry) -> None:
         first, items = taken.replica.write(*entries)
         self.copies.held_logs.table[taken.writer.log].last = taken.replica.last
-        self.write(taken.writer, taken.writer.wrote(self.now_ms(), first, tuple(items), False))
+        self.write(taken.writer, taken.writer.handle_written(self.now_ms(), first, tuple(items), False))
 
     def _go_on(self, log: LogId) -> None:
         """Close what is open, export it, and be done with it."""
@@ -149,7 +149,9 @@
             if isinstance(action, Append):
                 self._append(taken, action.entry)
         made = list(ledger.book.state.documents)
-        if made and writer.held >= writer.last[1]:  # nobody exports what another may close in another way
+        if (
+            made and writer.replicated_sequence >= writer.last[1]
+        ):  # nobody exports what another may close in another way
             self._append(taken, Published(ledger.write_documents(made)))
             taken.look()
         if taken.exporting is None and self.sinks and self.tasks is not None and not taken.waits:
@@ -158,13 +160,13 @@
         if (
             self.sinks
             and not taken.waits
-            and writer.held >= writer.last[1]
+            and writer.replicated_sequence >= writer.last[1]
             and not any(unacknowledged(self.files, taken.replica.folder, self.sinks).values())
         ):
             self.log("info", "usage.takeover_done", ledger=log[0], life=log[1].hex(), epoch=writer.epoch)
-            for member in writer.copies:
-                self.send(member, logs.Over(log, writer.epoch))
-            self.copies.hold(self.copies.held_logs.over(log, writer.epoch))
+            for member in writer.replicas:
+                self.send(member, logs.LogFinished(log, writer.epoch))
+            self.copies.hold(self.copies.held_logs.mark_finished(log, writer.epoch))
 
     async def _export(self, taken: TakenLedger) -> None:
         assert self.usage.export is not None and taken.exporting is not None
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -1,5 +1,5 @@
 """The ledger of use on further members: this member's own is written to others here; their copies on this member stand
-in `held_copies.py`, and those that it goes on with in `taken_ledgers.py`. The rules are `copies.logs`.
+in `held_copies.py`, and those that it goes on with in `taken_ledgers.py`. The rules are `replication.logs`.
 
 Imported only where copies and the ledger of use are both on.
 """
@@ -12,13 +12,13 @@
 
 import anyio
 
-from flintshift.copies import logs
-from flintshift.copies.log_writer import LogWriter
-from flintshift.copies.logs import LogId
-from flintshift.copies.placement import Placement
 from flintshift.lifecycle.books import open_folder
 from flintshift.lifecycle.held_copies import REFUSED, HeldCopies
 from flintshift.lifecycle.taken_ledgers import TakenLedgers
+from flintshift.replication import logs
+from flintshift.replication.log_writer import LogWriter
+from flintshift.replication.logs import LogId
+from flintshift.replication.placement import Placement
 from flintshift.settings.options import UsageOptions
 from flintshift.usage import replica as on_disk
 from flintshift.usage.ledger import HELD_MS, RETIRE_MS, Ledger
@@ -58,11 +58,13 @@
     def _begin(self, epoch: int) -> None:
         assert self.ledger is not None
         folder = self.ledger.folder
-        own = self.holder.held_logs.own = self.name, folder.book.state.life
+        own = self.holder.held_logs.own_log = self.name, folder.book.state.life
         self.writer = self._writer_of(own, epoch, (epoch, folder.log.following - 1), folder.before)
 
-    def _writer_of(self, log: LogId, epoch: int, last: logs.Place, before: logs.Place | None = None) -> LogWriter:
-        holders = self.placement.of_log(log[0])
+    def _writer_of(
+        self, log: LogId, epoch: int, last: logs.LogPosition, before: logs.LogPosition | None = None
+    ) -> LogWriter:
+        holders = self.placement.log_holders(log[0])
         others = tuple(name for name in holders if name != self.name)
         return LogWriter(log, epoch, last, others, len(holders) // 2, HELD_MS, before)
 
@@ -71,7 +73,7 @@
     @property
     def held(self) -> float:
         assert self.writer is not None
-        return math.inf if self.writer.in_gap or not self.writer.needed else self.writer.held
+        return math.inf if self.writer.in_gap or not self.writer.needed_acks else self.writer.replicated_sequence
 
     @property
     def in_gap(self) -> bool:
@@ -79,19 +81,19 @@
 
     def stands(self, sequence: int) -> bool:
         assert self.writer is not None
-        return not self.writer.fenced and (self.writer.held >= sequence or not self.writer.needed)
+        return not self.writer.fenced and (self.writer.replicated_sequence >= sequence or not self.writer.needed_acks)
 
     def wrote(self, first: int, items: list[tuple[int, bytes]], answers: bool) -> None:
         assert self.writer is not None
         if not self.writer.fenced:
-            self._write(self.writer, self.writer.wrote(self.now_ms(), first, tuple(items), answers))
+            self._write(self.writer, self.writer.handle_written(self.now_ms(), first, tuple(items), answers))
 
     def exported(self, sink: str, name: str, digest: bytes) -> None:
         if self.writer is not None:
             self._tell_exported(self.writer, sink, name, digest)
 
     def _tell_exported(self, writer: LogWriter, sink: str, name: str, digest: bytes) -> None:
-        for member in writer.copies:
+        for member in writer.replicas:
             self.send(member, logs.Exported(writer.log, sink, name, digest))
 
     # Between members.
@@ -99,23 +101,23 @@
     def reach(self, member: str, up: bool) -> None:
         (self.up.add if up else self.up.discard)(member)
         for writer in self._writers():
-            self._write(writer, writer.reach(member, up))
+            self._write(writer, writer.set_reachable(member, up))
         if up:
-            self.holder.hold(self.holder.held_logs.reach(member))
+            self.holder.hold(self.holder.held_logs.announce_finished(member))
 
     def _writers(self) -> list[LogWriter]:
         own = [self.writer] if self.writer is not None else []
         return own + [taken.writer for taken in self.taken.table.values()]
 
-    def answered(self, member: str, at: logs.At) -> None:
+    def answered(self, member: str, at: logs.ReplicaStatus) -> None:
         for writer in self._writers():
             if writer.log == at.log:
-                self._write(writer, writer.told(self.now_ms(), member, at))
+                self._write(writer, writer.handle_status(self.now_ms(), member, at))
                 return
-        self.holder.hold(self.holder.held_logs.told(member, at))
+        self.holder.hold(self.holder.held_logs.handle_status(member, at))
 
-    def asked(self, identity: str, word: logs.LogWord) -> None:
-        self.holder.hold(self.holder.held_logs.asked(identity, word))
+    def asked(self, identity: str, word: logs.LogMessage) -> None:
+        self.holder.hold(self.holder.held_logs.handle_message(identity, word))
 
     def tick(self) -> None:
         now = self.now_ms()
@@ -128,7 +130,7 @@
         for writer in self._writers():
             self._write(writer, writer.tick(now, self._due_ms() if writer is self.writer else math.inf))
             if again:
-                self._write(writer, writer.again())
+                self._write(writer, writer.rejoin_replicas())
         if again:
             self.again_ms = now
             self.holder.read_again()
@@ -153,13 +155,13 @@
             match action:
                 case logs.SendTo(member, word):
                     self.send(member, word)
-                case logs.WholeWanted(member):
+                case logs.SnapshotNeeded(member):
                     self.counters.add("usage.copies_filled")
                     try:
-                        self._write(writer, writer.whole(member, self._whole(writer)))
+                        self._write(writer, writer.send_snapshot(member, self._whole(writer)))
                     except OSError as error:
                         self.log("error", "usage.copy_not_filled", name=member, cause=str(error))
-                case logs.Held():
+                case logs.Replicated():
                     if own and self.ledger is not None:
                         self.ledger.release()
                 case logs.GapBegan(cause):
@@ -182,9 +184,9 @@
                         "usage.copied",
                         life=writer.log[1].hex(),
                         epoch=writer.epoch,
-                        holders=[name for name, copy in writer.copies.items() if copy.granted is not None],
+                        holders=[name for name, copy in writer.replicas.items() if copy.grant is not None],
                     )
-                case logs.Raised(epoch) if own:
+                case logs.EpochRaised(epoch) if own:
                     self._stand(writer, False)
                     self.log(
                         "warning",
@@ -207,7 +209,7 @@
         next start and is taken over: no harm is done."""
         try:
             on_disk.keep_standing(
-                self.files, self.usage.folder, on_disk.Standing(writer.log[1], *writer.before, elected)
+                self.files, self.usage.folder, on_disk.Standing(writer.log[1], *writer.elected_position, elected)
             )
         except OSError as error:
             self.log("error", "usage.copy_refused", ledger=self.name, cause=str(error))
@@ -239,7 +241,7 @@
             "usage.fenced",
             cause=cause,
             folder=str(self.aside),
-            records_not_held=max(0, before.book.state.sequence - writer.held),
+            records_not_held=max(0, before.book.state.sequence - writer.replicated_sequence),
             then="a ledger of its own begins; what stands in that folder is for people to look at",
         )
         self.fence, self.aside, self.not_begun = None, None, ""
@@ -248,7 +250,7 @@
         ledger.begin_anew(folder)
         for member in self.up:
             assert self.writer is not None
-            self._write(self.writer, self.writer.reach(member, True))
+            self._write(self.writer, self.writer.set_reachable(member, True))
 
     def _not_begun(self, cause: str) -> None:
         """Tell each cause once, not with each try."""
@@ -275,14 +277,14 @@
                     "life": writer.log[1].hex(),
                     "epoch": writer.epoch,
                     "records": writer.last[1],
-                    "held": writer.held,
+                    "held": writer.replicated_sequence,
                     "in_gap": writer.in_gap,
                     "role": "writes" if writer is self.writer else "took over",
-                    "copies": {name: copy.state.name.lower() for name, copy in writer.copies.items()},
+                    "copies": {name: copy.state.name.lower() for name, copy in writer.replicas.items()},
                 }
             )
         for log, held in self.holder.held_logs.table.items():
-            if log not in self.taken.table and not held.over:
+            if log not in self.taken.table and not held.finished:
                 found.append(
                     {
                         "member": log[0],
@@ -290,10 +292,10 @@
                         "epoch": held.promised,
                         "records": held.last[1],
                         "role": "copies",
-                        "sure": held.sure,
-                        "readable": held.known,
+                        "sure": held.complete,
+                        "readable": held.readable,
                         "writer": held.writer,
-                        "writer_dead": held.dead_ms is not None,
+                        "writer_dead": held.writer_dead_since_ms is not None,
                     }
                 )
         return found
