--- a/benchmarks/kill_exporter.py
+++ b/benchmarks/kill_exporter.py
@@ -41,7 +41,7 @@
     holder = LedgerFolder(DiskFiles(), folder)
     now, served = 1_000_000, 0
     holder.open("n1", draw.randbytes(16), 1000, CLUBS, CLASSES, now)
-    keeper = Keeper(holder.book, 0)
+    keeper = Keeper(holder.accounts, 0)
 
     def tell(event: Tick | CorrectionAsked) -> None:
         for action in keeper.handle(now, event):
@@ -53,20 +53,20 @@
         for _ in range(draw.randint(1, 20)):
             row = row_number(draw.randrange(2), draw.randrange(2), 2, 0, 0)
             holder.append([Claim(draw.randbytes(8), row, 0, draw.randrange(10_000), 1, 7, 20)])
-            holder.append([Marked(holder.book.state.sequence, [0], [])])
+            holder.append([Marked(holder.accounts.state.sequence, [0], [])])
             served += 1
         now += 1000
         tell(Tick())
     if draw.random() < 0.5:  # a late correction of a period that has closed
-        begin = documents.read(holder.book.state.documents[0].data).period_ms
-        before = holder.book.state.number
+        begin = documents.read(holder.accounts.state.documents[0].data).period_ms
+        before = holder.accounts.state.number
         tell(
             CorrectionAsked(
                 "c1", "op", "late", begin, CLUBS[0], CLASSES[0], "http", "served", (3, 0, 0, 0, 0, 0, 0), (0,) * 7, 1000
             )
         )
-        served += 3 * (holder.book.state.number - before)
-    holder.write_documents(holder.book.state.documents)
+        served += 3 * (holder.accounts.state.number - before)
+    holder.write_documents(holder.accounts.state.documents)
     holder.append([Ended(now)])
     holder.close()
     return served
--- a/benchmarks/ledger_store.py
+++ b/benchmarks/ledger_store.py
@@ -62,7 +62,7 @@
         if sync:
             holder.log.sync()
         if snapshots and holder.log.size >= SEGMENT:
-            sequence, data = holder.book.state.sequence, holder.snapshot_now()
+            sequence, data = holder.accounts.state.sequence, holder.snapshot_now()
             holder.log.begin()
             holder.write_snapshot(sequence, data)
     holder.append([Marked(before[0], [one - before[0] for one in before], [])])
--- a/flintshift/cli/usage.py
+++ b/flintshift/cli/usage.py
@@ -17,7 +17,7 @@
 from flintshift.storage.files import DiskFiles, LockedError
 from flintshift.storage.snapshot import DamagedError, publish
 from flintshift.usage import documents
-from flintshift.usage.book import parted
+from flintshift.usage.accounts import split_row_key
 from flintshift.usage.documents import utc
 from flintshift.usage.folder import LedgerFolder, load, read_documents, unacknowledged
 from flintshift.usage.records import AMOUNTS, FRONTS, OUTCOMES
@@ -112,12 +112,12 @@
         for entry in document.in_doubt
     ]
     doubt += [
-        {"id": id_.hex(), "period": utc(begin), "club": parted(key)[0]}
+        {"id": id_.hex(), "period": utc(begin), "club": split_row_key(key)[0]}
         for begin, part in sorted(book.state.periods.items())
         for id_, key, _ in part.doubted
     ]
     on_way = [
-        {"id": waiting.claim.id.hex(), "period": utc(waiting.period), "club": book.names_of(waiting.claim.row)[0]}
+        {"id": waiting.claim.id.hex(), "period": utc(waiting.period), "club": book.row_key(waiting.claim.row)[0]}
         for waiting in book.state.waiting.values()
     ]
     if as_json or form == "json":
@@ -297,7 +297,7 @@
             False,
             0.0,
             [],
-            LedgerClock(wall, 0.0, holder.book.state.last_ms),
+            LedgerClock(wall, 0.0, holder.accounts.state.last_ms),
             lambda: wall,
             lambda: 0.0,
             lambda *_, **__: None,
@@ -306,8 +306,8 @@
         if ledger.commit.gap is not None:
             return False, f"could not be written: {ledger.commit.gap.cause}"
         holder.log.sync()
-        if holder.book.state.documents:
-            holder.write_documents(holder.book.state.documents)
+        if holder.accounts.state.documents:
+            holder.write_documents(holder.accounts.state.documents)
         return reply.taken, reply.text
     finally:
         holder.close()
--- a/flintshift/lifecycle/books.py
+++ b/flintshift/lifecycle/books.py
@@ -143,10 +143,10 @@
     """
     folder = LedgerFolder(files, options.folder)
     try:
-        found, last_ms = folder.found, folder.book.state.last_ms
+        found, last_ms = folder.found, folder.accounts.state.last_ms
         now = time.time() * 1000
         clock = LedgerClock(now, time.monotonic() * 1000, last_ms)
-        life = folder.book.state.life or os.urandom(16)
+        life = folder.accounts.state.life or os.urandom(16)
         if copied:
             from flintshift.usage.replica import stood_before
 
--- a/flintshift/lifecycle/exports.py
+++ b/flintshift/lifecycle/exports.py
@@ -14,7 +14,7 @@
 from flintshift.settings.options import ExportOptions, UsageOptions
 from flintshift.storage.files import DiskFiles, Files
 from flintshift.storage.snapshot import DamagedError
-from flintshift.usage.book import State
+from flintshift.usage.accounts import AccountsState
 from flintshift.usage.export import Pace
 from flintshift.usage.exporting import ExportRun
 from flintshift.usage.ledger import Ledger
@@ -38,7 +38,7 @@
     log: Log,
     until_done: bool,
     files: Files | None = None,
-    copied: State | None = None,
+    copied: AccountsState | None = None,
     noted: Callable[[str, str, bytes], object] = lambda sink, name, digest: None,
 ) -> ExportRun:
     """``copied``: the ledger's state, where further members hold it: whoever writes it exports under its epoch."""
@@ -73,7 +73,7 @@
                 log,
                 False,
                 ledger.folder.files,
-                ledger.book.state if copies is not None else None,
+                ledger.accounts.state if copies is not None else None,
                 copies.exported if copies is not None else lambda sink, name, digest: None,
             )
             ledger.changed = export.look
--- a/flintshift/lifecycle/taken_ledgers.py
+++ b/flintshift/lifecycle/taken_ledgers.py
@@ -43,7 +43,7 @@
     @property
     def waits(self) -> bool:
         """Something is still to be closed, or to be written as a document."""
-        state = self.replica.ledger.book.state
+        state = self.replica.ledger.accounts.state
         return bool(state.periods or state.documents)
 
 
@@ -115,7 +115,7 @@
     def _open(self, taken: TakenLedger) -> None:
         """Write the first record under the new epoch, and ask the others to follow. Tried again while the disk
         refuses."""
-        state, writer = taken.replica.ledger.book.state, taken.writer
+        state, writer = taken.replica.ledger.accounts.state, taken.writer
         taken.replica.ledger.log.epoch = writer.epoch
         self._append(
             taken,
@@ -145,10 +145,10 @@
             return
         if not taken.opened:
             self._open(taken)
-        for action in Keeper(ledger.book, 0).handle(time.time() * 1000, WriterGone()):
+        for action in Keeper(ledger.accounts, 0).handle(time.time() * 1000, WriterGone()):
             if isinstance(action, Append):
                 self._append(taken, action.entry)
-        made = list(ledger.book.state.documents)
+        made = list(ledger.accounts.state.documents)
         if made and writer.held >= writer.last[1]:  # nobody exports what another may close in another way
             self._append(taken, Published(ledger.write_documents(made)))
             taken.look()
@@ -176,7 +176,7 @@
                     self.log,
                     False,
                     self.files,
-                    taken.replica.ledger.book.state,
+                    taken.replica.ledger.accounts.state,
                     lambda sink, name, digest: self.exported(taken.writer, sink, name, digest),
                 )
                 taken.look = export.look
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -58,7 +58,7 @@
     def _begin(self, epoch: int) -> None:
         assert self.ledger is not None
         folder = self.ledger.folder
-        own = self.holder.held_logs.own = self.name, folder.book.state.life
+        own = self.holder.held_logs.own = self.name, folder.accounts.state.life
         self.writer = self._writer_of(own, epoch, (epoch, folder.log.following - 1), folder.before)
 
     def _writer_of(self, log: LogId, epoch: int, last: logs.Place, before: logs.Place | None = None) -> LogWriter:
@@ -214,9 +214,9 @@
 
     def _whole(self, writer: LogWriter) -> bytes:
         if writer is self.writer and self.ledger is not None:
-            return on_disk.whole_of(self.files, self.usage.folder, self.ledger.book, self.sinks)
+            return on_disk.whole_of(self.files, self.usage.folder, self.ledger.accounts, self.sinks)
         replica = self.holder.replicas[writer.log]
-        return on_disk.whole_of(self.files, replica.folder, replica.ledger.book, self.sinks)
+        return on_disk.whole_of(self.files, replica.folder, replica.ledger.accounts, self.sinks)
 
     def _begin_anew(self, cause: str) -> None:
         """Another member goes on with this member's ledger: one of its own begins. Tried again at each look while the
@@ -239,7 +239,7 @@
             "usage.fenced",
             cause=cause,
             folder=str(self.aside),
-            records_not_held=max(0, before.book.state.sequence - writer.held),
+            records_not_held=max(0, before.accounts.state.sequence - writer.held),
             then="a ledger of its own begins; what stands in that folder is for people to look at",
         )
         self.fence, self.aside, self.not_begun = None, None, ""
--- a/flintshift/usage/book.py
+++ b/flintshift/usage/accounts.py
@@ -85,7 +85,7 @@
     data: bytes
 
 
-class State(msgspec.Struct):
+class AccountsState(msgspec.Struct):
     """All of the book, as a snapshot holds it."""
 
     node: str = ""
@@ -115,20 +115,20 @@
     return SEPARATOR.join(names)
 
 
-def parted(key: str) -> Names:
+def split_row_key(key: str) -> Names:
     club, class_name, front, outcome = key.split(SEPARATOR)
     return club, class_name, front, outcome
 
 
 @dataclass(slots=True)
-class Book:
+class UsageAccounts:
     bounds: Bounds = field(default_factory=Bounds)
-    state: State = field(default_factory=State)
+    state: AccountsState = field(default_factory=AccountsState)
     rows: dict[int, list[int]] = field(default_factory=dict)  # of the current period, by their number
 
     # What is asked of it.
 
-    def names_of(self, number: int) -> Names:
+    def row_key(self, number: int) -> Names:
         """The names of a row's number, as the configuration of this life counts them."""
         number, outcome = divmod(number, len(OUTCOMES))
         number, front = divmod(number, len(FRONTS))
@@ -144,7 +144,7 @@
     def totals(self) -> dict[int, dict[Names, list[int]]]:
         """Open periods' rows, by the period's begin."""
         return {
-            begin: {parted(key): list(row) for key, row in sorted(period.rows.items())}
+            begin: {split_row_key(key): list(row) for key, row in sorted(period.rows.items())}
             for begin, period in sorted(self.state.periods.items())
         }
 
@@ -152,7 +152,7 @@
         """A row of an open period less the claims whose answers are on their way, which may still leave it."""
         row = list(self.state.periods[begin].rows.get(joined(names), [0] * len(AMOUNTS)))
         for found in self.state.waiting.values():
-            if found.period == begin and self.names_of(found.claim.row) == names:
+            if found.period == begin and self.row_key(found.claim.row) == names:
                 row = [amount - less for amount, less in zip(row, amounts_of(found.claim), strict=True)]
         return row
 
@@ -160,12 +160,12 @@
         return msgspec.msgpack.encode(self.state)
 
     @classmethod
-    def load(cls, data: bytes, bounds: Bounds | None = None) -> Book:
+    def load(cls, data: bytes, bounds: Bounds | None = None) -> UsageAccounts:
         """
         Raises:
             ValueError: it is no snapshot of a book.
         """
-        return cls(bounds or Bounds(), msgspec.msgpack.decode(data, type=State))
+        return cls(bounds or Bounds(), msgspec.msgpack.decode(data, type=AccountsState))
 
     # What it is told.
 
@@ -225,7 +225,7 @@
 
     def _row(self, period: int, number: int) -> list[int]:
         rows = self.state.periods[period].rows
-        return rows.setdefault(joined(self.names_of(number)), [0] * len(AMOUNTS))
+        return rows.setdefault(joined(self.row_key(number)), [0] * len(AMOUNTS))
 
     def _marked(self, marked: Marked) -> None:
         waiting, base = self.state.waiting, marked.base
@@ -256,7 +256,7 @@
         state = self.state
         for found in state.waiting.values():  # by the names of the life that claimed them
             period = state.periods[found.period]
-            amounts, names = self._move(found, None), self.names_of(found.claim.row)
+            amounts, names = self._move(found, None), self.row_key(found.claim.row)
             if len(period.doubted) < self.bounds.doubted:
                 period.doubted.append((found.claim.id, joined(names), amounts))
             else:
@@ -302,9 +302,11 @@
         state.last_ms = max(state.last_ms, closed.at_ms)
         document = self._document(period.begin, period.length, 0, closed.at_ms)
         document.first_sequence, document.last_sequence = period.first_sequence, period.last_sequence
-        document.rows.extend(documents.row(parted(key), row) for key, row in sorted(period.rows.items()) if any(row))
+        document.rows.extend(
+            documents.row(split_row_key(key), row) for key, row in sorted(period.rows.items()) if any(row)
+        )
         document.in_doubt.extend(
-            pb.InDoubt(id=id_, row=documents.row(parted(key), amounts)) for id_, key, amounts in period.doubted
+            pb.InDoubt(id=id_, row=documents.row(split_row_key(key), amounts)) for id_, key, amounts in period.doubted
         )
         document.in_doubt_unlisted = period.doubted_unlisted
         document.gaps.extend(
--- a/flintshift/usage/corrections.py
+++ b/flintshift/usage/corrections.py
@@ -8,7 +8,7 @@
 
 from flintshift.storage.files import Files
 from flintshift.usage import documents
-from flintshift.usage.book import Book
+from flintshift.usage.accounts import UsageAccounts
 from flintshift.usage.folder import read_documents
 from flintshift.usage.messages import CorrectionAsked
 from flintshift.usage.records import AMOUNTS
@@ -41,7 +41,7 @@
     return CorrectionAsked(period=told["period"], amounts=tuple(amounts), **{name: told[name] for name in TEXTS})
 
 
-def base_of(files: Files, folder: Path, book: Book, asked: CorrectionAsked) -> CorrectionAsked:
+def base_of(files: Files, folder: Path, book: UsageAccounts, asked: CorrectionAsked) -> CorrectionAsked:
     """The correction with what its row holds now, where its period has closed.
 
     Raises:
--- a/flintshift/usage/folder.py
+++ b/flintshift/usage/folder.py
@@ -24,7 +24,7 @@
 from flintshift.storage.log import BrokenError, Log, Reach, batches, segments
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage import documents
-from flintshift.usage.book import Book, Bounds, Document
+from flintshift.usage.accounts import Bounds, Document, UsageAccounts
 from flintshift.usage.records import CLAIM_KIND, SNAPSHOT_KIND, Entry, Opened, pack, unpack, unpack_claim
 from flintshift.usage.retention import Removal, StandingDocument, StandingSegment, removal
 
@@ -58,7 +58,7 @@
     )
 
 
-def load(files: Files, folder: Path, bounds: Bounds | None = None) -> tuple[Book, Reach, Recovered]:
+def load(files: Files, folder: Path, bounds: Bounds | None = None) -> tuple[UsageAccounts, Reach, Recovered]:
     """The book as the folder holds it. Nothing is changed, so a folder in use can be read too.
 
     Raises:
@@ -73,13 +73,13 @@
             gc.enable()
 
 
-def _load(files: Files, folder: Path, bounds: Bounds | None) -> tuple[Book, Reach, Recovered]:
-    book, found, epoch = Book(bounds or Bounds()), Recovered(), 0
+def _load(files: Files, folder: Path, bounds: Bounds | None) -> tuple[UsageAccounts, Reach, Recovered]:
+    book, found, epoch = UsageAccounts(bounds or Bounds()), Recovered(), 0
     for sequence in snapshots(files, folder):
         path = folder / "snapshots" / snapshot_name(sequence)
         try:
             record = snapshot.opened(path, files.read(path), SNAPSHOT_KIND)
-            book, epoch = Book.load(record.payload, bounds), record.epoch
+            book, epoch = UsageAccounts.load(record.payload, bounds), record.epoch
         except (DamagedError, ValueError) as error:
             found.warnings.append(f"{error}; an older one is used")
             continue
@@ -119,8 +119,8 @@
         try:
             for name in ("", "snapshots", "documents"):
                 snapshot.sweep(files, folder / name)
-            self.book, self.reach, self.found = load(files, folder, bounds)
-            self.found.in_doubt = len(self.book.state.waiting)
+            self.accounts, self.reach, self.found = load(files, folder, bounds)
+            self.found.in_doubt = len(self.accounts.state.waiting)
             self.log = Log(files, folder / "log", self.reach.epoch + 1, self.reach.following)
             self.log.resume(self.reach)
         except BaseException:
@@ -135,13 +135,13 @@
             OSError, DamagedError: it can't be read or written on.
         """
         self.log.close()
-        self.book, self.reach, self.found = load(self.files, self.folder, self.book.bounds)
+        self.accounts, self.reach, self.found = load(self.files, self.folder, self.accounts.bounds)
         self.log = Log(self.files, self.folder / "log", max(self.log.epoch, self.reach.epoch), self.reach.following)
         self.log.resume(self.reach)
 
     def open(self, node: str, drawn: bytes, period_ms: int, clubs: list[str], classes: list[str], now_ms: int) -> None:
         """Begin a life: what was on its way in the one before is in doubt from here on."""
-        life = self.book.state.life or drawn
+        life = self.accounts.state.life or drawn
         self.append([Opened(node, life, period_ms, clubs, classes, now_ms)])
         self.log.sync()
 
@@ -149,7 +149,7 @@
         """Another process goes on with this ledger: what stands here makes room for another one, and is kept for people
         to look at. Returns where."""
         self.log.close()
-        state = self.book.state
+        state = self.accounts.state
         aside = self.folder / "taken-over" / f"{state.life.hex()}.e{state.epoch}"
         self.files.make_folder(aside)
         for name in ("log", "snapshots", "documents", "acks"):
@@ -170,11 +170,11 @@
 
     def apply(self, first: int, entries: list[Entry]) -> None:
         for place, entry in enumerate(entries):
-            self.book.apply(first + place, self.log.epoch, entry)
+            self.accounts.apply(first + place, self.log.epoch, entry)
 
     def snapshot_now(self) -> bytes:
-        state = self.book.state
-        return snapshot.sealed(SNAPSHOT_KIND, self.log.epoch, state.sequence, self.book.dump())
+        state = self.accounts.state
+        return snapshot.sealed(SNAPSHOT_KIND, self.log.epoch, state.sequence, self.accounts.dump())
 
     def write_snapshot(self, sequence: int, data: bytes) -> None:
         snapshot.publish(self.files, self.folder / "snapshots" / snapshot_name(sequence), data)
--- a/flintshift/usage/keeper.py
+++ b/flintshift/usage/keeper.py
@@ -14,7 +14,7 @@
 
 import re
 
-from flintshift.usage.book import Book, content_of
+from flintshift.usage.accounts import UsageAccounts, content_of
 from flintshift.usage.messages import (
     Append,
     ClockMoved,
@@ -48,8 +48,8 @@
 
 
 class Keeper:
-    def __init__(self, book: Book, grace_ms: int) -> None:
-        self.book, self.grace_ms = book, grace_ms
+    def __init__(self, book: UsageAccounts, grace_ms: int) -> None:
+        self.accounts, self.grace_ms = book, grace_ms
 
     def handle(self, now_ms: float, event: KeeperEvent) -> list[KeeperAction]:
         now = int(now_ms)
@@ -70,15 +70,15 @@
                 return [Append(Gap(from_ms, now, requests, cause))]
 
     def _time_passed(self, now: int) -> list[KeeperAction]:
-        state = self.book.state
+        state = self.accounts.state
         actions: list[KeeperAction] = []
         current, edge = state.current, state.closed_to
         if current is not None:
             edge = max(edge, current + state.periods[current].length)
-        if current is None or (now >= edge and len(state.periods) < self.book.bounds.periods):
+        if current is None or (now >= edge and len(state.periods) < self.accounts.bounds.periods):
             current = max(period_of(now, state.period_ms), edge)
             actions.append(Append(Turned(current, period_of(current, state.period_ms) + state.period_ms - current)))
-        room = self.book.bounds.documents - len(state.documents)
+        room = self.accounts.bounds.documents - len(state.documents)
         answers = {found.period for found in state.waiting.values()}
         for begin, period in sorted(state.periods.items()):
             if begin == current or now < begin + period.length + self.grace_ms or begin in answers:
@@ -91,8 +91,8 @@
 
     def _closed_all(self, now: int) -> list[KeeperAction]:
         """Every period is over, and no answer of any is on its way."""
-        room = max(0, self.book.bounds.documents - len(self.book.state.documents))
-        return [Append(Closed(begin, now)) for begin in sorted(self.book.state.periods)[:room]]
+        room = max(0, self.accounts.bounds.documents - len(self.accounts.state.documents))
+        return [Append(Closed(begin, now)) for begin in sorted(self.accounts.state.periods)[:room]]
 
     def _correction(self, now: int, asked: CorrectionAsked) -> list[KeeperAction]:
         entry = Corrected(
@@ -108,7 +108,7 @@
             list(asked.amounts),
             self._length(asked),
         )
-        known = self.book.state.corrections.get(asked.id)
+        known = self.accounts.state.corrections.get(asked.id)
         if known is not None:
             if known[0] == content_of(entry):
                 return [Reply(True, "was taken before; nothing changes")]
@@ -116,18 +116,18 @@
         fault = self._fault(asked)
         if fault is not None:
             return [Reply(False, fault)]
-        if asked.period in self.book.state.periods:
+        if asked.period in self.accounts.state.periods:
             return [Append(entry), Reply(True, "is in the period, which is open")]
-        revision = self.book.state.revisions.get(asked.period, 0) + 1
+        revision = self.accounts.state.revisions.get(asked.period, 0) + 1
         return [Append(entry), Reply(True, f"makes revision {revision} of the period, which has closed")]
 
     def _length(self, asked: CorrectionAsked) -> int:
-        period = self.book.state.periods.get(asked.period)
+        period = self.accounts.state.periods.get(asked.period)
         return period.length if period is not None else asked.length or 0
 
     def _fault(self, asked: CorrectionAsked) -> str | None:
         """Why a correction is impossible; None where it is not."""
-        state = self.book.state
+        state = self.accounts.state
         if IDENTIFIER.fullmatch(asked.id) is None:
             return "the id is 1 to 64 of A-Z a-z 0-9 . _ -"
         if not asked.author.strip() or not asked.reason.strip() or max(len(asked.author), len(asked.reason)) > 500:
@@ -140,14 +140,14 @@
             return f"the front is one of {', '.join(FRONTS)}, the outcome one of {', '.join(OUTCOMES)}"
         if len(asked.amounts) != len(AMOUNTS) or not any(asked.amounts):
             return "nothing is corrected: all amounts are 0"
-        if len(state.corrections) >= self.book.bounds.corrections:
+        if len(state.corrections) >= self.accounts.bounds.corrections:
             return f"{len(state.corrections):,} corrections are known, the most that there may be"
         period = state.periods.get(asked.period)
-        if period is None and len(state.documents) >= self.book.bounds.documents:
+        if period is None and len(state.documents) >= self.accounts.bounds.documents:
             return f"{len(state.documents)} documents wait to be written: look at the disk, and hand it in again"
         if period is not None:
             names = asked.club, asked.class_name, asked.front, asked.outcome
-            standing = tuple(self.book.settled(asked.period, names))
+            standing = tuple(self.accounts.settled(asked.period, names))
         elif asked.length is None:
             return f"no period begins at {asked.period} ms"
         else:
--- a/flintshift/usage/ledger.py
+++ b/flintshift/usage/ledger.py
@@ -45,7 +45,7 @@
     Write,
 )
 from flintshift.storage.log import BrokenError
-from flintshift.usage.book import Book
+from flintshift.usage.accounts import UsageAccounts
 from flintshift.usage.corrections import base_of, from_json
 from flintshift.usage.folder import LedgerFolder, retire
 from flintshift.usage.keeper import Keeper
@@ -102,7 +102,7 @@
     def __init__(self, row: int, lists: Lists, due_ms: float) -> None:
         self.due_ms = due_ms  # of its answer, by the steady clock
         self.row, self.lists, self.sequence, self.period, self.marked = row, lists, 0, 0, False
-        self.book: Book | None = None  # that it was written to
+        self.book: UsageAccounts | None = None  # that it was written to
 
 
 Waits = tuple[Ticket, Claim, Callable[[], object] | None]
@@ -124,8 +124,8 @@
         steady_ms: Callable[[], float],
         say: Say,
     ) -> None:
-        self.folder, self.book = folder, folder.book
-        self.keeper = Keeper(folder.book, grace_ms)
+        self.folder, self.accounts = folder, folder.accounts
+        self.keeper = Keeper(folder.accounts, grace_ms)
         self.commit = Commit(limits, folder.log.following - 1)
         self.refuse, self.retention_ms, self.sinks = refuse, retention_ms, sinks
         self.clock, self.wall_ms, self.steady_ms, self.say = clock, wall_ms, steady_ms, say
@@ -133,7 +133,7 @@
         self.delivered: list[Ticket] = []  # not marked yet
         self.undelivered: list[Ticket] = []
         self.late: list[Late] = []
-        self.lists: Lists = (folder.book.state.clubs, folder.book.state.classes)
+        self.lists: Lists = (folder.accounts.state.clubs, folder.accounts.state.classes)
         self.listed: Listed | None = None  # not written yet
         # Answers that wait until their claim stands on the disk and at other members, by sequence.
         self.held: deque[tuple[int, Waits]] = deque()
@@ -172,7 +172,7 @@
         deliver: Callable[[], object] | None,
         due_ms: float = math.inf,
     ) -> Ticket:
-        """Book a final answer, and deliver it once that is written."""
+        """UsageAccounts a final answer, and deliver it once that is written."""
         ticket = Ticket(row, self.lists, due_ms)
         self.claims.append((ticket, Claim(id_, row, flags, run_us, calls, bytes_in, bytes_out), deliver))
         if not self.due:
@@ -183,7 +183,7 @@
         """The answer has left, or its caller went before it had."""
         if not ticket.marked:
             ticket.marked = True
-            if ticket.book is not None and ticket.book is not self.book:
+            if ticket.book is not None and ticket.book is not self.accounts:
                 return  # another member goes on with that ledger: there the claim is in doubt
             (self.delivered if arrived else self.undelivered).append(ticket)
             if not self.due and not self.marking:  # no hurry: the next claim takes it along
@@ -192,7 +192,7 @@
 
     def add_late(self, ticket: Ticket, run_us: int, calls: int) -> None:
         row = ticket.row if ticket.lists is self.lists else renumbered(ticket.row, ticket.lists, self.lists)
-        self.late.append(Late(ticket.period or self.book.state.current or 0, row, run_us, calls))
+        self.late.append(Late(ticket.period or self.accounts.state.current or 0, row, run_us, calls))
         if not self.due:
             self._flush_soon()
 
@@ -231,13 +231,13 @@
         delivered, self.delivered = self.delivered, []
         undelivered, self.undelivered = self.undelivered, []
         late, self.late = self.late, []
-        sequence, period = self.folder.log.following, self.book.state.current or 0
+        sequence, period = self.folder.log.following, self.accounts.state.current or 0
         entries: list[Entry] = []
         if self.listed is not None:  # before all that is numbered by it
             entries.append(self.listed)
             sequence, self.listed = sequence + 1, None
         for ticket, claim, _ in claims:
-            ticket.sequence, ticket.period, ticket.book = sequence, period, self.book
+            ticket.sequence, ticket.period, ticket.book = sequence, period, self.accounts
             sequence += 1
             entries.append(claim)
         if delivered or undelivered:
@@ -376,13 +376,13 @@
 
     async def _begin_segment(self) -> None:
         """Keep the book as it stands now: recovery will begin there."""
-        folder, sequence, data = self.folder, self.book.state.sequence, self.folder.snapshot_now()
+        folder, sequence, data = self.folder, self.accounts.state.sequence, self.folder.snapshot_now()
         await anyio.to_thread.run_sync(folder.log.begin, sequence + 1)
         if folder is self.folder:
             self.snapshot_due = sequence, data
 
     async def _reopen(self) -> None:
-        log, sequence, data = self.folder.log, self.book.state.sequence, self.folder.snapshot_now()
+        log, sequence, data = self.folder.log, self.accounts.state.sequence, self.folder.snapshot_now()
         self.backlog, log.broken = [], True
         await anyio.to_thread.run_sync(self.folder.write_snapshot, sequence, data)
         await anyio.to_thread.run_sync(log.begin, sequence + 1)
@@ -409,7 +409,7 @@
 
     async def _synced(self) -> bool:
         """All that is written is synced; False in a gap, and where another ledger has begun meanwhile."""
-        wanted, commit = self.book.state.sequence, self.commit
+        wanted, commit = self.accounts.state.sequence, self.commit
         self._do(commit.handle(self.steady_ms(), SyncWanted(wanted)))
         while commit is self.commit and commit.gap is None and commit.synced < wanted:
             await self._operation_ends()
@@ -433,7 +433,7 @@
                     self._write([entry])
                 case Reply():
                     reply = action
-        state = self.book.state
+        state = self.accounts.state
         if state.current is not None:
             self.turn_ms = state.current + state.periods[state.current].length
         return reply
@@ -480,9 +480,9 @@
             self.say("warning", "usage.snapshot_failed", cause=str(error))
 
     async def _documents(self) -> None:
-        made, book, wanted = list(self.book.state.documents), self.book, self.book.state.sequence
+        made, book, wanted = list(self.accounts.state.documents), self.accounts, self.accounts.state.sequence
         # The record that made a document must not be lost where the document stands.
-        if not made or not await self._synced() or book is not self.book:
+        if not made or not await self._synced() or book is not self.accounts:
             return
         if self.copies is not None and not self.copies.stands(wanted):
             return  # nobody exports what another may close in another way
@@ -492,7 +492,7 @@
             self.say("error", "usage.document_failed", cause=str(error))
             return
         await self._writable()
-        if book is not self.book:
+        if book is not self.accounts:
             return
         self._tell(DocumentsStand(number))
         for document in made:
@@ -524,7 +524,7 @@
         """Take a correction as it was handed in."""
         try:
             asked = from_json(data)
-            base = base_of(self.folder.files, self.folder.folder, self.book, asked)
+            base = base_of(self.folder.files, self.folder.folder, self.accounts, asked)
         except (ValueError, snapshot.DamagedError) as error:
             return Reply(False, str(error))
         reply = self._tell(base)
@@ -547,8 +547,8 @@
         self.claims = again + self.claims
         self.delivered = [ticket for ticket in self.delivered if ticket.book is None]
         self.undelivered = [ticket for ticket in self.undelivered if ticket.book is None]
-        self.folder, self.book, self.listed = folder, folder.book, None
-        self.keeper = Keeper(folder.book, self.keeper.grace_ms)
+        self.folder, self.accounts, self.listed = folder, folder.accounts, None
+        self.keeper = Keeper(folder.accounts, self.keeper.grace_ms)
         self.commit = Commit(self.commit.limits, folder.log.following - 1)
         self.snapshot_due = self.backlog = self.operation = None
         self.turn_ms, self.synced = 0, -1.0
@@ -573,7 +573,7 @@
                 self.sinks,
                 self.retention_ms,
                 self.wall_ms(),
-                self.book.state.closed_to,
+                self.accounts.state.closed_to,
             )
         except (OSError, snapshot.DamagedError) as error:
             self.say("warning", "usage.retire_failed", cause=str(error))
--- a/flintshift/usage/replica.py
+++ b/flintshift/usage/replica.py
@@ -22,7 +22,7 @@
 from flintshift.storage.log import Log, segments
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage import documents
-from flintshift.usage.book import Book
+from flintshift.usage.accounts import UsageAccounts
 from flintshift.usage.folder import LedgerFolder, retire, snapshot_name, snapshots, unacknowledged
 from flintshift.usage.records import Entry, Published, pack, unpack
 
@@ -70,12 +70,12 @@
 class Whole(msgspec.Struct, array_like=True):
     """All that a copy needs to go on from a place."""
 
-    book: bytes
+    accounts: bytes
     documents: list[tuple[str, bytes]]  # that some sink does not have yet
     acks: list[tuple[str, str, bytes]]  # sink, name, digest: of these, what another sink has
 
 
-def whole_of(files: Files, folder: Path, book: Book, sinks: Iterable[str]) -> bytes:
+def whole_of(files: Files, folder: Path, book: UsageAccounts, sinks: Iterable[str]) -> bytes:
     """Of a ledger's folder as it stands now."""
     left = unacknowledged(files, folder, list(sinks))
     standing = [name for name in files.names(folder / "documents") if documents.NAME.fullmatch(name)]
@@ -202,11 +202,11 @@
         log = self.ledger.log
         first = log.append_with_retry(items)
         for place, entry in enumerate(entries):
-            self.ledger.book.apply(first + place, log.epoch, entry)
+            self.ledger.accounts.apply(first + place, log.epoch, entry)
         self.ledger.reach.epoch = log.epoch
 
     def _publish(self, told: Published) -> None:
-        made = [one for one in self.ledger.book.state.documents if one.number <= told.number]
+        made = [one for one in self.ledger.accounts.state.documents if one.number <= told.number]
         if made:
             self.ledger.write_documents(made)
 
@@ -219,7 +219,7 @@
 
     def turn(self) -> None:
         """Begin a segment behind a snapshot; what came before goes."""
-        sequence = self.ledger.book.state.sequence
+        sequence = self.ledger.accounts.state.sequence
         self.ledger.write_snapshot(sequence, self.ledger.snapshot_now())
         self.ledger.log.begin()
         self._only(sequence)
@@ -241,7 +241,7 @@
         """
         try:
             told = msgspec.msgpack.decode(data, type=Whole)
-            book = Book.load(told.book)
+            book = UsageAccounts.load(told.accounts)
         except (msgspec.DecodeError, ValueError) as error:
             raise DamagedError(f"{self.folder}: what came is no ledger: {error}") from error
         self.keep(sure=False)
@@ -254,7 +254,7 @@
                 snapshot.publish(files, folder / "documents" / name, document)
         for sink, name, digest in told.acks:
             self.note(sink, name, digest)
-        ledger.book, ledger.reach.epoch = book, epoch
+        ledger.accounts, ledger.reach.epoch = book, epoch
         ledger.log = Log(files, folder / "log", epoch, sequence + 1)
         ledger.write_snapshot(sequence, ledger.snapshot_now())
         ledger.log.begin()
@@ -268,7 +268,7 @@
             snapshot.publish(self.files, self.folder / "acks" / sink / name, digest)
 
     def retire(self, sinks: list[str], retention_ms: float, now_ms: float) -> None:
-        retire(self.files, self.folder, sinks, retention_ms, now_ms, self.ledger.book.state.closed_to)
+        retire(self.files, self.folder, sinks, retention_ms, now_ms, self.ledger.accounts.state.closed_to)
 
     def forget(self, epoch: int) -> None:
         """Nothing of it is needed any more, but that this is so."""
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -29,12 +29,12 @@
     """A ledger with one closed period, at 1000 ms, and one that is open, at 5000 ms."""
     holder = LedgerFolder(DiskFiles(), tmp_path / "u")
     holder.open("n1", b"l" * 16, 1000, ["a", "b"], ["look", "pay"], 1000)
-    keeper = Keeper(holder.book, 0)
+    keeper = Keeper(holder.accounts, 0)
     for now in (1000, 5000):
         for action in keeper.handle(now, Tick()):
             holder.append([action.entry])
         holder.append([Claim(b"12345678", row_number(0, 0, 2, 0, 0), FINAL, 2500, 1, 7, 20)])
-    holder.write_documents(holder.book.state.documents)
+    holder.write_documents(holder.accounts.state.documents)
     holder.close()
     return tmp_path / "u"
 
--- a/tests/copies/test_use_copies_refusals.py
+++ b/tests/copies/test_use_copies_refusals.py
@@ -33,7 +33,7 @@
 from flintshift.lifecycle.use_copies import AGAIN_MS, UseCopies
 from flintshift.settings.options import CopiesOptions, UsageOptions
 from flintshift.usage import replica as on_disk
-from flintshift.usage.book import Book
+from flintshift.usage.accounts import UsageAccounts
 from flintshift.usage.folder import load
 from flintshift.usage.records import Opened, Turned, pack
 
@@ -46,7 +46,7 @@
 
 def whole():
     """All that a copy needs to hold the ledger's first record."""
-    book = Book()
+    book = UsageAccounts()
     book.apply(1, EPOCH, Opened("n1", LOG[1], 1000, ["a"], ["look"], 1_000_000))
     book.state.sequence = 1
     return msgspec.msgpack.encode(on_disk.Whole(book.dump(), [], []))
@@ -245,8 +245,8 @@
     taken = holder.copies.taken.table[LOG]
     assert taken.writer.last == taken.replica.last
     assert taken.writer.last[0] == asked[0].epoch
-    assert not taken.replica.ledger.book.state.periods  # what was open is closed
-    assert taken.replica.ledger.book.state.epoch == asked[0].epoch
+    assert not taken.replica.ledger.accounts.state.periods  # what was open is closed
+    assert taken.replica.ledger.accounts.state.epoch == asked[0].epoch
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 1000])
@@ -289,7 +289,7 @@
     ledger = life.ledger
     holder = Holder(life.files, name="n1", folder=FOLDER)
     holder.copies.write(ledger)
-    before = ledger.book.state.life
+    before = ledger.accounts.state.life
     life.files.refuse = {life.files.count + place: errno.ENOSPC for place in range(1, count + 1)}
     writer = holder.copies.writer
     holder.copies.reach("n2", True)
@@ -298,9 +298,9 @@
     for _ in range(3):
         holder.now += 50.0
         holder.copies.tick()
-    assert ledger.book.state.life not in (b"", before)
-    assert holder.copies.writer.log == ("n1", ledger.book.state.life)
-    assert load(life.files, FOLDER)[0].state.life == ledger.book.state.life
+    assert ledger.accounts.state.life not in (b"", before)
+    assert holder.copies.writer.log == ("n1", ledger.accounts.state.life)
+    assert load(life.files, FOLDER)[0].state.life == ledger.accounts.state.life
 
 
 @pytest.mark.anyio
--- a/tests/usage/test_book.py
+++ b/tests/usage/test_accounts.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from flintshift.usage import documents
-from flintshift.usage.book import Book, Bounds
+from flintshift.usage.accounts import Bounds, UsageAccounts
 from flintshift.usage.keeper import Keeper
 from flintshift.usage.messages import Append, ClockMoved, CorrectionAsked, DocumentsStand, Reply, Tick
 from flintshift.usage.periods import CONFIRM_MS, LedgerClock, period_of
@@ -41,13 +41,13 @@
     """A book that only its records change, each kept to be replayed."""
 
     def __init__(self, grace_ms=100):
-        self.book, self.records, self.documents = Book(BOUNDS), [], {}
-        self.keeper, self.epoch, self.now = Keeper(self.book, grace_ms), 0, 10_000
+        self.accounts, self.records, self.documents = UsageAccounts(BOUNDS), [], {}
+        self.keeper, self.epoch, self.now = Keeper(self.accounts, grace_ms), 0, 10_000
 
     def write(self, entry):
         self.records.append((len(self.records) + 1, self.epoch, pack(entry)))
-        self.book.apply(len(self.records), self.epoch, entry)
-        for made in self.book.state.documents:
+        self.accounts.apply(len(self.records), self.epoch, entry)
+        for made in self.accounts.state.documents:
             assert self.documents.setdefault(made.name, made.data) == made.data
         return len(self.records)
 
@@ -73,7 +73,7 @@
         return row_number(place, classes.index(CLASSES[class_]), len(classes), front, outcome)
 
     def replayed(self):
-        book = Book(BOUNDS)
+        book = UsageAccounts(BOUNDS)
         for sequence, epoch, (kind, payload) in self.records:
             book.apply(sequence, epoch, unpack(kind, payload))
         return book
@@ -84,7 +84,7 @@
             for names, row in documents.totals([documents.read(data)]).items():
                 for place, value in enumerate(row):
                     total[names, place] += value
-        for rows in self.book.totals().values():
+        for rows in self.accounts.totals().values():
             for names, row in rows.items():
                 for place, value in enumerate(row):
                     total[names, place] += value
@@ -156,7 +156,7 @@
     @rule(club=st.integers(0, 2), run=st.integers(1, 5), back=st.integers(0, 3))
     def late(self, club, run, back):
         row = self.desk.row(club, 1, 1, 0)
-        self.desk.write(Late((self.desk.book.state.current or 0) - 1000 * back, row, run, 0))
+        self.desk.write(Late((self.desk.accounts.state.current or 0) - 1000 * back, row, run, 0))
         self.model[([*CLUBS, "(other)"][club], "pay", "uwsgi", "served"), 3] += run
 
     @rule(clubs=st.booleans(), first=st.booleans())
@@ -190,8 +190,8 @@
 
     @rule()
     def documents_stand(self):
-        if self.desk.book.state.documents:
-            self.desk.tell(DocumentsStand(self.desk.book.state.documents[-1].number))
+        if self.desk.accounts.state.documents:
+            self.desk.tell(DocumentsStand(self.desk.accounts.state.documents[-1].number))
 
     @rule(
         club=st.sampled_from(["a", "b", "(other)", "nobody"]),
@@ -200,7 +200,7 @@
         again=st.booleans(),
     )
     def correct(self, club, by, back, again):
-        state = self.desk.book.state
+        state = self.desk.accounts.state
         found = [documents.read(data) for data in self.desk.documents.values()]
         begins = sorted({one.period_ms for one in found} | set(state.periods))
         period = begins[-1 - min(back, len(begins) - 1)]
@@ -234,21 +234,21 @@
 
     @invariant()
     def the_records_alone_make_the_same_book(self):
-        assert self.desk.replayed().state == self.desk.book.state
-        assert Book.load(self.desk.book.dump()).state == self.desk.book.state
+        assert self.desk.replayed().state == self.desk.accounts.state
+        assert UsageAccounts.load(self.desk.accounts.dump()).state == self.desk.accounts.state
 
     @invariant()
     def no_period_is_negative_double_or_out_of_order(self):
         found = [documents.read(data) for data in self.desk.documents.values()]
         closed = sorted((one.period_ms, one.length_ms) for one in found if one.revision == 0)
-        spans = closed + sorted((one.begin, one.length) for one in self.desk.book.state.periods.values())
+        spans = closed + sorted((one.begin, one.length) for one in self.desk.accounts.state.periods.values())
         for (begin, length), (after, _) in pairwise(spans):
             assert length > 0 and begin + length <= after
         assert check((name, data, documents.read(data)) for name, data in self.desk.documents.items()) == []
 
     @invariant()
     def what_is_in_doubt_is_listed_or_counted(self):
-        state = self.desk.book.state
+        state = self.desk.accounts.state
         found = [documents.read(data) for data in self.desk.documents.values()]
         listed = sum(len(one.in_doubt) + one.in_doubt_unlisted for one in found)
         listed += sum(len(one.doubted) + one.doubted_unlisted for one in state.periods.values())
@@ -266,10 +266,10 @@
     desk.open()
     for number in range(20_000):
         row = row_number(number % 3, number % 2, 2, number % 2, number % 5)
-        desk.book.apply(number + 10, 1, Claim(number.to_bytes(8, "big"), row, 0, 1, 1, 1, 1))
-        desk.book.apply(number + 10, 1, Marked(number + 10, [0], []))
-    assert len(desk.book.state.periods[10_000].rows) <= 3 * 2 * 2 * 5
-    assert not desk.book.state.waiting and len(desk.book.dump()) < 4000
+        desk.accounts.apply(number + 10, 1, Claim(number.to_bytes(8, "big"), row, 0, 1, 1, 1, 1))
+        desk.accounts.apply(number + 10, 1, Marked(number + 10, [0], []))
+    assert len(desk.accounts.state.periods[10_000].rows) <= 3 * 2 * 2 * 5
+    assert not desk.accounts.state.waiting and len(desk.accounts.dump()) < 4000
 
 
 def test_a_day_without_a_disk_for_documents_is_bounded_and_made_good():
@@ -279,12 +279,12 @@
         desk.now += 60_000
         desk.tell(Tick())
         desk.write(Claim(b"i" * 8, 0, FINAL, 1, 0, 1, 1))
-    assert (len(desk.book.state.documents), len(desk.book.state.periods)) == (3, 4)
+    assert (len(desk.accounts.state.documents), len(desk.accounts.state.periods)) == (3, 4)
     assert desk.all_rows()[("a", "look", "http", "served"), 0] == 1440
     desk.tell(DocumentsStand(3))
     desk.tell(Tick())  # closes
     desk.tell(Tick())  # and turns, now that there is room
-    assert desk.book.state.current == period_of(desk.now, 1000) and len(desk.documents) == 6
+    assert desk.accounts.state.current == period_of(desk.now, 1000) and len(desk.documents) == 6
 
 
 def asked(**changes):
@@ -374,7 +374,7 @@
     desk.open()
     document = documents.read(next(iter(desk.documents.values())))
     assert document.period_ms == 10_000 and document.rows[0].amounts.requests == 1
-    assert desk.book.state.current == 3_010_000
+    assert desk.accounts.state.current == 3_010_000
 
 
 def test_a_period_stays_open_while_an_answer_of_it_is_on_its_way():
--- a/tests/usage/test_folder.py
+++ b/tests/usage/test_folder.py
@@ -24,16 +24,16 @@
     """One closed period a second, each with its own segment and snapshot."""
     holder = LedgerFolder(files, FOLDER)
     holder.open("n1", b"l" * 16, 1000, ["a"], ["look"], 0)
-    keeper = Keeper(holder.book, 0)
+    keeper = Keeper(holder.accounts, 0)
     for number in range(periods + 1):
         files.now_ms = number * 1000.0
         for action in keeper.handle(files.now_ms, Tick()):
             holder.append([action.entry])
         holder.append([Claim(number.to_bytes(8, "big"), 0, FINAL, 1, 0, 1, 1)])
-        sequence, data = holder.book.state.sequence, holder.snapshot_now()
+        sequence, data = holder.accounts.state.sequence, holder.snapshot_now()
         holder.log.begin()
         holder.write_snapshot(sequence, data)
-    holder.write_documents(holder.book.state.documents)
+    holder.write_documents(holder.accounts.state.documents)
     return holder
 
 
--- a/tests/usage/test_ledger_stops.py
+++ b/tests/usage/test_ledger_stops.py
@@ -45,7 +45,7 @@
         holder = LedgerFolder(files, FOLDER)
         holder.open("n1", b"l" * 16, 1000, CLUBS, CLASSES, at_ms)
         steady_ms = steady_ms or (lambda: self.at_ms)
-        clock = LedgerClock(at_ms, steady_ms(), holder.book.state.last_ms)
+        clock = LedgerClock(at_ms, steady_ms(), holder.accounts.state.last_ms)
         self.told = []
         told = CommitLimits(**{"holds": durability == "power-cut", "sync_ms": 0.0, "segment_bytes": 300, **limits})
         self.ledger = Ledger(
@@ -125,7 +125,7 @@
     await life.export()
     life.at_ms += 2000
     await life.tick()
-    retire(files, FOLDER, ["folder"], 0.0, life.at_ms, life.ledger.book.state.closed_to)
+    retire(files, FOLDER, ["folder"], 0.0, life.at_ms, life.ledger.accounts.state.closed_to)
     await life.ledger.close()
 
 
@@ -439,7 +439,7 @@
         await life.answer(1)
         life.at_ms += 2000
         ledger._tell(Tick())  # the period closes: its document waits to be written
-        assert ledger.book.state.documents
+        assert ledger.accounts.state.documents
         await ledger._synced()
         documents_written = asyncio.Event()
 
@@ -449,17 +449,17 @@
         ledger._synced = slowly
         ledger.commit.limits = replace(ledger.commit.limits, segment_bytes=1)
         await life.ledger.work()
-        ledger._do(ledger.commit.wrote(life.at_ms, ledger.book.state.sequence, ledger.folder.log.size, 0))
+        ledger._do(ledger.commit.wrote(life.at_ms, ledger.accounts.state.sequence, ledger.folder.log.size, 0))
         assert ledger.commit.stalls
         files.gate.clear()
         beginning = asyncio.create_task(ledger.work())
         await asyncio.sleep(0.05)  # it hangs
-        sequence = ledger.book.state.sequence
+        sequence = ledger.accounts.state.sequence
         tasks = [asyncio.create_task(ledger._documents()), asyncio.create_task(ledger.tick())]
         ledger.steps.append(7000)
         ledger._now()
         await asyncio.sleep(0.1)
-        assert ledger.book.state.sequence == sequence and ledger.steps == [7000]
+        assert ledger.accounts.state.sequence == sequence and ledger.steps == [7000]
         files.gate.set()
         await beginning
         await asyncio.gather(*tasks)
