--- a/benchmarks/kill_exporter.py
+++ b/benchmarks/kill_exporter.py
@@ -58,7 +58,7 @@
         now += 1000
         tell(Tick())
     if draw.random() < 0.5:  # a late correction of a period that has closed
-        begin = documents.read(holder.accounts.state.documents[0].data).period_ms
+        begin = documents.parse(holder.accounts.state.documents[0].data).period_ms
         before = holder.accounts.state.number
         tell(
             CorrectionAsked(
@@ -137,7 +137,7 @@
         raise RuntimeError(f"seed {seed}: the last export ended with {last.returncode}")
     billing.stop()
     found = [(path.name, path.read_bytes()) for path in sorted(held.iterdir())]
-    read = [(name, data, documents.read(data)) for name, data in found]
+    read = [(name, data, documents.parse(data)) for name, data in found]
     assert check(read) == [] and billing.conflicts == 0, f"seed {seed}: {check(read)}"
     return served, sum(row.amounts.requests for _, _, document in read for row in document.rows)
 
--- a/benchmarks/kill_node.py
+++ b/benchmarks/kill_node.py
@@ -68,22 +68,22 @@
     files = DiskFiles()
     book, _, _ = load(files, folder / "usage")
     wrong: list[str] = []
-    found = {path.name: documents.read(path.read_bytes()) for path in (folder / "usage" / "documents").iterdir()}
+    found = {path.name: documents.parse(path.read_bytes()) for path in (folder / "usage" / "documents").iterdir()}
     # What was closed and not yet written at the end stands in the log, and is written at the next start.
-    found |= {one.name: documents.read(one.data) for one in book.state.documents}
+    found |= {one.name: documents.parse(one.data) for one in book.state.documents}
     for path in (folder / "out").iterdir():
         if path.name.endswith(UNFINISHED):  # of the death that is left for the next delivery to remove
             continue
-        if path.read_bytes() != documents.packed(found[path.name]):
+        if path.read_bytes() != documents.serialize(found[path.name]):
             wrong.append(f"{path.name} was exported with other bytes")
-    wrong += map(str, check((name, documents.packed(one), one) for name, one in found.items()))
+    wrong += map(str, check((name, documents.serialize(one), one) for name, one in found.items()))
     rows: Counter[tuple[str, str, str, str]] = Counter()
     doubted: dict[str, tuple[str, ...]] = {}
     for one in found.values():
         for names, row in documents.totals([one]).items():
             rows[names] += row[0]
         for entry in one.in_doubt:
-            doubted[entry.id.hex()] = documents.names(entry.row)
+            doubted[entry.id.hex()] = documents.row_key(entry.row)
     for totals in book.totals().values():
         for names, row in totals.items():
             rows[names] += row[0]
--- a/flintshift/cli/usage.py
+++ b/flintshift/cli/usage.py
@@ -89,7 +89,7 @@
     book, _, found = load(FILES, folder)
     standing = {document.number: document for document in read_documents(FILES, folder).values()}
     for made in book.state.documents:
-        standing.setdefault(made.number, documents.read(made.data))
+        standing.setdefault(made.number, documents.parse(made.data))
     rows: list[dict[str, Any]] = []
     by_period: dict[int, list[Any]] = {}
     for document in standing.values():
@@ -188,7 +188,7 @@
         click.echo(f"warning: {warning}", err=True)
 
 
-def _rows(begin: int, state: str, totals: dict[documents.Names, list[int]]) -> list[dict[str, Any]]:
+def _rows(begin: int, state: str, totals: dict[documents.RowKey, list[int]]) -> list[dict[str, Any]]:
     return [
         {
             "period": utc(begin),
@@ -420,7 +420,7 @@
     from flintshift.usage.reconcile import check, compare, read_counted
 
     paths = [
-        inner for path in files for inner in (sorted(path.rglob(f"*{documents.ENDING}")) if path.is_dir() else [path])
+        inner for path in files for inner in (sorted(path.rglob(f"*{documents.SUFFIX}")) if path.is_dir() else [path])
     ]
     if not paths:
         fail("no documents there", 1)
@@ -429,14 +429,14 @@
         for path in progress:
             try:
                 data = path.read_bytes()
-                found.append((str(path), data, documents.read(data)))
+                found.append((str(path), data, documents.parse(data)))
             except (OSError, documents.DocumentError) as error:
                 faults.append(f"{path}: {error}")
     for fault in faults:
         click.echo(f"flintshift: {fault}", err=True)
     findings = check(found)
     if counted is not None:
-        once = {documents.digest_of(data): document for _, data, document in found}
+        once = {documents.compute_digest(data): document for _, data, document in found}
         try:
             findings += compare(once.values(), read_counted(counted.read_text(encoding="utf-8")))
         except (OSError, ValueError) as error:
--- a/flintshift/lab/demo.py
+++ b/flintshift/lab/demo.py
@@ -32,7 +32,7 @@
     found: Counter[str] = Counter()
     doubt = len(book.state.waiting) + sum(len(period.doubted) for period in book.state.periods.values())
     # A document may stand in the log alone, where the node left between its making and its file.
-    made = {document.name: documents.read(document.data) for document in book.state.documents}
+    made = {document.name: documents.parse(document.data) for document in book.state.documents}
     for document in {**made, **read_documents(files, folder)}.values():
         doubt += len(document.in_doubt)
         for row in document.rows:
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -63,7 +63,7 @@
     counted: Counter[str] = Counter()
     doubted: dict[str, list[str]] = {}
     for path in sorted((folder / "billed").glob("*.usage")):
-        document = documents.read(path.read_bytes())
+        document = documents.parse(path.read_bytes())
         counted[document.node] += sum(row.amounts.requests for row in document.rows)
         doubted.setdefault(document.node, []).extend(entry.id.hex() for entry in document.in_doubt)
     return {node: count for node, count in counted.items() if count}, doubted
--- a/flintshift/usage/accounts.py
+++ b/flintshift/usage/accounts.py
@@ -17,7 +17,7 @@
 
 from flintshift.proto import usage_pb2 as pb
 from flintshift.usage import documents
-from flintshift.usage.documents import Names
+from flintshift.usage.documents import RowKey
 from flintshift.usage.records import (
     AGAIN,
     AMOUNTS,
@@ -111,11 +111,11 @@
 SEPARATOR = "\x1f"
 
 
-def joined(names: Names) -> str:
+def joined(names: RowKey) -> str:
     return SEPARATOR.join(names)
 
 
-def split_row_key(key: str) -> Names:
+def split_row_key(key: str) -> RowKey:
     club, class_name, front, outcome = key.split(SEPARATOR)
     return club, class_name, front, outcome
 
@@ -128,7 +128,7 @@
 
     # What is asked of it.
 
-    def row_key(self, number: int) -> Names:
+    def row_key(self, number: int) -> RowKey:
         """The names of a row's number, as the configuration of this life counts them."""
         number, outcome = divmod(number, len(OUTCOMES))
         number, front = divmod(number, len(FRONTS))
@@ -141,14 +141,14 @@
             OUTCOMES[outcome],
         )
 
-    def totals(self) -> dict[int, dict[Names, list[int]]]:
+    def totals(self) -> dict[int, dict[RowKey, list[int]]]:
         """Open periods' rows, by the period's begin."""
         return {
             begin: {split_row_key(key): list(row) for key, row in sorted(period.rows.items())}
             for begin, period in sorted(self.state.periods.items())
         }
 
-    def settled(self, begin: int, names: Names) -> list[int]:
+    def settled(self, begin: int, names: RowKey) -> list[int]:
         """A row of an open period less the claims whose answers are on their way, which may still leave it."""
         row = list(self.state.periods[begin].rows.get(joined(names), [0] * len(AMOUNTS)))
         for found in self.state.waiting.values():
@@ -303,10 +303,11 @@
         document = self._document(period.begin, period.length, 0, closed.at_ms)
         document.first_sequence, document.last_sequence = period.first_sequence, period.last_sequence
         document.rows.extend(
-            documents.row(split_row_key(key), row) for key, row in sorted(period.rows.items()) if any(row)
+            documents.make_row(split_row_key(key), row) for key, row in sorted(period.rows.items()) if any(row)
         )
         document.in_doubt.extend(
-            pb.InDoubt(id=id_, row=documents.row(split_row_key(key), amounts)) for id_, key, amounts in period.doubted
+            pb.InDoubt(id=id_, row=documents.make_row(split_row_key(key), amounts))
+            for id_, key, amounts in period.doubted
         )
         document.in_doubt_unlisted = period.doubted_unlisted
         document.gaps.extend(
@@ -334,7 +335,7 @@
         state.revisions[entry.period] = state.revisions.get(entry.period, 0) + 1
         document = self._document(entry.period, entry.length, state.revisions[entry.period], entry.at_ms)
         document.first_sequence = document.last_sequence = sequence
-        document.rows.append(documents.row(names, entry.amounts))
+        document.rows.append(documents.make_row(names, entry.amounts))
         document.corrections.append(_correction(entry))
         self._made(document)
 
@@ -354,9 +355,9 @@
         )
 
     def _made(self, document: pb.UsageDocument) -> None:
-        state, data = self.state, documents.packed(document)
-        state.documents.append(Document(document.number, documents.name_of(document), data))
-        state.number, state.digest = document.number, documents.digest_of(data)
+        state, data = self.state, documents.serialize(document)
+        state.documents.append(Document(document.number, documents.document_name(document), data))
+        state.number, state.digest = document.number, documents.compute_digest(data)
 
 
 def amounts_of(claim: Claim) -> list[int]:
@@ -373,7 +374,7 @@
 
 def content_of(entry: Corrected) -> bytes:
     """What makes two corrections the same: all but the time at which they came."""
-    return documents.digest_of(
+    return documents.compute_digest(
         msgspec.msgpack.encode(
             (
                 entry.author,
@@ -396,5 +397,5 @@
         author=entry.author,
         reason=entry.reason,
         at_ms=entry.at_ms,
-        row=documents.row(names, entry.amounts),
+        row=documents.make_row(names, entry.amounts),
     )
--- a/flintshift/usage/corrections.py
+++ b/flintshift/usage/corrections.py
@@ -53,7 +53,7 @@
         document.revision: document
         for document in read_documents(files, folder, f".{documents.utc(asked.period)}.r").values()
     }
-    waiting = [documents.read(made.data) for made in book.state.documents]
+    waiting = [documents.parse(made.data) for made in book.state.documents]
     found |= {document.revision: document for document in waiting if document.period_ms == asked.period}
     if 0 not in found:
         return asked
--- a/flintshift/usage/documents.py
+++ b/flintshift/usage/documents.py
@@ -16,13 +16,13 @@
 from flintshift.usage.records import AMOUNTS
 
 SCHEMA = 1
-ENDING = ".usage"
-NAME = re.compile(
+SUFFIX = ".usage"
+NAME_PATTERN = re.compile(
     r"(?P<node>[A-Za-z0-9_.-]{1,64})\.e(?P<epoch>\d{1,10})\.(?P<period>\d{8}T\d{6}\.\d{3}Z)"
     r"\.r(?P<revision>\d{1,9})\.usage"
 )
 
-Names = tuple[str, str, str, str]  # club, class, front, outcome
+RowKey = tuple[str, str, str, str]  # club, class, front, outcome
 
 
 class DocumentError(Exception):
@@ -38,20 +38,20 @@
     return f"{at:%Y%m%dT%H%M%S}.{ms % 1000:03d}Z"
 
 
-def name_of(document: pb.UsageDocument) -> str:
+def document_name(document: pb.UsageDocument) -> str:
     node = re.sub(r"[^A-Za-z0-9_-]", "_", document.node)[:64] or "_"
-    return f"{node}.e{document.epoch}.{utc(document.period_ms)}.r{document.revision}{ENDING}"
+    return f"{node}.e{document.epoch}.{utc(document.period_ms)}.r{document.revision}{SUFFIX}"
 
 
-def digest_of(data: bytes) -> bytes:
+def compute_digest(data: bytes) -> bytes:
     return hashlib.sha256(data).digest()
 
 
-def packed(document: pb.UsageDocument) -> bytes:
+def serialize(document: pb.UsageDocument) -> bytes:
     return bytes(document.SerializeToString(deterministic=True))
 
 
-def read(data: bytes) -> pb.UsageDocument:
+def parse(data: bytes) -> pb.UsageDocument:
     """
     Raises:
         DocumentError: it can't be read, or is of another schema.
@@ -74,21 +74,21 @@
     return [getattr(told, name) for name in AMOUNTS]
 
 
-def row(names: Names, told: Sequence[int]) -> pb.Row:
+def make_row(names: RowKey, told: Sequence[int]) -> pb.Row:
     club, class_name, front, outcome = names
     return pb.Row(club=club, class_name=class_name, front=front, outcome=outcome, amounts=amounts(told))
 
 
-def names(told: pb.Row) -> Names:
+def row_key(told: pb.Row) -> RowKey:
     return told.club, told.class_name, told.front, told.outcome
 
 
-def totals(documents: Iterable[pb.UsageDocument]) -> dict[Names, list[int]]:
+def totals(documents: Iterable[pb.UsageDocument]) -> dict[RowKey, list[int]]:
     """The sum over documents, row by row: a period as it closed with its revisions."""
-    found: dict[Names, list[int]] = {}
+    found: dict[RowKey, list[int]] = {}
     for document in documents:
         for told in document.rows:
-            known = found.setdefault(names(told), [0] * len(AMOUNTS))
+            known = found.setdefault(row_key(told), [0] * len(AMOUNTS))
             for place, value in enumerate(values(told.amounts)):
                 known[place] += value
     return found
@@ -97,7 +97,7 @@
 def as_json(document: pb.UsageDocument) -> dict[str, object]:
     """For people: 64-bit numbers as strings and bytes in base64, as the Protocol Buffers' JSON mapping has it."""
     told = MessageToDict(document, preserving_proto_field_name=True)
-    return {"name": name_of(document), "digest": digest_of(packed(document)).hex(), **told}
+    return {"name": document_name(document), "digest": compute_digest(serialize(document)).hex(), **told}
 
 
 def as_csv(documents: Iterable[pb.UsageDocument]) -> str:
@@ -113,7 +113,7 @@
                     utc(document.period_ms),
                     document.length_ms,
                     document.revision,
-                    *names(told),
+                    *row_key(told),
                     *values(told.amounts),
                 )
             )
--- a/flintshift/usage/exporting.py
+++ b/flintshift/usage/exporting.py
@@ -141,7 +141,7 @@
         path = self.folder / "documents" / name
         try:
             data = await anyio.to_thread.run_sync(self.files.read, path)
-            documents.read(data)
+            documents.parse(data)
             told: ExportEvent = await self.sinks[sink].deliver(name, data, self.epoch)
         except documents.DocumentError as error:
             told = Rejected(sink, name, f"{path}: {error}")
@@ -157,7 +157,7 @@
     async def _acknowledge(self, told: Delivered, data: bytes) -> Delivered | NotDelivered:
         """Keep that the sink has it, before anything else is done for that; the disk may refuse."""
         sink, name = told.sink, told.name
-        text = documents.digest_of(data).hex().encode() + b"\n"
+        text = documents.compute_digest(data).hex().encode() + b"\n"
         try:
             await anyio.to_thread.run_sync(snapshot.publish, self.files, self.folder / "acks" / sink / name, text)
         except OSError as error:
@@ -170,7 +170,7 @@
     """By period and revision, which is the order in which they were made but for corrections of older periods."""
 
     def key(name: str) -> tuple[str, int]:
-        found = documents.NAME.fullmatch(name)
+        found = documents.NAME_PATTERN.fullmatch(name)
         assert found is not None
         return found["period"], int(found["revision"])
 
--- a/flintshift/usage/folder.py
+++ b/flintshift/usage/folder.py
@@ -101,7 +101,7 @@
             raise DamagedError(f"{folder}: record {sequence} can't be used: {error}") from error
         book.state.sequence = sequence
         found.records += len(batch)
-    if reach.following == 1 and any(name.endswith(documents.ENDING) for name in files.names(folder / "documents")):
+    if reach.following == 1 and any(name.endswith(documents.SUFFIX) for name in files.names(folder / "documents")):
         raise DamagedError(f"{folder}: documents stand, but the log and the snapshots are gone")
     found.torn = reach.torn
     return book, reach, found
@@ -204,10 +204,10 @@
     """
     found = {}
     for name in files.names(folder / "documents"):
-        if documents.NAME.fullmatch(name) and name_part in name:
+        if documents.NAME_PATTERN.fullmatch(name) and name_part in name:
             path = folder / "documents" / name
             try:
-                found[name] = documents.read(files.read(path))
+                found[name] = documents.parse(files.read(path))
             except documents.DocumentError as error:
                 raise DamagedError(f"{path}: {error}") from error
     return dict(sorted(found.items(), key=lambda pair: pair[1].number))
@@ -215,7 +215,7 @@
 
 def unacknowledged(files: Files, folder: Path, sinks: list[str]) -> dict[str, list[str]]:
     """For each sink the names of the documents that it has not acknowledged."""
-    standing = [name for name in files.names(folder / "documents") if documents.NAME.fullmatch(name)]
+    standing = [name for name in files.names(folder / "documents") if documents.NAME_PATTERN.fullmatch(name)]
     left = {}
     for sink in sinks:
         taken = set(files.names(folder / "acks" / sink))
--- a/flintshift/usage/reconcile.py
+++ b/flintshift/usage/reconcile.py
@@ -39,7 +39,7 @@
     folders: dict[tuple[str, bytes], dict[int, tuple[bytes, pb.UsageDocument]]] = defaultdict(dict)
     epochs: dict[tuple[str, int], set[bytes]] = defaultdict(set)
     for where, data, document in found:
-        digest = documents.digest_of(data)
+        digest = documents.compute_digest(data)
         known = folders[document.node, document.life].setdefault(document.number, (digest, document))
         if known[0] != digest:
             findings.append(
@@ -48,7 +48,7 @@
                     document.node,
                     utc(document.period_ms),
                     "",
-                    f"two documents are number {document.number}: {documents.name_of(known[1])} and {where}",
+                    f"two documents are number {document.number}: {documents.document_name(known[1])} and {where}",
                 )
             )
         epochs[document.node, document.epoch].add(document.life)
@@ -78,7 +78,11 @@
     if first.number > 1:
         findings.append(
             Finding(
-                "gap", node, "", "", f"documents 1 to {first.number - 1} are missing before {documents.name_of(first)}"
+                "gap",
+                node,
+                "",
+                "",
+                f"documents 1 to {first.number - 1} are missing before {documents.document_name(first)}",
             )
         )
     for (digest, before), (_, document) in pairwise(ordered):
@@ -90,7 +94,7 @@
                     utc(document.period_ms),
                     "",
                     f"documents {before.number + 1} to "
-                    f"{document.number - 1} are missing before {documents.name_of(document)}",
+                    f"{document.number - 1} are missing before {documents.document_name(document)}",
                 )
             )
         elif document.previous != digest:
@@ -100,7 +104,8 @@
                     node,
                     utc(document.period_ms),
                     "",
-                    f"{documents.name_of(document)} names another document before it than {documents.name_of(before)}",
+                    f"{documents.document_name(document)} names another document "
+                    f"before it than {documents.document_name(before)}",
                 )
             )
         if document.epoch < before.epoch:
--- a/flintshift/usage/replica.py
+++ b/flintshift/usage/replica.py
@@ -78,7 +78,7 @@
 def whole_of(files: Files, folder: Path, book: UsageAccounts, sinks: Iterable[str]) -> bytes:
     """Of a ledger's folder as it stands now."""
     left = unacknowledged(files, folder, list(sinks))
-    standing = [name for name in files.names(folder / "documents") if documents.NAME.fullmatch(name)]
+    standing = [name for name in files.names(folder / "documents") if documents.NAME_PATTERN.fullmatch(name)]
     names = sorted({name for missing in left.values() for name in missing} if left else standing)
     acks = [
         (sink, name, files.read(folder / "acks" / sink / name))
@@ -250,7 +250,7 @@
         for _, name in segments(files, folder / "log"):
             files.remove(folder / "log" / name)
         for name, document in told.documents:
-            if documents.NAME.fullmatch(name):
+            if documents.NAME_PATTERN.fullmatch(name):
                 snapshot.publish(files, folder / "documents" / name, document)
         for sink, name, digest in told.acks:
             self.note(sink, name, digest)
@@ -263,7 +263,7 @@
 
     def note(self, sink: str, name: str, digest: bytes) -> None:
         """A sink has this document."""
-        if documents.NAME.fullmatch(name) and sink in ("folder", "http"):
+        if documents.NAME_PATTERN.fullmatch(name) and sink in ("folder", "http"):
             self.files.make_folder(self.folder / "acks" / sink)
             snapshot.publish(self.files, self.folder / "acks" / sink / name, digest)
 
--- a/flintshift/usage/sinks.py
+++ b/flintshift/usage/sinks.py
@@ -71,7 +71,7 @@
         )
 
     async def deliver(self, name: str, data: bytes, epoch: int) -> Outcome:
-        digest = documents.digest_of(data)
+        digest = documents.compute_digest(data)
         headers = {
             "Content-Type": "application/x-protobuf",
             "Idempotency-Key": f'"{name}"',
--- a/tests/test_ledger_node.py
+++ b/tests/test_ledger_node.py
@@ -154,7 +154,7 @@
         assert (await ask(rig))[0] == 200
         name = await until(
             lambda: [
-                path.name for path in (tmp_path / "out").glob("*.r0.usage") if documents.read(path.read_bytes()).rows
+                path.name for path in (tmp_path / "out").glob("*.r0.usage") if documents.parse(path.read_bytes()).rows
             ],
             "the period in use was not exported",
         )
@@ -208,7 +208,7 @@
     ]
     codes = [await process.wait() for process in processes]
     assert all(code in (0, 1) for code in codes) and 0 in codes[:2] and 0 in codes[2:]
-    found = [documents.read(path.read_bytes()) for path in (tmp_path / "billing").iterdir()]
+    found = [documents.parse(path.read_bytes()) for path in (tmp_path / "billing").iterdir()]
     assert sum(row.amounts.requests for one in found for row in one.rows) == served and billing.conflicts == 0
     billing.stop()
 
--- a/tests/usage/test_accounts.py
+++ b/tests/usage/test_accounts.py
@@ -81,7 +81,7 @@
     def all_rows(self):
         total = Counter()
         for data in self.documents.values():
-            for names, row in documents.totals([documents.read(data)]).items():
+            for names, row in documents.totals([documents.parse(data)]).items():
                 for place, value in enumerate(row):
                     total[names, place] += value
         for rows in self.accounts.totals().values():
@@ -201,7 +201,7 @@
     )
     def correct(self, club, by, back, again):
         state = self.desk.accounts.state
-        found = [documents.read(data) for data in self.desk.documents.values()]
+        found = [documents.parse(data) for data in self.desk.documents.values()]
         begins = sorted({one.period_ms for one in found} | set(state.periods))
         period = begins[-1 - min(back, len(begins) - 1)]
         self.corrections += not again
@@ -239,17 +239,17 @@
 
     @invariant()
     def no_period_is_negative_double_or_out_of_order(self):
-        found = [documents.read(data) for data in self.desk.documents.values()]
+        found = [documents.parse(data) for data in self.desk.documents.values()]
         closed = sorted((one.period_ms, one.length_ms) for one in found if one.revision == 0)
         spans = closed + sorted((one.begin, one.length) for one in self.desk.accounts.state.periods.values())
         for (begin, length), (after, _) in pairwise(spans):
             assert length > 0 and begin + length <= after
-        assert check((name, data, documents.read(data)) for name, data in self.desk.documents.items()) == []
+        assert check((name, data, documents.parse(data)) for name, data in self.desk.documents.items()) == []
 
     @invariant()
     def what_is_in_doubt_is_listed_or_counted(self):
         state = self.desk.accounts.state
-        found = [documents.read(data) for data in self.desk.documents.values()]
+        found = [documents.parse(data) for data in self.desk.documents.values()]
         listed = sum(len(one.in_doubt) + one.in_doubt_unlisted for one in found)
         listed += sum(len(one.doubted) + one.doubted_unlisted for one in state.periods.values())
         assert listed == self.doubted
@@ -361,7 +361,7 @@
     assert "revision 1" in desk.tell(asked(length=1000)).text
     assert "revision 2" in desk.tell(asked(id="c2", length=1000, closed=(1, 0, 0, 0, 0, 0, 0))).text
     assert desk.documents[first] == data
-    revision = documents.read(desk.documents[first.replace(".r0.", ".r2.")])
+    revision = documents.parse(desk.documents[first.replace(".r0.", ".r2.")])
     assert (revision.revision, revision.rows[0].amounts.requests, revision.corrections[0].id) == (2, 1, "c2")
     assert revision.length_ms == 1000 and revision.previous != b""
 
@@ -372,7 +372,7 @@
     desk.write(Claim(b"i" * 8, 0, FINAL, 0, 0, 0, 0))
     desk.now += 3_000_000
     desk.open()
-    document = documents.read(next(iter(desk.documents.values())))
+    document = documents.parse(next(iter(desk.documents.values())))
     assert document.period_ms == 10_000 and document.rows[0].amounts.requests == 1
     assert desk.accounts.state.current == 3_010_000
 
--- a/tests/usage/test_export.py
+++ b/tests/usage/test_export.py
@@ -49,7 +49,7 @@
         number=number,
         period_ms=number * 1000,
         length_ms=1000,
-        rows=[documents.row(("a", "look", "http", "served"), [number] * 7)],
+        rows=[documents.make_row(("a", "look", "http", "served"), [number] * 7)],
     )
 
 
@@ -59,8 +59,8 @@
         (path / place).mkdir(parents=True)
     for number in range(1, count + 1):
         one = document(number)
-        made[documents.name_of(one)] = documents.packed(one)
-        (path / "documents" / documents.name_of(one)).write_bytes(documents.packed(one))
+        made[documents.document_name(one)] = documents.serialize(one)
+        (path / "documents" / documents.document_name(one)).write_bytes(documents.serialize(one))
     return made
 
 
--- a/tests/usage/test_ledger_stops.py
+++ b/tests/usage/test_ledger_stops.py
@@ -102,7 +102,7 @@
             if name not in taken:
                 data = self.files.read(FOLDER / "documents" / name)
                 assert sink.put(name, data, 1) == Delivered("folder", name)
-                publish(self.files, FOLDER / "acks" / "folder" / name, documents.digest_of(data).hex().encode())
+                publish(self.files, FOLDER / "acks" / "folder" / name, documents.compute_digest(data).hex().encode())
 
 
 async def script(files, lives):
@@ -147,7 +147,7 @@
     standing = set(read_documents(files, FOLDER))
     for made in book.state.documents:
         if made.name not in standing:
-            found = documents.read(made.data)
+            found = documents.parse(made.data)
             total += sum(row.amounts.bytes_in for row in found.rows)
             doubted += [int.from_bytes(entry.id, "big") for entry in found.in_doubt]
     total += sum(row[5] for rows in book.totals().values() for row in rows.values())
@@ -157,8 +157,8 @@
 
 
 def out_documents(files):
-    names = [name for name in files.names(OUT) if documents.NAME.fullmatch(name)]
-    return {name: documents.read(files.read(OUT / name)) for name in names}
+    names = [name for name in files.names(OUT) if documents.NAME_PATTERN.fullmatch(name)]
+    return {name: documents.parse(files.read(OUT / name)) for name in names}
 
 
 async def settle(files, at_ms):
@@ -303,7 +303,7 @@
 
 def test_a_document_of_an_unknown_schema_is_refused_by_name():
     with pytest.raises(documents.DocumentError, match="is of schema 9; this program reads schema 1"):
-        documents.read(pb.UsageDocument(schema=9).SerializeToString())
+        documents.parse(pb.UsageDocument(schema=9).SerializeToString())
     assert OUTCOMES[GONE] == "gone"
 
 
--- a/tests/usage/test_reconcile.py
+++ b/tests/usage/test_reconcile.py
@@ -23,15 +23,15 @@
             length_ms=1000,
             first_sequence=number * 10,
             last_sequence=number * 10 + 9,
-            rows=[documents.row(("a", "look", "http", "served"), [number, 0, 0, 0, 0, 0, 0])],
+            rows=[documents.make_row(("a", "look", "http", "served"), [number, 0, 0, 0, 0, 0, 0])],
         )
         found.append(one)
-        previous = documents.digest_of(documents.packed(one))
+        previous = documents.compute_digest(documents.serialize(one))
     return found
 
 
 def findings(found):
-    return [str(one) for one in check((documents.name_of(one), documents.packed(one), one) for one in found)]
+    return [str(one) for one in check((documents.document_name(one), documents.serialize(one), one) for one in found)]
 
 
 def test_nothing_is_found_in_what_is_whole_even_when_read_twice():
@@ -112,8 +112,11 @@
 def test_documents_as_json_and_csv_for_people():
     one = chain(1)[0]
     told = documents.as_json(one)
-    assert told["name"] == documents.name_of(one) and told["digest"] == documents.digest_of(documents.packed(one)).hex()
+    assert (
+        told["name"] == documents.document_name(one)
+        and told["digest"] == documents.compute_digest(documents.serialize(one)).hex()
+    )
     assert documents.as_csv([one]).splitlines()[1] == (
         "n1,1,19700101T000001.000Z,1000,0,a,look,http,served,1,0,0,0,0,0,0"
     )
-    assert documents.packed(documents.read(documents.packed(one))) == documents.packed(one)
+    assert documents.serialize(documents.parse(documents.serialize(one))) == documents.serialize(one)
