--- a/flintshift/lifecycle/books.py
+++ b/flintshift/lifecycle/books.py
@@ -143,7 +143,7 @@
     """
     folder = LedgerFolder(files, options.folder)
     try:
-        found, last_ms = folder.found, folder.accounts.state.last_ms
+        found, last_ms = folder.recovery, folder.accounts.state.last_ms
         now = time.time() * 1000
         clock = LedgerClock(now, time.monotonic() * 1000, last_ms)
         life = folder.accounts.state.life or os.urandom(16)
@@ -151,7 +151,7 @@
             from flintshift.usage.replica import stood_before
 
             reach = folder.reach
-            folder.before = stood_before(files, options.folder, life, (reach.epoch, reach.following - 1))
+            folder.granted_position = stood_before(files, options.folder, life, (reach.epoch, reach.following - 1))
             if not reach.epoch:
                 folder.log.epoch = max(int(now / 1000), above + 1)
         folder.open(name, life, options.period_ms, *lists, int(max(now, last_ms)))
@@ -167,7 +167,7 @@
         epoch=folder.log.epoch,
         records=found.records,
         from_snapshot=found.from_snapshot,
-        torn_bytes=found.torn,
+        torn_bytes=found.truncated_bytes,
         in_doubt=found.in_doubt,
     )
     return folder, clock
--- a/flintshift/usage/folder.py
+++ b/flintshift/usage/folder.py
@@ -38,7 +38,7 @@
 
     records: int = 0  # replayed
     from_snapshot: int = 0  # the last sequence in it; 0: there was none
-    torn: int = 0  # bytes cut from the tail
+    truncated_bytes: int = 0  # bytes cut from the tail
     in_doubt: int = 0
     warnings: list[str] = field(default_factory=list)
 
@@ -103,7 +103,7 @@
         found.records += len(batch)
     if reach.following == 1 and any(name.endswith(documents.SUFFIX) for name in files.names(folder / "documents")):
         raise DamagedError(f"{folder}: documents stand, but the log and the snapshots are gone")
-    found.torn = reach.torn
+    found.truncated_bytes = reach.torn
     return book, reach, found
 
 
@@ -112,15 +112,15 @@
 
     def __init__(self, files: Files, folder: Path, bounds: Bounds | None = None) -> None:
         self.files, self.folder = files, folder
-        self.before = (0, 0)  # epoch and sequence that a copied ledger had when its epoch was granted last
+        self.granted_position = (0, 0)  # epoch and sequence that a copied ledger had when its epoch was granted last
         for name in ("", "log", "snapshots", "documents", "inbox", "replies", "acks"):
             files.make_folder(folder / name)
         self.lock: Lock = files.lock(folder / "LOCK")
         try:
             for name in ("", "snapshots", "documents"):
                 snapshot.sweep(files, folder / name)
-            self.accounts, self.reach, self.found = load(files, folder, bounds)
-            self.found.in_doubt = len(self.accounts.state.waiting)
+            self.accounts, self.reach, self.recovery = load(files, folder, bounds)
+            self.recovery.in_doubt = len(self.accounts.state.waiting)
             self.log = Log(files, folder / "log", self.reach.epoch + 1, self.reach.following)
             self.log.resume(self.reach)
         except BaseException:
@@ -135,7 +135,7 @@
             OSError, DamagedError: it can't be read or written on.
         """
         self.log.close()
-        self.accounts, self.reach, self.found = load(self.files, self.folder, self.accounts.bounds)
+        self.accounts, self.reach, self.recovery = load(self.files, self.folder, self.accounts.bounds)
         self.log = Log(self.files, self.folder / "log", max(self.log.epoch, self.reach.epoch), self.reach.following)
         self.log.resume(self.reach)
 
