--- a/benchmarks/kill_exporter.py
+++ b/benchmarks/kill_exporter.py
@@ -27,8 +27,8 @@
 from flintshift.storage.files import DiskFiles  # noqa: E402
 from flintshift.usage import documents  # noqa: E402
 from flintshift.usage.folder import LedgerFolder, unacknowledged  # noqa: E402
-from flintshift.usage.keeper import Keeper  # noqa: E402
 from flintshift.usage.messages import Append, CorrectionAsked, Tick  # noqa: E402
+from flintshift.usage.policy import LedgerPolicy  # noqa: E402
 from flintshift.usage.reconcile import check  # noqa: E402
 from flintshift.usage.records import Claim, Ended, Marked, row_number  # noqa: E402
 
@@ -41,7 +41,7 @@
     holder = LedgerFolder(DiskFiles(), folder)
     now, served = 1_000_000, 0
     holder.open("n1", draw.randbytes(16), 1000, CLUBS, CLASSES, now)
-    keeper = Keeper(holder.accounts, 0)
+    keeper = LedgerPolicy(holder.accounts, 0)
 
     def tell(event: Tick | CorrectionAsked) -> None:
         for action in keeper.handle(now, event):
--- a/flintshift/usage/ledger.py
+++ b/flintshift/usage/ledger.py
@@ -48,7 +48,6 @@
 from flintshift.usage.accounts import UsageAccounts
 from flintshift.usage.corrections import base_of, from_json
 from flintshift.usage.folder import LedgerFolder, retire
-from flintshift.usage.keeper import Keeper
 from flintshift.usage.messages import (
     Append,
     ClockMoved,
@@ -60,6 +59,7 @@
     Tick,
 )
 from flintshift.usage.periods import LedgerClock
+from flintshift.usage.policy import LedgerPolicy
 from flintshift.usage.records import Claim, Ended, Entry, Late, Listed, Marked, Published, pack, renumbered
 
 TICK_S = 0.25
@@ -125,7 +125,7 @@
         say: Say,
     ) -> None:
         self.folder, self.accounts = folder, folder.accounts
-        self.keeper = Keeper(folder.accounts, grace_ms)
+        self.keeper = LedgerPolicy(folder.accounts, grace_ms)
         self.commit = Commit(limits, folder.log.following - 1)
         self.refuse, self.retention_ms, self.sinks = refuse, retention_ms, sinks
         self.clock, self.wall_ms, self.steady_ms, self.say = clock, wall_ms, steady_ms, say
@@ -548,7 +548,7 @@
         self.delivered = [ticket for ticket in self.delivered if ticket.book is None]
         self.undelivered = [ticket for ticket in self.undelivered if ticket.book is None]
         self.folder, self.accounts, self.listed = folder, folder.accounts, None
-        self.keeper = Keeper(folder.accounts, self.keeper.grace_ms)
+        self.keeper = LedgerPolicy(folder.accounts, self.keeper.grace_ms)
         self.commit = Commit(self.commit.limits, folder.log.following - 1)
         self.snapshot_due = self.backlog = self.operation = None
         self.turn_ms, self.synced = 0, -1.0
--- a/flintshift/usage/keeper.py
+++ b/flintshift/usage/policy.py
@@ -47,7 +47,7 @@
 IDENTIFIER = re.compile(r"[A-Za-z0-9._-]{1,64}")
 
 
-class Keeper:
+class LedgerPolicy:
     def __init__(self, book: UsageAccounts, grace_ms: int) -> None:
         self.accounts, self.grace_ms = book, grace_ms
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -13,8 +13,8 @@
 from flintshift.cli.main import main
 from flintshift.storage.files import DiskFiles
 from flintshift.usage.folder import LedgerFolder
-from flintshift.usage.keeper import Keeper
 from flintshift.usage.messages import Tick
+from flintshift.usage.policy import LedgerPolicy
 from flintshift.usage.records import FINAL, Claim, row_number
 
 ROOT = Path(__file__).parent.parent.parent
@@ -29,7 +29,7 @@
     """A ledger with one closed period, at 1000 ms, and one that is open, at 5000 ms."""
     holder = LedgerFolder(DiskFiles(), tmp_path / "u")
     holder.open("n1", b"l" * 16, 1000, ["a", "b"], ["look", "pay"], 1000)
-    keeper = Keeper(holder.accounts, 0)
+    keeper = LedgerPolicy(holder.accounts, 0)
     for now in (1000, 5000):
         for action in keeper.handle(now, Tick()):
             holder.append([action.entry])
--- a/tests/usage/test_accounts.py
+++ b/tests/usage/test_accounts.py
@@ -12,9 +12,9 @@
 
 from flintshift.usage import documents
 from flintshift.usage.accounts import Bounds, UsageAccounts
-from flintshift.usage.keeper import Keeper
 from flintshift.usage.messages import Append, ClockMoved, CorrectionAsked, DocumentsStand, Reply, Tick
 from flintshift.usage.periods import CONFIRM_MS, LedgerClock, period_of
+from flintshift.usage.policy import LedgerPolicy
 from flintshift.usage.reconcile import check
 from flintshift.usage.records import (
     AMOUNTS,
@@ -42,7 +42,7 @@
 
     def __init__(self, grace_ms=100):
         self.accounts, self.records, self.documents = UsageAccounts(BOUNDS), [], {}
-        self.keeper, self.epoch, self.now = Keeper(self.accounts, grace_ms), 0, 10_000
+        self.keeper, self.epoch, self.now = LedgerPolicy(self.accounts, grace_ms), 0, 10_000
 
     def write(self, entry):
         self.records.append((len(self.records) + 1, self.epoch, pack(entry)))
--- a/tests/usage/test_folder.py
+++ b/tests/usage/test_folder.py
@@ -12,8 +12,8 @@
 from flintshift.storage.snapshot import DamagedError, publish
 from flintshift.usage import documents
 from flintshift.usage.folder import LedgerFolder, load, read_documents, retire, snapshots
-from flintshift.usage.keeper import Keeper
 from flintshift.usage.messages import Tick
+from flintshift.usage.policy import LedgerPolicy
 from flintshift.usage.records import FINAL, Claim
 
 FOLDER = Path("/u")
@@ -24,7 +24,7 @@
     """One closed period a second, each with its own segment and snapshot."""
     holder = LedgerFolder(files, FOLDER)
     holder.open("n1", b"l" * 16, 1000, ["a"], ["look"], 0)
-    keeper = Keeper(holder.accounts, 0)
+    keeper = LedgerPolicy(holder.accounts, 0)
     for number in range(periods + 1):
         files.now_ms = number * 1000.0
         for action in keeper.handle(files.now_ms, Tick()):
