--- a/benchmarks/kill_exporter.py
+++ b/benchmarks/kill_exporter.py
@@ -27,7 +27,7 @@
 from flintshift.storage.files import DiskFiles  # noqa: E402
 from flintshift.usage import documents  # noqa: E402
 from flintshift.usage.folder import LedgerFolder, unacknowledged  # noqa: E402
-from flintshift.usage.messages import Append, CorrectionAsked, Tick  # noqa: E402
+from flintshift.usage.messages import Append, CorrectionRequested, Tick  # noqa: E402
 from flintshift.usage.policy import LedgerPolicy  # noqa: E402
 from flintshift.usage.reconcile import check  # noqa: E402
 from flintshift.usage.records import Claim, Ended, Marked, row_number  # noqa: E402
@@ -43,7 +43,7 @@
     holder.open("n1", draw.randbytes(16), 1000, CLUBS, CLASSES, now)
     keeper = LedgerPolicy(holder.accounts, 0)
 
-    def tell(event: Tick | CorrectionAsked) -> None:
+    def tell(event: Tick | CorrectionRequested) -> None:
         for action in keeper.handle(now, event):
             if isinstance(action, Append):
                 holder.append([action.entry])
@@ -61,7 +61,7 @@
         begin = documents.parse(holder.accounts.state.documents[0].data).period_ms
         before = holder.accounts.state.number
         tell(
-            CorrectionAsked(
+            CorrectionRequested(
                 "c1", "op", "late", begin, CLUBS[0], CLASSES[0], "http", "served", (3, 0, 0, 0, 0, 0, 0), (0,) * 7, 1000
             )
         )
--- a/flintshift/cli/usage.py
+++ b/flintshift/cli/usage.py
@@ -263,7 +263,7 @@
     import anyio
 
     from flintshift.usage.corrections import to_json
-    from flintshift.usage.messages import CorrectionAsked
+    from flintshift.usage.messages import CorrectionRequested
 
     amounts = [0] * len(AMOUNTS)
     for text in by:
@@ -271,7 +271,7 @@
         if name not in AMOUNTS or not found or not re.fullmatch(r"[+-]?\d{1,19}", value):
             raise click.UsageError(f"--by {text}: expected one of {', '.join(AMOUNTS)}, = and a whole number")
         amounts[AMOUNTS.index(name)] += int(value)
-    asked = to_json(CorrectionAsked(id_, author, reason, period, club, class_name, front, outcome, tuple(amounts)))
+    asked = to_json(CorrectionRequested(id_, author, reason, period, club, class_name, front, outcome, tuple(amounts)))
     if not re.fullmatch(r"[A-Za-z0-9._-]{1,64}", id_):
         raise click.UsageError("--id is 1 to 64 of A-Z a-z 0-9 . _ -")
     try:
--- a/flintshift/lifecycle/taken_ledgers.py
+++ b/flintshift/lifecycle/taken_ledgers.py
@@ -23,7 +23,7 @@
 from flintshift.storage.log import BrokenError
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage.folder import unacknowledged
-from flintshift.usage.messages import Append, WriterGone
+from flintshift.usage.messages import Append, OwnerDied
 from flintshift.usage.policy import LedgerPolicy
 from flintshift.usage.records import Entry, Opened, Published
 from flintshift.usage.replica import Replica
@@ -145,7 +145,7 @@
             return
         if not taken.opened:
             self._open(taken)
-        for action in LedgerPolicy(ledger.accounts, 0).handle(time.time() * 1000, WriterGone()):
+        for action in LedgerPolicy(ledger.accounts, 0).handle(time.time() * 1000, OwnerDied()):
             if isinstance(action, Append):
                 self._append(taken, action.entry)
         made = list(ledger.accounts.state.documents)
--- a/flintshift/usage/corrections.py
+++ b/flintshift/usage/corrections.py
@@ -10,19 +10,19 @@
 from flintshift.usage import documents
 from flintshift.usage.accounts import UsageAccounts
 from flintshift.usage.folder import read_documents
-from flintshift.usage.messages import CorrectionAsked
+from flintshift.usage.messages import CorrectionRequested
 from flintshift.usage.records import AMOUNTS
 
 TEXTS = ("id", "author", "reason", "club", "class_name", "front", "outcome")
 
 
-def to_json(asked: CorrectionAsked) -> bytes:
+def to_json(asked: CorrectionRequested) -> bytes:
     told = asdict(asked)
     del told["closed"], told["length"]
     return json.dumps(told).encode()
 
 
-def from_json(data: bytes) -> CorrectionAsked:
+def from_json(data: bytes) -> CorrectionRequested:
     """
     Raises:
         ValueError: it is no correction; the text says why.
@@ -38,10 +38,10 @@
         raise ValueError(f"amounts are {len(AMOUNTS)} whole numbers: {', '.join(AMOUNTS)}")
     if type(told.get("period")) is not int:
         raise ValueError("period is no whole number of milliseconds")
-    return CorrectionAsked(period=told["period"], amounts=tuple(amounts), **{name: told[name] for name in TEXTS})
+    return CorrectionRequested(period=told["period"], amounts=tuple(amounts), **{name: told[name] for name in TEXTS})
 
 
-def base_of(files: Files, folder: Path, book: UsageAccounts, asked: CorrectionAsked) -> CorrectionAsked:
+def base_of(files: Files, folder: Path, book: UsageAccounts, asked: CorrectionRequested) -> CorrectionRequested:
     """The correction with what its row holds now, where its period has closed.
 
     Raises:
--- a/flintshift/usage/messages.py
+++ b/flintshift/usage/messages.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CorrectionAsked:
+class CorrectionRequested:
     """``closed`` are the totals of the period and row, with all revisions, where the period has closed and its
     documents stand."""
 
@@ -61,11 +61,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WriterGone:
+class OwnerDied:
     """Whoever wrote this ledger is dead, and nothing more will be booked in it."""
 
 
-KeeperEvent = Tick | WriterGone | ClockMoved | CorrectionAsked | DocumentsStand | DiskBack | Retired
+KeeperEvent = Tick | OwnerDied | ClockMoved | CorrectionRequested | DocumentsStand | DiskBack | Retired
 
 
 # Answered by the keeper.
--- a/flintshift/usage/policy.py
+++ b/flintshift/usage/policy.py
@@ -18,15 +18,15 @@
 from flintshift.usage.messages import (
     Append,
     ClockMoved,
-    CorrectionAsked,
+    CorrectionRequested,
     DiskBack,
     DocumentsStand,
     KeeperAction,
     KeeperEvent,
+    OwnerDied,
     Reply,
     Retired,
     Tick,
-    WriterGone,
 )
 from flintshift.usage.periods import period_of
 from flintshift.usage.records import (
@@ -56,11 +56,11 @@
         match event:
             case Tick():
                 return self._time_passed(now)
-            case WriterGone():
+            case OwnerDied():
                 return self._closed_all(now)
             case ClockMoved(by_ms):
                 return [*self._time_passed(now), Append(Stepped(now, by_ms))]
-            case CorrectionAsked():
+            case CorrectionRequested():
                 return self._correction(now, event)
             case DocumentsStand(number):
                 return [Append(Published(number))]
@@ -94,7 +94,7 @@
         room = max(0, self.accounts.bounds.documents - len(self.accounts.state.documents))
         return [Append(Closed(begin, now)) for begin in sorted(self.accounts.state.periods)[:room]]
 
-    def _correction(self, now: int, asked: CorrectionAsked) -> list[KeeperAction]:
+    def _correction(self, now: int, asked: CorrectionRequested) -> list[KeeperAction]:
         entry = Corrected(
             asked.id,
             asked.author,
@@ -121,11 +121,11 @@
         revision = self.accounts.state.revisions.get(asked.period, 0) + 1
         return [Append(entry), Reply(True, f"makes revision {revision} of the period, which has closed")]
 
-    def _length(self, asked: CorrectionAsked) -> int:
+    def _length(self, asked: CorrectionRequested) -> int:
         period = self.accounts.state.periods.get(asked.period)
         return period.length if period is not None else asked.length or 0
 
-    def _fault(self, asked: CorrectionAsked) -> str | None:
+    def _fault(self, asked: CorrectionRequested) -> str | None:
         """Why a correction is impossible; None where it is not."""
         state = self.accounts.state
         if IDENTIFIER.fullmatch(asked.id) is None:
--- a/tests/usage/test_accounts.py
+++ b/tests/usage/test_accounts.py
@@ -12,7 +12,7 @@
 
 from flintshift.usage import documents
 from flintshift.usage.accounts import Bounds, UsageAccounts
-from flintshift.usage.messages import Append, ClockMoved, CorrectionAsked, DocumentsStand, Reply, Tick
+from flintshift.usage.messages import Append, ClockMoved, CorrectionRequested, DocumentsStand, Reply, Tick
 from flintshift.usage.periods import CONFIRM_MS, LedgerClock, period_of
 from flintshift.usage.policy import LedgerPolicy
 from flintshift.usage.reconcile import check
@@ -207,7 +207,7 @@
         self.corrections += not again
         names = club, "look", "http", "served"
         closed = [one for one in found if one.period_ms == period]
-        asked = CorrectionAsked(
+        asked = CorrectionRequested(
             f"c{self.corrections}",
             "op",
             "why",
@@ -300,7 +300,7 @@
         "amounts": (1, 0, 0, 0, 0, 0, 0),
         **changes,
     }
-    return CorrectionAsked(**told)
+    return CorrectionRequested(**told)
 
 
 @pytest.mark.parametrize(
--- a/tests/usage/test_ledger_stops.py
+++ b/tests/usage/test_ledger_stops.py
@@ -25,7 +25,7 @@
 from flintshift.usage.corrections import to_json
 from flintshift.usage.folder import LedgerFolder, load, read_documents, retire
 from flintshift.usage.ledger import Ledger
-from flintshift.usage.messages import CorrectionAsked, Delivered, Tick
+from flintshift.usage.messages import CorrectionRequested, Delivered, Tick
 from flintshift.usage.periods import LedgerClock
 from flintshift.usage.reconcile import check
 from flintshift.usage.records import FINAL, GONE, OUTCOMES, row_number
@@ -116,7 +116,7 @@
     life.at_ms += 200
     await life.tick()  # closes the first period, publishes it; the segment is full: a new one
     await life.export()
-    asked = CorrectionAsked(
+    asked = CorrectionRequested(
         "c1", "op", "a wrong count", BEGIN, "b", "look", "http", "served", (1, 0, 0, 0, 0, 1 << 40, 0)
     )
     life.ledger.correct(to_json(asked))
