--- a/benchmarks/ledger_store.py
+++ b/benchmarks/ledger_store.py
@@ -26,7 +26,7 @@
 
 from flintshift.storage.files import DiskFiles  # noqa: E402
 from flintshift.usage.folder import LedgerFolder, load  # noqa: E402
-from flintshift.usage.records import Claim, Entry, Marked, Turned, row_number  # noqa: E402
+from flintshift.usage.records import Claim, Entry, Marked, Rotated, row_number  # noqa: E402
 
 CLUBS, CLASSES = ["muscat-striders", "sur-pacers"], ["standings", "submit-time"]
 SEGMENT = 16 << 20
@@ -42,7 +42,7 @@
 def opened(folder: Path) -> LedgerFolder:
     holder = LedgerFolder(DiskFiles(), folder)
     holder.open("n1", b"l" * 16, 3_600_000, CLUBS, CLASSES, 0)
-    holder.append([Turned(0, 3_600_000)])
+    holder.append([Rotated(0, 3_600_000)])
     return holder
 
 
--- a/flintshift/lifecycle/books.py
+++ b/flintshift/lifecycle/books.py
@@ -16,7 +16,15 @@
 from flintshift.usage.folder import LedgerFolder
 from flintshift.usage.ledger import HELD_MS, REOPEN_MS, Ledger
 from flintshift.usage.periods import LedgerClock
-from flintshift.usage.records import AGAIN, FINAL, FRONTS, GONE, KEPT, OUTCOMES, row_number
+from flintshift.usage.records import (
+    FLAG_FURTHER_TRY,
+    FLAG_KEPT_RESULT,
+    FLAG_NO_ANSWER,
+    FRONTS,
+    GONE,
+    OUTCOMES,
+    row_number,
+)
 
 SERVED, POORER, REFUSED, FAILED = (OUTCOMES.index(word) for word in ("served", "poorer", "refused", "failed"))
 WORDS = {Verdict.SERVED: SERVED, Verdict.REFUSED: REFUSED, Verdict.FAILED: FAILED, Verdict.CONFLICT: FAILED}
@@ -92,7 +100,7 @@
         attempt.ticket = self.ledger.claim(
             bytes.fromhex(attempt.id),
             self._row(attempt, front) + outcome,
-            (AGAIN if attempt.again else 0) | (KEPT if attempt.kept else 0),
+            (FLAG_FURTHER_TRY if attempt.again else 0) | (FLAG_KEPT_RESULT if attempt.kept else 0),
             int(attempt.run_ms * 1000),
             attempt.calls,
             len(attempt.body),
@@ -113,7 +121,7 @@
         attempt.ticket = self.ledger.claim(
             bytes.fromhex(attempt.id),
             self._row(attempt, front) + GONE,
-            FINAL | (AGAIN if attempt.again else 0) | (KEPT if attempt.kept else 0),
+            FLAG_NO_ANSWER | (FLAG_FURTHER_TRY if attempt.again else 0) | (FLAG_KEPT_RESULT if attempt.kept else 0),
             int(attempt.run_ms * 1000),
             attempt.calls,
             len(attempt.body),
--- a/flintshift/usage/accounts.py
+++ b/flintshift/usage/accounts.py
@@ -19,12 +19,12 @@
 from flintshift.usage import documents
 from flintshift.usage.documents import RowKey
 from flintshift.usage.records import (
-    AGAIN,
     AMOUNTS,
-    FINAL,
+    FLAG_FURTHER_TRY,
+    FLAG_KEPT_RESULT,
+    FLAG_NO_ANSWER,
     FRONTS,
     GONE,
-    KEPT,
     OTHER,
     OUTCOMES,
     Claim,
@@ -39,8 +39,8 @@
     Marked,
     Opened,
     Published,
+    Rotated,
     Stepped,
-    Turned,
     renumbered,
 )
 
@@ -184,7 +184,7 @@
                 self._opened(epoch, entry)
             case Listed():
                 self._listed(entry)
-            case Turned():
+            case Rotated():
                 self._turned(sequence, entry)
             case Closed():
                 self._closed(sequence, entry)
@@ -214,13 +214,13 @@
         flags = claim.flags
         row[0] += 1
         if flags:
-            row[1] += flags & AGAIN
-            row[2] += bool(flags & KEPT)
+            row[1] += flags & FLAG_FURTHER_TRY
+            row[2] += bool(flags & FLAG_KEPT_RESULT)
         row[3] += claim.run_us
         row[4] += claim.calls
         row[5] += claim.bytes_in
         row[6] += claim.bytes_out
-        if not flags & FINAL:
+        if not flags & FLAG_NO_ANSWER:
             self.state.waiting[sequence] = Waiting(self.state.current or 0, claim)
 
     def _row(self, period: int, number: int) -> list[int]:
@@ -277,7 +277,7 @@
         state.clubs, state.classes = listed.clubs, listed.classes
         self.rows.clear()
 
-    def _turned(self, sequence: int, turned: Turned) -> None:
+    def _turned(self, sequence: int, turned: Rotated) -> None:
         state = self.state
         new = Period(turned.period, turned.length, sequence, sequence)
         if state.current is None:
@@ -363,8 +363,8 @@
 def amounts_of(claim: Claim) -> list[int]:
     return [
         1,
-        int(bool(claim.flags & AGAIN)),
-        int(bool(claim.flags & KEPT)),
+        int(bool(claim.flags & FLAG_FURTHER_TRY)),
+        int(bool(claim.flags & FLAG_KEPT_RESULT)),
         claim.run_us,
         claim.calls,
         claim.bytes_in,
--- a/flintshift/usage/policy.py
+++ b/flintshift/usage/policy.py
@@ -39,8 +39,8 @@
     Forgotten,
     Gap,
     Published,
+    Rotated,
     Stepped,
-    Turned,
 )
 
 MOST = 2**63 - 1
@@ -77,7 +77,7 @@
             edge = max(edge, current + state.periods[current].length)
         if current is None or (now >= edge and len(state.periods) < self.accounts.bounds.periods):
             current = max(period_of(now, state.period_ms), edge)
-            actions.append(Append(Turned(current, period_of(current, state.period_ms) + state.period_ms - current)))
+            actions.append(Append(Rotated(current, period_of(current, state.period_ms) + state.period_ms - current)))
         room = self.accounts.bounds.documents - len(state.documents)
         answers = {found.period for found in state.waiting.values()}
         for begin, period in sorted(state.periods.items()):
--- a/flintshift/usage/records.py
+++ b/flintshift/usage/records.py
@@ -16,7 +16,11 @@
 GONE = OUTCOMES.index("gone")
 OTHER = "(other)"  # the row of all clubs that the configuration does not name
 AMOUNTS = ("requests", "further_tries", "kept", "run_us", "calls", "bytes_in", "bytes_out")
-AGAIN, KEPT, FINAL = 1, 2, 4  # flags of a claim; FINAL: there is no answer to deliver
+FLAG_FURTHER_TRY, FLAG_KEPT_RESULT, FLAG_NO_ANSWER = (
+    1,
+    2,
+    4,
+)  # flags of a claim; FLAG_NO_ANSWER: there is no answer to deliver
 
 
 class Opened(msgspec.Struct, array_like=True, frozen=True):
@@ -30,7 +34,7 @@
     at_ms: int
 
 
-class Turned(msgspec.Struct, array_like=True, frozen=True):
+class Rotated(msgspec.Struct, array_like=True, frozen=True):
     """From here on requests belong to the period that begins at this time."""
 
     period: int
@@ -126,7 +130,7 @@
 Entry = (
     Listed
     | Opened
-    | Turned
+    | Rotated
     | Claim
     | Marked
     | Late
@@ -140,7 +144,7 @@
 )
 KINDS: dict[int, type[Any]] = {
     1: Opened,
-    2: Turned,
+    2: Rotated,
     3: Claim,
     4: Marked,
     5: Late,
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -15,7 +15,7 @@
 from flintshift.usage.folder import LedgerFolder
 from flintshift.usage.messages import Tick
 from flintshift.usage.policy import LedgerPolicy
-from flintshift.usage.records import FINAL, Claim, row_number
+from flintshift.usage.records import FLAG_NO_ANSWER, Claim, row_number
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -33,7 +33,7 @@
     for now in (1000, 5000):
         for action in keeper.handle(now, Tick()):
             holder.append([action.entry])
-        holder.append([Claim(b"12345678", row_number(0, 0, 2, 0, 0), FINAL, 2500, 1, 7, 20)])
+        holder.append([Claim(b"12345678", row_number(0, 0, 2, 0, 0), FLAG_NO_ANSWER, 2500, 1, 7, 20)])
     holder.write_documents(holder.accounts.state.documents)
     holder.close()
     return tmp_path / "u"
--- a/tests/copies/test_use_copies_refusals.py
+++ b/tests/copies/test_use_copies_refusals.py
@@ -35,13 +35,13 @@
 from flintshift.usage import replica as on_disk
 from flintshift.usage.accounts import UsageAccounts
 from flintshift.usage.folder import load
-from flintshift.usage.records import Opened, Turned, pack
+from flintshift.usage.records import Opened, Rotated, pack
 
 LOG = "n1", b"l" * 16
 WRITER = "n1#1"
 EPOCH = 5
 OPENED = pack(Opened("n1", LOG[1], 1000, ["a"], ["look"], 1_000_000))
-TURNED = pack(Turned(1_000_000, 1000))
+TURNED = pack(Rotated(1_000_000, 1000))
 
 
 def whole():
--- a/tests/usage/test_accounts.py
+++ b/tests/usage/test_accounts.py
@@ -18,7 +18,7 @@
 from flintshift.usage.reconcile import check
 from flintshift.usage.records import (
     AMOUNTS,
-    FINAL,
+    FLAG_NO_ANSWER,
     GONE,
     KINDS,
     OUTCOMES,
@@ -127,7 +127,7 @@
     @rule(club=st.integers(0, 2))
     def gone_at_once(self, club):
         row = self.desk.row(club, 0, 0, GONE)
-        self.desk.write(Claim(b"g" * 8, row, FINAL, 0, 0, 1, 0))
+        self.desk.write(Claim(b"g" * 8, row, FLAG_NO_ANSWER, 0, 0, 1, 0))
         self.add(([*CLUBS, "(other)"][club], "look", "http", "gone"), (1, 0, 0, 0, 0, 1, 0))
 
     @precondition(lambda self: self.waiting)
@@ -278,7 +278,7 @@
     for _ in range(86_400 // 60):
         desk.now += 60_000
         desk.tell(Tick())
-        desk.write(Claim(b"i" * 8, 0, FINAL, 1, 0, 1, 1))
+        desk.write(Claim(b"i" * 8, 0, FLAG_NO_ANSWER, 1, 0, 1, 1))
     assert (len(desk.accounts.state.documents), len(desk.accounts.state.periods)) == (3, 4)
     assert desk.all_rows()[("a", "look", "http", "served"), 0] == 1440
     desk.tell(DocumentsStand(3))
@@ -369,7 +369,7 @@
 def test_a_period_over_which_the_node_was_down_closes_at_the_next_start():
     desk = Desk()
     desk.open()
-    desk.write(Claim(b"i" * 8, 0, FINAL, 0, 0, 0, 0))
+    desk.write(Claim(b"i" * 8, 0, FLAG_NO_ANSWER, 0, 0, 0, 0))
     desk.now += 3_000_000
     desk.open()
     document = documents.parse(next(iter(desk.documents.values())))
@@ -394,7 +394,7 @@
         enumerate(
             (
                 "Opened",
-                "Turned",
+                "Rotated",
                 "Claim",
                 "Marked",
                 "Late",
--- a/tests/usage/test_folder.py
+++ b/tests/usage/test_folder.py
@@ -14,7 +14,7 @@
 from flintshift.usage.folder import LedgerFolder, load, read_documents, retire, snapshots
 from flintshift.usage.messages import Tick
 from flintshift.usage.policy import LedgerPolicy
-from flintshift.usage.records import FINAL, Claim
+from flintshift.usage.records import FLAG_NO_ANSWER, Claim
 
 FOLDER = Path("/u")
 DAY = 86_400_000.0
@@ -29,7 +29,7 @@
         files.now_ms = number * 1000.0
         for action in keeper.handle(files.now_ms, Tick()):
             holder.append([action.entry])
-        holder.append([Claim(number.to_bytes(8, "big"), 0, FINAL, 1, 0, 1, 1)])
+        holder.append([Claim(number.to_bytes(8, "big"), 0, FLAG_NO_ANSWER, 1, 0, 1, 1)])
         sequence, data = holder.accounts.state.sequence, holder.snapshot_now()
         holder.log.begin()
         holder.write_snapshot(sequence, data)
--- a/tests/usage/test_ledger_leaves.py
+++ b/tests/usage/test_ledger_leaves.py
@@ -26,7 +26,7 @@
 from usage.test_ledger_stops import BEGIN, FOLDER, ROW, Life
 
 from flintshift.usage.folder import load
-from flintshift.usage.records import FINAL, GONE
+from flintshift.usage.records import FLAG_NO_ANSWER, GONE
 
 pytestmark = pytest.mark.anyio
 
@@ -69,7 +69,7 @@
     life = Life(files, BEGIN)
     await life.tick()
     slow = SlowSync(monkeypatch)
-    life.ledger.claim(b"a" * 8, ROW + GONE, FINAL, 10, 1, 2, 5, None)
+    life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
     life.ledger._flush()
     assert life.ledger.operation is not None
     await cancelled_in_the_middle(life.ledger, slow)
@@ -83,7 +83,7 @@
     life = Life(files, BEGIN, reopen_ms=10.0)
     await life.tick()
     files.refuse = {files.count + place: errno.ENOSPC for place in range(1, 1000)}
-    life.ledger.claim(b"a" * 8, ROW + GONE, FINAL, 10, 1, 2, 5, None)
+    life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
     life.ledger._flush()
     assert life.ledger.commit.gap is not None
     files.refuse = {}
--- a/tests/usage/test_ledger_refusals.py
+++ b/tests/usage/test_ledger_refusals.py
@@ -16,7 +16,7 @@
 from usage.test_ledger_stops import BEGIN, FOLDER, ROW, Life
 
 from flintshift.usage.folder import load
-from flintshift.usage.records import FINAL, GONE
+from flintshift.usage.records import FLAG_NO_ANSWER, GONE
 
 pytestmark = pytest.mark.anyio
 
@@ -27,7 +27,7 @@
     life = Life(files, BEGIN, durability="process-death", refuse=True)
     await life.tick()
     files.refuse = {files.count + 1: error}
-    life.ledger.claim(b"a" * 8, ROW + GONE, FINAL, 10, 1, 2, 5, None)
+    life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
     life.ledger._flush()
     assert not life.ledger.refusing
     assert "usage.disk_refused" not in [event for event, _ in life.told]
@@ -41,7 +41,7 @@
     life = Life(files, BEGIN, durability="process-death", refuse=True)
     await life.tick()
     files.refuse = {files.count + place: errno.ENOSPC for place in (1, 2, 3)}
-    life.ledger.claim(b"a" * 8, ROW + GONE, FINAL, 10, 1, 2, 5, None)
+    life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
     life.ledger._flush()
     assert life.ledger.refusing
     assert "usage.disk_refused" in [event for event, _ in life.told]
--- a/tests/usage/test_ledger_stops.py
+++ b/tests/usage/test_ledger_stops.py
@@ -28,7 +28,7 @@
 from flintshift.usage.messages import CorrectionRequested, Delivered, Tick
 from flintshift.usage.periods import LedgerClock
 from flintshift.usage.reconcile import check
-from flintshift.usage.records import FINAL, GONE, OUTCOMES, row_number
+from flintshift.usage.records import FLAG_NO_ANSWER, GONE, OUTCOMES, row_number
 from flintshift.usage.sinks import FolderSink
 
 FOLDER, OUT = Path("/u"), Path("/out")
@@ -82,7 +82,7 @@
             self.ledger._tell(Tick())
         tickets = {}
         for number in numbers:
-            row, flags = (ROW + GONE, FINAL) if final else (ROW, 0)
+            row, flags = (ROW + GONE, FLAG_NO_ANSWER) if final else (ROW, 0)
             deliver = None if final else partial(self.delivered.add, number)
             tickets[number] = self.ledger.claim(number.to_bytes(8, "big"), row, flags, 10, 1, 1 << number, 5, deliver)
         await self.flush()
