--- a/flintshift/lifecycle/books.py
+++ b/flintshift/lifecycle/books.py
@@ -14,7 +14,7 @@
 from flintshift.storage.commit import CommitLimits
 from flintshift.storage.files import DiskFiles, Files
 from flintshift.usage.folder import LedgerFolder
-from flintshift.usage.ledger import HELD_MS, REOPEN_MS, Ledger
+from flintshift.usage.ledger import MAX_ANSWER_WAIT_MS, REOPEN_RETRY_MS, Ledger
 from flintshift.usage.periods import LedgerClock
 from flintshift.usage.records import (
     FLAG_FURTHER_TRY,
@@ -81,11 +81,11 @@
         if lists != self.lists:
             self.lists = lists
             self._number()
-            self.ledger.list_as(*lists)
+            self.ledger.set_row_lists(*lists)
 
     @property
     def refusing(self) -> bool:
-        return self.ledger.refusing
+        return self.ledger.rejects_work
 
     def _row(self, attempt: Attempt, front: str) -> int:
         base = self.bases.get((attempt.tenant, attempt.class_name, front))
@@ -111,12 +111,12 @@
 
     def delivered(self, attempt: Attempt, arrived: bool) -> None:
         if attempt.ticket is not None:
-            self.ledger.mark(attempt.ticket, arrived)
+            self.ledger.mark_delivery(attempt.ticket, arrived)
 
     def departed(self, attempt: Attempt, front: str) -> None:
         attempt.tell = nobody  # guards against a second claim, where it is answered all the same
         if attempt.ticket is not None:  # its answer was on its way
-            self.ledger.mark(attempt.ticket, False)
+            self.ledger.mark_delivery(attempt.ticket, False)
             return
         attempt.ticket = self.ledger.claim(
             bytes.fromhex(attempt.id),
@@ -131,7 +131,7 @@
 
     def ran_on(self, attempt: Attempt, took_ms: float) -> None:
         if attempt.ticket is not None and took_ms > 0:
-            self.ledger.add_late(attempt.ticket, int(took_ms * 1000), 0)
+            self.ledger.add_late_run(attempt.ticket, int(took_ms * 1000), 0)
 
 
 def open_folder(
@@ -204,8 +204,8 @@
         options.durability != "none",
         options.durability == "power-cut",
         options.sync_ms,
-        HELD_MS,
-        REOPEN_MS,
+        MAX_ANSWER_WAIT_MS,
+        REOPEN_RETRY_MS,
         options.segment_bytes,
     )
     return Ledger(
--- a/flintshift/lifecycle/exports.py
+++ b/flintshift/lifecycle/exports.py
@@ -66,7 +66,7 @@
 
     async def run() -> None:
         while True:
-            copies = ledger.copies
+            copies = ledger.replication
             export = export_run(
                 usage.folder,
                 options,
@@ -74,11 +74,11 @@
                 False,
                 ledger.folder.files,
                 ledger.accounts.state if copies is not None else None,
-                copies.exported if copies is not None else lambda sink, name, digest: None,
+                copies.on_exported if copies is not None else lambda sink, name, digest: None,
             )
-            ledger.changed = export.look
+            ledger.on_documents_published = export.look
             with anyio.CancelScope() as turn:
-                ledger.began_anew = turn.cancel
+                ledger.on_folder_switched = turn.cancel
                 try:
                     await export.run()
                 except* (OSError, DamagedError) as errors:
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -21,14 +21,14 @@
 from flintshift.lifecycle.taken_ledgers import TakenLedgers
 from flintshift.settings.options import UsageOptions
 from flintshift.usage import replica as on_disk
-from flintshift.usage.ledger import HELD_MS, RETIRE_MS, Ledger
+from flintshift.usage.ledger import MAX_ANSWER_WAIT_MS, RETIRE_INTERVAL_MS, Ledger
 
 AGAIN_MS = 2000.0  # between two looks for members that are in reach and do not follow
 SPARE_MS = 100.0  # before its due time, an answer waits for copies no longer: a tick may be late
 
 
 class UseCopies:
-    """``usage.ledger.Copies`` of this member's ledger. ``holder`` has the copies of the others' here."""
+    """``usage.ledger.Replication`` of this member's ledger. ``holder`` has the copies of the others' here."""
 
     def __init__(self, name: str, placement: Placement, usage: UsageOptions, holder: HeldCopies) -> None:
         self.name, self.placement, self.usage, self.holder = name, placement, usage, holder
@@ -52,7 +52,7 @@
 
     def write(self, ledger: Ledger) -> None:
         """Copy this ledger from now on."""
-        self.ledger, ledger.copies = ledger, self
+        self.ledger, ledger.replication = ledger, self
         self._begin(ledger.folder.log.epoch)
 
     def _begin(self, epoch: int) -> None:
@@ -64,12 +64,12 @@
     def _writer_of(self, log: LogId, epoch: int, last: logs.Place, before: logs.Place | None = None) -> LogWriter:
         holders = self.placement.of_log(log[0])
         others = tuple(name for name in holders if name != self.name)
-        return LogWriter(log, epoch, last, others, len(holders) // 2, HELD_MS, before)
+        return LogWriter(log, epoch, last, others, len(holders) // 2, MAX_ANSWER_WAIT_MS, before)
 
     # The ledger's port.
 
     @property
-    def held(self) -> float:
+    def replicated_through(self) -> float:
         assert self.writer is not None
         return math.inf if self.writer.in_gap or not self.writer.needed else self.writer.held
 
@@ -77,16 +77,16 @@
     def in_gap(self) -> bool:
         return self.writer is not None and self.writer.in_gap
 
-    def stands(self, sequence: int) -> bool:
+    def is_replicated(self, sequence: int) -> bool:
         assert self.writer is not None
         return not self.writer.fenced and (self.writer.held >= sequence or not self.writer.needed)
 
-    def wrote(self, first: int, items: list[tuple[int, bytes]], answers: bool) -> None:
+    def on_written(self, first: int, items: list[tuple[int, bytes]], answers: bool) -> None:
         assert self.writer is not None
         if not self.writer.fenced:
             self._write(self.writer, self.writer.wrote(self.now_ms(), first, tuple(items), answers))
 
-    def exported(self, sink: str, name: str, digest: bytes) -> None:
+    def on_exported(self, sink: str, name: str, digest: bytes) -> None:
         if self.writer is not None:
             self._tell_exported(self.writer, sink, name, digest)
 
@@ -134,16 +134,16 @@
             self.holder.read_again()
         own, ledger = self.writer, self.ledger
         if own is not None and ledger is not None and own.last[0] != own.epoch and not ledger.commit.stalls:
-            ledger.write_nothing()
+            ledger.write_empty_record()
         self.taken.go_on()
-        if now >= self.retired_ms + RETIRE_MS:
+        if now >= self.retired_ms + RETIRE_INTERVAL_MS:
             self.retired_ms = now
             self.holder.retire(self.sinks, self.usage.retention_ms)
 
     def _due_ms(self) -> float:
         """When an answer that waits must leave, by the steady clock."""
         assert self.ledger is not None
-        return self.ledger.due_ms() - SPARE_MS
+        return self.ledger.earliest_deadline_ms() - SPARE_MS
 
     # What the writers answer.
 
@@ -161,7 +161,7 @@
                         self.log("error", "usage.copy_not_filled", name=member, cause=str(error))
                 case logs.Held():
                     if own and self.ledger is not None:
-                        self.ledger.release()
+                        self.ledger.release_answers()
                 case logs.GapBegan(cause):
                     self.counters.add("usage.copy_gaps")
                     self.log(
@@ -228,7 +228,7 @@
             if self.aside is None:
                 self.aside = before.set_aside()
             folder, ledger.clock = open_folder(
-                self.name, ledger.lists, self.usage, self.log, self.files, True, max(before.log.epoch, writer.epoch)
+                self.name, ledger.row_lists, self.usage, self.log, self.files, True, max(before.log.epoch, writer.epoch)
             )
         except REFUSED as error:
             self._not_begun(str(error))
@@ -245,7 +245,7 @@
         self.fence, self.aside, self.not_begun = None, None, ""
         ledger.folder = folder
         self._begin(folder.log.epoch)
-        ledger.begin_anew(folder)
+        ledger.switch_folder(folder)
         for member in self.up:
             assert self.writer is not None
             self._write(self.writer, self.writer.reach(member, True))
--- a/flintshift/usage/ledger.py
+++ b/flintshift/usage/ledger.py
@@ -63,13 +63,15 @@
 from flintshift.usage.records import Claim, Ended, Entry, Late, Listed, Marked, Published, pack, renumbered
 
 TICK_S = 0.25
-HELD_MS = 250.0  # an answer waits no longer for a disk that hangs: it has a due time, and what ran is answered
+MAX_ANSWER_WAIT_MS = (
+    250.0  # an answer waits no longer for a disk that hangs: it has a due time, and what ran is answered
+)
 MARK_S = 0.01  # a mark waits so long for claims to be written with; until then its request would be in doubt
 BACKLOG_MOST = 100_000  # records that come while a segment is begun after a gap
-REOPEN_MS = 1000.0  # between two tries to write again after the disk refused
+REOPEN_RETRY_MS = 1000.0  # between two tries to write again after the disk refused
 CLOSE_AGAIN_S = 0.005  # between two tries at a disk that refuses then
 CLOSE_S = 2.0  # for the disk, when the node leaves: what hangs then is in doubt at the next start
-RETIRE_MS = 600_000.0
+RETIRE_INTERVAL_MS = 600_000.0
 INBOX_MOST = 100  # corrections taken in one tick
 
 
@@ -79,16 +81,16 @@
     def __call__(self, level: str, event: str, **fields: Any) -> None: ...
 
 
-class Copies(Protocol):
+class Replication(Protocol):
     """Further members that hold what is written."""
 
     @property
-    def held(self) -> float: ...  # records up to this one stand at a majority, or need not be waited for
+    def replicated_through(self) -> float: ...  # records up to this one stand at a majority, or need not be waited for
     @property
     def in_gap(self) -> bool: ...  # they do not answer
-    def stands(self, sequence: int) -> bool: ...  # at a majority, gap or not
-    def wrote(self, first: int, items: list[tuple[int, bytes]], answers: bool) -> None: ...  # some wait for them
-    def exported(self, sink: str, name: str, digest: bytes) -> None: ...
+    def is_replicated(self, sequence: int) -> bool: ...  # at a majority, gap or not
+    def on_written(self, first: int, items: list[tuple[int, bytes]], answers: bool) -> None: ...  # some wait for them
+    def on_exported(self, sink: str, name: str, digest: bytes) -> None: ...
 
 
 Lists = tuple[list[str], list[str]]  # clubs and classes, by which rows are numbered
@@ -133,12 +135,12 @@
         self.delivered: list[Ticket] = []  # not marked yet
         self.undelivered: list[Ticket] = []
         self.late: list[Late] = []
-        self.lists: Lists = (folder.accounts.state.clubs, folder.accounts.state.classes)
+        self.row_lists: Lists = (folder.accounts.state.clubs, folder.accounts.state.classes)
         self.listed: Listed | None = None  # not written yet
         # Answers that wait until their claim stands on the disk and at other members, by sequence.
         self.held: deque[tuple[int, Waits]] = deque()
         self.synced: float = -1.0  # what the disk has told of that
-        self.copies: Copies | None = None
+        self.replication: Replication | None = None
         self.marking = False  # a flush of marks is due
         self.due = False  # a flush is due in this turn of the loop
         self.backlog: list[tuple[int, bytes]] | None = None  # what came after the snapshot that closes a gap
@@ -150,13 +152,15 @@
         self.turn_ms = 0  # the end of the period of now
         self.steps: list[int] = []  # of the clock, not told yet
         self.retired_ms = -math.inf
-        self.changed: Callable[[], object] = lambda: None  # documents stand that did not before
-        self.began_anew: Callable[[], object] = lambda: None
+        self.on_documents_published: Callable[[], object] = lambda: None  # documents stand that did not before
+        self.on_folder_switched: Callable[[], object] = lambda: None
 
     @property
-    def refusing(self) -> bool:
+    def rejects_work(self) -> bool:
         """New work is not to be taken: it could not be booked."""
-        return self.refuse and (self.commit.gap is not None or (self.copies is not None and self.copies.in_gap))
+        return self.refuse and (
+            self.commit.gap is not None or (self.replication is not None and self.replication.in_gap)
+        )
 
     # What the node tells.
 
@@ -173,13 +177,13 @@
         due_ms: float = math.inf,
     ) -> Ticket:
         """UsageAccounts a final answer, and deliver it once that is written."""
-        ticket = Ticket(row, self.lists, due_ms)
+        ticket = Ticket(row, self.row_lists, due_ms)
         self.claims.append((ticket, Claim(id_, row, flags, run_us, calls, bytes_in, bytes_out), deliver))
         if not self.due:
             self._flush_soon()
         return ticket
 
-    def mark(self, ticket: Ticket, arrived: bool) -> None:
+    def mark_delivery(self, ticket: Ticket, arrived: bool) -> None:
         """The answer has left, or its caller went before it had."""
         if not ticket.marked:
             ticket.marked = True
@@ -190,8 +194,8 @@
                 self.marking = True
                 asyncio.get_running_loop().call_later(MARK_S, self._flush_marks)
 
-    def add_late(self, ticket: Ticket, run_us: int, calls: int) -> None:
-        row = ticket.row if ticket.lists is self.lists else renumbered(ticket.row, ticket.lists, self.lists)
+    def add_late_run(self, ticket: Ticket, run_us: int, calls: int) -> None:
+        row = ticket.row if ticket.lists is self.row_lists else renumbered(ticket.row, ticket.lists, self.row_lists)
         self.late.append(Late(ticket.period or self.accounts.state.current or 0, row, run_us, calls))
         if not self.due:
             self._flush_soon()
@@ -205,15 +209,15 @@
         if not self.due and (self.delivered or self.undelivered):
             self._flush()
 
-    def list_as(self, clubs: list[str], classes: list[str]) -> None:
+    def set_row_lists(self, clubs: list[str], classes: list[str]) -> None:
         """Number rows by these lists from now on. What is booked and not written yet goes over to them; tickets that
         are out are known by the lists of their claim."""
-        before, self.lists = self.lists, (clubs, classes)
+        before, self.row_lists = self.row_lists, (clubs, classes)
         self.claims = [
-            (ticket, structs.replace(claim, row=renumbered(claim.row, before, self.lists)), deliver)
+            (ticket, structs.replace(claim, row=renumbered(claim.row, before, self.row_lists)), deliver)
             for ticket, claim, deliver in self.claims
         ]
-        self.late = [structs.replace(late, row=renumbered(late.row, before, self.lists)) for late in self.late]
+        self.late = [structs.replace(late, row=renumbered(late.row, before, self.row_lists)) for late in self.late]
         self.listed = Listed(clubs, classes)
         if not self.due:
             self._flush_soon()
@@ -250,13 +254,13 @@
                 )
             )
         entries += late
-        holds = self.commit.limits.holds or self.copies is not None
+        holds = self.commit.limits.holds or self.replication is not None
         if holds:  # before the write, which may tell that they are not to wait
             self.held += [(one[0].sequence, one) for one in claims if one[2] is not None]
         if entries:
             self._write(entries, len(claims))
         if holds:
-            self.release()
+            self.release_answers()
             return
         for _, _, deliver in claims:
             if deliver is not None:
@@ -279,8 +283,8 @@
                 if len(self.backlog) > BACKLOG_MOST:  # the next try begins with a snapshot of all again
                     self.backlog = None
         self.folder.apply(first, entries)
-        if self.copies is not None:
-            self.copies.wrote(first, items, requests > 0)
+        if self.replication is not None:
+            self.replication.on_written(first, items, requests > 0)
         actions += self.commit.wrote(self.steady_ms(), first + len(items) - 1, log.size, requests)
         if actions:
             self._do(actions)
@@ -294,7 +298,7 @@
                     self._disk_changed()
                 case Release(upto):
                     self.synced = self.synced if upto == math.inf else upto
-                    self.release()
+                    self.release_answers()
                 case Write():
                     if not self.due:
                         self._flush_soon()
@@ -315,13 +319,13 @@
                 case StillRefused(cause):
                     self.say("warning", "usage.disk_still_refuses", cause=cause)
 
-    def due_ms(self) -> float:
+    def earliest_deadline_ms(self) -> float:
         """When the first of the answers that wait must leave."""
         return min((one[0].due_ms for _, one in self.held), default=math.inf)
 
-    def release(self) -> None:
+    def release_answers(self) -> None:
         """Let go of answers whose claims stand where they must."""
-        held, upto = self.held, self.copies.held if self.copies is not None else math.inf
+        held, upto = self.held, self.replication.replicated_through if self.replication is not None else math.inf
         if self.commit.limits.holds and self.commit.gap is None:
             upto = min(upto, self.synced)
         while held and held[0][0] <= upto:
@@ -466,7 +470,7 @@
         await self._inbox()
         await self._snapshot()
         now = self._now()
-        if now - self.retired_ms >= RETIRE_MS:
+        if now - self.retired_ms >= RETIRE_INTERVAL_MS:
             self.retired_ms = now
             await self._retire()
 
@@ -484,7 +488,7 @@
         # The record that made a document must not be lost where the document stands.
         if not made or not await self._synced() or book is not self.accounts:
             return
-        if self.copies is not None and not self.copies.stands(wanted):
+        if self.replication is not None and not self.replication.is_replicated(wanted):
             return  # nobody exports what another may close in another way
         try:
             number = await anyio.to_thread.run_sync(self.folder.write_documents, made)
@@ -497,7 +501,7 @@
         self._tell(DocumentsStand(number))
         for document in made:
             self.say("info", "usage.document", name=document.name, bytes=len(document.data))
-        self.changed()
+        self.on_documents_published()
 
     async def _inbox(self) -> None:
         files, folder = self.folder.files, self.folder.folder
@@ -532,11 +536,11 @@
         self.say("info", "usage.correction", id=asked.id, taken=reply.taken, text=reply.text, author=asked.author)
         return reply
 
-    def write_nothing(self) -> None:
+    def write_empty_record(self) -> None:
         """A record that changes nothing: the first under an epoch that was raised."""
         self._write([Published(0)])
 
-    def begin_anew(self, folder: LedgerFolder) -> None:
+    def switch_folder(self, folder: LedgerFolder) -> None:
         """Another member goes on with the ledger so far: from now on this one is written, whose rows are numbered by
         ``lists``. Claims whose answers have not left are booked here; those that have, and bear no mark, are in doubt
         there."""
@@ -555,7 +559,7 @@
         self._tell(Tick())
         self._disk_changed()
         self._flush_soon()
-        self.began_anew()
+        self.on_folder_switched()
 
     async def _end_gap(self) -> None:
         """Have what was booked in memory stand on the disk, however often that refuses."""
--- a/tests/usage/test_export.py
+++ b/tests/usage/test_export.py
@@ -307,7 +307,7 @@
                 raise OSError(5, "refused here")
             return super().lock(path)
 
-    ledger = SimpleNamespace(folder=SimpleNamespace(files=Files()), changed=None, copies=None)
+    ledger = SimpleNamespace(folder=SimpleNamespace(files=Files()), on_documents_published=None, replication=None)
     run = exports.open_export(ledger, usage, lambda level, event, **more: said.append(event))
     with anyio.move_on_after(10):
         async with anyio.create_task_group() as tasks:
--- a/tests/usage/test_ledger_refusals.py
+++ b/tests/usage/test_ledger_refusals.py
@@ -29,7 +29,7 @@
     files.refuse = {files.count + 1: error}
     life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
     life.ledger._flush()
-    assert not life.ledger.refusing
+    assert not life.ledger.rejects_work
     assert "usage.disk_refused" not in [event for event, _ in life.told]
     book, reach, _ = load(files, FOLDER)
     assert reach.torn == 0
@@ -43,5 +43,5 @@
     files.refuse = {files.count + place: errno.ENOSPC for place in (1, 2, 3)}
     life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
     life.ledger._flush()
-    assert life.ledger.refusing
+    assert life.ledger.rejects_work
     assert "usage.disk_refused" in [event for event, _ in life.told]
--- a/tests/usage/test_ledger_stops.py
+++ b/tests/usage/test_ledger_stops.py
@@ -90,7 +90,7 @@
             await self.ledger._synced()
         for number, ticket in tickets.items():
             if not final and number in self.delivered:
-                self.ledger.mark(ticket, True)
+                self.ledger.mark_delivery(ticket, True)
         await self.flush()
 
     async def export(self):
@@ -245,14 +245,14 @@
         refused = False
         for number in range(1, 7):
             await life.answer(number)
-            refused |= life.ledger.refusing
+            refused |= life.ledger.rejects_work
             life.at_ms += 400
             await life.tick()
         files.refuse = {}
         for _ in range(4):  # the disk is back
             life.at_ms += 1500
             await life.tick()
-        assert life.ledger.commit.gap is None and not life.ledger.refusing
+        assert life.ledger.commit.gap is None and not life.ledger.rejects_work
         await life.ledger.close()
         return life, refused
 
@@ -400,7 +400,7 @@
                 async with asyncio.timeout(5):
                     while number not in life.delivered:
                         await asyncio.sleep(0.005)
-                ledger.mark(tickets[number], True)
+                ledger.mark_delivery(tickets[number], True)
 
             claim(1)
             await answered(1)
@@ -497,14 +497,14 @@
         life = Life(SimFiles(), BEGIN)
         ledger, going_on = life.ledger, threading.Event()
         for _ in range(5):
-            ledger.write_nothing()
+            ledger.write_empty_record()
         sync = ledger.folder.log.sync
         ledger.folder.log.sync = lambda: (going_on.wait(), sync())
         waiting = asyncio.create_task(ledger._synced())
         await asyncio.sleep(0.02)
         holder = LedgerFolder(SimFiles(), FOLDER)
         holder.open("n1", b"m" * 16, 1000, CLUBS, CLASSES, BEGIN)
-        ledger.begin_anew(holder)
+        ledger.switch_folder(holder)
         going_on.set()
         assert not await asyncio.wait_for(waiting, 5)
 
