--- a/flintshift/lifecycle/exports.py
+++ b/flintshift/lifecycle/exports.py
@@ -15,8 +15,8 @@
 from flintshift.storage.files import DiskFiles, Files
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage.accounts import AccountsState
-from flintshift.usage.export import Pace
-from flintshift.usage.exporting import ExportRun
+from flintshift.usage.export_driver import ExportDriver
+from flintshift.usage.exporter import DeliveryConfig
 from flintshift.usage.ledger import Ledger
 from flintshift.usage.sinks import FolderSink, HttpSink, Sink
 
@@ -40,12 +40,12 @@
     files: Files | None = None,
     copied: AccountsState | None = None,
     noted: Callable[[str, str, bytes], object] = lambda sink, name, digest: None,
-) -> ExportRun:
+) -> ExportDriver:
     """``copied``: the ledger's state, where further members hold it: whoever writes it exports under its epoch."""
     files = files or DiskFiles()
-    pace = Pace(options.backoff_ms, options.backoff_most_ms, options.attempts_per_hour)
+    pace = DeliveryConfig(options.backoff_ms, options.backoff_most_ms, options.attempts_per_hour)
     ledger = f"{copied.node}.{copied.life.hex()}" if copied is not None else ""
-    return ExportRun(
+    return ExportDriver(
         files,
         folder,
         sinks_of(options, files, ledger),
@@ -76,7 +76,7 @@
                 ledger.accounts.state if copies is not None else None,
                 copies.on_exported if copies is not None else lambda sink, name, digest: None,
             )
-            ledger.on_documents_published = export.look
+            ledger.on_documents_published = export.request_check
             with anyio.CancelScope() as turn:
                 ledger.on_folder_switched = turn.cancel
                 try:
--- a/flintshift/lifecycle/taken_ledgers.py
+++ b/flintshift/lifecycle/taken_ledgers.py
@@ -179,7 +179,7 @@
                     taken.replica.ledger.accounts.state,
                     lambda sink, name, digest: self.exported(taken.writer, sink, name, digest),
                 )
-                taken.look = export.look
+                taken.look = export.request_check
                 try:
                     await export.run()
                 except* REFUSED as errors:
--- a/flintshift/usage/exporting.py
+++ b/flintshift/usage/export_driver.py
@@ -17,7 +17,7 @@
 from flintshift.storage import snapshot
 from flintshift.storage.files import Files, LockedError
 from flintshift.usage import documents
-from flintshift.usage.export import Exporter, Pace
+from flintshift.usage.exporter import DeliveryConfig, Exporter
 from flintshift.usage.folder import unacknowledged
 from flintshift.usage.ledger import Say
 from flintshift.usage.messages import (
@@ -39,7 +39,7 @@
 LOOK_MS = 5000.0  # between two looks for new documents, if nobody tells of one
 
 
-class ExportRun:
+class ExportDriver:
     """``run`` returns once nothing is left where ``until_done``; else it goes on until cancelled."""
 
     def __init__(
@@ -47,7 +47,7 @@
         files: Files,
         folder: Path,
         sinks: Mapping[str, Sink],
-        pace: Pace,
+        pace: DeliveryConfig,
         draw: Callable[[], float],
         now_ms: Callable[[], float],
         say: Say,
@@ -63,7 +63,7 @@
         self.wake_ms = math.inf
         self.changed = anyio.Event()
 
-    def look(self) -> None:
+    def request_check(self) -> None:
         """There may be new documents."""
         self.changed.set()
 
--- a/flintshift/usage/export.py
+++ b/flintshift/usage/exporter.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class DeliveryConfig:
     backoff_ms: float = 1000.0
     backoff_most_ms: float = 300_000.0
     attempts_per_hour: int = 600
@@ -58,7 +58,7 @@
 class Exporter:
     """``draw`` returns a number from 0 to 1."""
 
-    def __init__(self, sinks: list[str], pace: Pace, draw: Callable[[], float], now_ms: float) -> None:
+    def __init__(self, sinks: list[str], pace: DeliveryConfig, draw: Callable[[], float], now_ms: float) -> None:
         self.pace, self.draw = pace, draw
         self.sinks = {name: Sink(tokens=float(pace.attempts_per_hour), counted_ms=now_ms) for name in sinks}
 
--- a/tests/usage/test_export.py
+++ b/tests/usage/test_export.py
@@ -19,8 +19,8 @@
 from flintshift.settings.options import ExportOptions, UsageOptions
 from flintshift.storage.files import DiskFiles, LockedError
 from flintshift.usage import documents
-from flintshift.usage.export import Exporter, Pace
-from flintshift.usage.exporting import ExportRun, order
+from flintshift.usage.export_driver import ExportDriver, order
+from flintshift.usage.exporter import DeliveryConfig, Exporter
 from flintshift.usage.folder import unacknowledged
 from flintshift.usage.messages import (
     Acknowledge,
@@ -69,11 +69,11 @@
         if said is not None:
             said.append((event, more))
 
-    return ExportRun(
+    return ExportDriver(
         DiskFiles(),
         path,
         sinks,
-        Pace(backoff_ms, 50.0, attempts),
+        DeliveryConfig(backoff_ms, 50.0, attempts),
         random.Random(1).random,
         lambda: time.monotonic() * 1000,
         say,
@@ -85,7 +85,7 @@
 
 
 def test_documents_go_in_their_order_one_at_a_time_to_each_sink():
-    heart = Exporter(["x", "y"], Pace(), lambda: 1.0, 0.0)
+    heart = Exporter(["x", "y"], DeliveryConfig(), lambda: 1.0, 0.0)
     assert heart.handle(0, Found("x", "1")) == [Deliver("x", "1", 1)]
     assert heart.handle(0, Found("x", "2")) == heart.handle(0, Found("x", "1")) == []
     assert heart.handle(0, Found("y", "1")) == [Deliver("y", "1", 1)]
@@ -94,7 +94,7 @@
 
 
 def test_a_sink_that_is_down_is_tried_with_growing_waits_and_never_in_a_loop():
-    heart = Exporter(["x"], Pace(100.0, 2000.0, 600), lambda: 1.0, 0.0)
+    heart = Exporter(["x"], DeliveryConfig(100.0, 2000.0, 600), lambda: 1.0, 0.0)
     now, waits = 0.0, []
     actions = heart.handle(now, Found("x", "1"))
     for _ in range(8):
@@ -111,7 +111,7 @@
 @settings(deadline=None, derandomize=True)
 def test_a_day_without_the_sink_costs_no_more_than_the_budget(budget, low, seed):
     draw = random.Random(seed)
-    heart = Exporter(["x"], Pace(10.0, 1000.0, budget), lambda: low * draw.random(), 0.0)
+    heart = Exporter(["x"], DeliveryConfig(10.0, 1000.0, budget), lambda: low * draw.random(), 0.0)
     now, attempts = 0.0, 0
     actions = heart.handle(now, Found("x", "1"))
     while now < 6 * HOUR:
@@ -126,7 +126,7 @@
 
 
 def test_a_sink_may_say_when_to_come_back_and_failures_raise_an_alarm():
-    heart = Exporter(["x"], Pace(100.0, 2000.0, alarm_after=2), lambda: 0.5, 0.0)
+    heart = Exporter(["x"], DeliveryConfig(100.0, 2000.0, alarm_after=2), lambda: 0.5, 0.0)
     heart.handle(0, Found("x", "1"))
     assert heart.handle(0, NotDelivered("x", "1", "429", 7000.0)) == [WakeAt(7000.0)]
     assert heart.handle(7000, Tick()) == [Deliver("x", "1", 2)]
@@ -135,7 +135,7 @@
 
 
 def test_what_is_rejected_is_put_aside_and_the_next_goes_on():
-    heart = Exporter(["x"], Pace(), lambda: 0.5, 0.0)
+    heart = Exporter(["x"], DeliveryConfig(), lambda: 0.5, 0.0)
     heart.handle(0, Found("x", "1"))
     heart.handle(0, Found("x", "2"))
     assert heart.handle(0, Rejected("x", "1", "no")) == [Alarm("x", "1", "no"), Deliver("x", "2", 1)]
@@ -144,7 +144,7 @@
 
 
 def test_a_sink_that_rejects_all_is_left_alone_at_a_bound_and_says_so():
-    heart = Exporter(["x", "y"], Pace(queue=2, put_aside=3), lambda: 0.5, 0.0)
+    heart = Exporter(["x", "y"], DeliveryConfig(queue=2, put_aside=3), lambda: 0.5, 0.0)
     for name in "abcd":  # more than the queue holds: what was put aside takes no place in it
         heart.handle(0, Found("x", name))
         told = heart.handle(0, Rejected("x", name, "no"))
@@ -154,14 +154,14 @@
 
 
 def test_an_exporter_that_was_superseded_delivers_nothing_more():
-    heart = Exporter(["x"], Pace(), lambda: 0.5, 0.0)
+    heart = Exporter(["x"], DeliveryConfig(), lambda: 0.5, 0.0)
     heart.handle(0, Found("x", "1"))
     assert Stand("x") in heart.handle(0, Superseded("x", "later"))
     assert heart.handle(0, Found("x", "2")) == heart.handle(HOUR, Tick()) == []
 
 
 def test_the_queue_is_bounded_and_what_was_left_out_is_found_again():
-    heart = Exporter(["x"], Pace(queue=3), lambda: 0.5, 0.0)
+    heart = Exporter(["x"], DeliveryConfig(queue=3), lambda: 0.5, 0.0)
     for name in "abcdef":
         heart.handle(0, Found("x", name))
     assert heart.sinks["x"].known == {"a", "b", "c"}
