--- a/benchmarks/kill_exporter.py
+++ b/benchmarks/kill_exporter.py
@@ -29,7 +29,7 @@
 from flintshift.usage.folder import LedgerFolder, unacknowledged  # noqa: E402
 from flintshift.usage.messages import Append, CorrectionRequested, Tick  # noqa: E402
 from flintshift.usage.policy import LedgerPolicy  # noqa: E402
-from flintshift.usage.reconcile import check  # noqa: E402
+from flintshift.usage.reconcile import check_documents  # noqa: E402
 from flintshift.usage.records import Claim, Ended, Marked, row_number  # noqa: E402
 
 CLUBS, CLASSES = ["muscat-striders", "sur-pacers"], ["standings", "submit-time"]
@@ -138,7 +138,7 @@
     billing.stop()
     found = [(path.name, path.read_bytes()) for path in sorted(held.iterdir())]
     read = [(name, data, documents.parse(data)) for name, data in found]
-    assert check(read) == [] and billing.conflicts == 0, f"seed {seed}: {check(read)}"
+    assert check_documents(read) == [] and billing.conflicts == 0, f"seed {seed}: {check_documents(read)}"
     return served, sum(row.amounts.requests for _, _, document in read for row in document.rows)
 
 
--- a/benchmarks/kill_node.py
+++ b/benchmarks/kill_node.py
@@ -32,7 +32,7 @@
 from flintshift.storage.snapshot import UNFINISHED  # noqa: E402
 from flintshift.usage import documents  # noqa: E402
 from flintshift.usage.folder import load  # noqa: E402
-from flintshift.usage.reconcile import check  # noqa: E402
+from flintshift.usage.reconcile import check_documents  # noqa: E402
 
 SETTINGS = """\
 usage:
@@ -76,7 +76,7 @@
             continue
         if path.read_bytes() != documents.serialize(found[path.name]):
             wrong.append(f"{path.name} was exported with other bytes")
-    wrong += map(str, check((name, documents.serialize(one), one) for name, one in found.items()))
+    wrong += map(str, check_documents((name, documents.serialize(one), one) for name, one in found.items()))
     rows: Counter[tuple[str, str, str, str]] = Counter()
     doubted: dict[str, tuple[str, ...]] = {}
     for one in found.values():
--- a/flintshift/cli/usage.py
+++ b/flintshift/cli/usage.py
@@ -417,7 +417,7 @@
     """
     from dataclasses import asdict
 
-    from flintshift.usage.reconcile import check, compare, read_counted
+    from flintshift.usage.reconcile import check_documents, compare_totals, parse_caller_counts
 
     paths = [
         inner for path in files for inner in (sorted(path.rglob(f"*{documents.SUFFIX}")) if path.is_dir() else [path])
@@ -434,11 +434,11 @@
                 faults.append(f"{path}: {error}")
     for fault in faults:
         click.echo(f"flintshift: {fault}", err=True)
-    findings = check(found)
+    findings = check_documents(found)
     if counted is not None:
         once = {documents.compute_digest(data): document for _, data, document in found}
         try:
-            findings += compare(once.values(), read_counted(counted.read_text(encoding="utf-8")))
+            findings += compare_totals(once.values(), parse_caller_counts(counted.read_text(encoding="utf-8")))
         except (OSError, ValueError) as error:
             fail(f"{counted}: {error}", 2)
     if as_json:
--- a/flintshift/usage/reconcile.py
+++ b/flintshift/usage/reconcile.py
@@ -33,7 +33,7 @@
         return f"{self.kind}: {where}: {self.text}"
 
 
-def check(found: Iterable[tuple[str, bytes, pb.UsageDocument]]) -> list[Finding]:
+def check_documents(found: Iterable[tuple[str, bytes, pb.UsageDocument]]) -> list[Finding]:
     """Findings among documents, each given as (where it was read, its bytes, itself)."""
     findings: list[Finding] = []
     folders: dict[tuple[str, bytes], dict[int, tuple[bytes, pb.UsageDocument]]] = defaultdict(dict)
@@ -175,7 +175,7 @@
 Counted = Mapping[tuple[str, str, str], int]  # requests by node, period and club; an empty name stands for all
 
 
-def compare(found: Iterable[pb.UsageDocument], counted: Counted) -> list[Finding]:
+def compare_totals(found: Iterable[pb.UsageDocument], counted: Counted) -> list[Finding]:
     """Findings between the documents' totals and what callers counted. Callers that went and requests in doubt are
     told beside a difference: they are what may explain it."""
     kept = list(found)
@@ -209,7 +209,7 @@
     return findings
 
 
-def read_counted(text: str) -> dict[tuple[str, str, str], int]:
+def parse_caller_counts(text: str) -> dict[tuple[str, str, str], int]:
     """A caller-side count: CSV with the columns requests and any of node, period, club.
 
     Raises:
--- a/tests/usage/test_accounts.py
+++ b/tests/usage/test_accounts.py
@@ -15,7 +15,7 @@
 from flintshift.usage.messages import Append, ClockMoved, CorrectionRequested, DocumentsStand, Reply, Tick
 from flintshift.usage.periods import CONFIRM_MS, LedgerClock, period_of
 from flintshift.usage.policy import LedgerPolicy
-from flintshift.usage.reconcile import check
+from flintshift.usage.reconcile import check_documents
 from flintshift.usage.records import (
     AMOUNTS,
     FLAG_NO_ANSWER,
@@ -244,7 +244,7 @@
         spans = closed + sorted((one.begin, one.length) for one in self.desk.accounts.state.periods.values())
         for (begin, length), (after, _) in pairwise(spans):
             assert length > 0 and begin + length <= after
-        assert check((name, data, documents.parse(data)) for name, data in self.desk.documents.items()) == []
+        assert check_documents((name, data, documents.parse(data)) for name, data in self.desk.documents.items()) == []
 
     @invariant()
     def what_is_in_doubt_is_listed_or_counted(self):
--- a/tests/usage/test_ledger_stops.py
+++ b/tests/usage/test_ledger_stops.py
@@ -27,7 +27,7 @@
 from flintshift.usage.ledger import Ledger
 from flintshift.usage.messages import CorrectionRequested, Delivered, Tick
 from flintshift.usage.periods import LedgerClock
-from flintshift.usage.reconcile import check
+from flintshift.usage.reconcile import check_documents
 from flintshift.usage.records import FLAG_NO_ANSWER, GONE, OUTCOMES, row_number
 from flintshift.usage.sinks import FolderSink
 
@@ -187,7 +187,10 @@
     assert booked <= claimed and not booked & set(doubted) and len(doubted) == len(set(doubted))
     assert delivered <= booked | set(doubted)  # never silently either way: what left is booked or in doubt,
     assert booked - {3, 40} <= delivered  # and nothing is billed that did not leave (3 had no answer, 40 corrects)
-    assert check((name, data.SerializeToString(deterministic=True), data) for name, data in exported.items()) == []
+    assert (
+        check_documents((name, data.SerializeToString(deterministic=True), data) for name, data in exported.items())
+        == []
+    )
     return booked
 
 
--- a/tests/usage/test_reconcile.py
+++ b/tests/usage/test_reconcile.py
@@ -6,7 +6,7 @@
 
 from flintshift.proto import usage_pb2 as pb
 from flintshift.usage import documents
-from flintshift.usage.reconcile import check, compare, read_counted
+from flintshift.usage.reconcile import check_documents, compare_totals, parse_caller_counts
 
 
 def chain(count, node="n1", life=b"l" * 16, epoch=1):
@@ -31,7 +31,10 @@
 
 
 def findings(found):
-    return [str(one) for one in check((documents.document_name(one), documents.serialize(one), one) for one in found)]
+    return [
+        str(one)
+        for one in check_documents((documents.document_name(one), documents.serialize(one), one) for one in found)
+    ]
 
 
 def test_nothing_is_found_in_what_is_whole_even_when_read_twice():
@@ -88,8 +91,8 @@
 
 def test_totals_are_compared_with_a_count_by_node_period_and_club():
     found = chain(3)
-    counted = read_counted("node,period,club,requests\nn1,19700101T000002.000Z,a,5\nn1,,a,6\n,,,6\n,,b,1\n")
-    assert [(str(one), one.by) for one in compare(found, counted)] == [
+    counted = parse_caller_counts("node,period,club,requests\nn1,19700101T000002.000Z,a,5\nn1,,a,6\n,,,6\n,,b,1\n")
+    assert [(str(one), one.by) for one in compare_totals(found, counted)] == [
         ("total: (all) b: 0 booked, 1 counted: -1 (0 callers went, 0 in doubt)", -1),
         ("total: n1 19700101T000002.000Z a: 2 booked, 5 counted: -3 (0 callers went, 0 in doubt)", -3),
     ]
@@ -106,7 +109,7 @@
 )
 def test_a_count_that_cannot_be_used_is_named(text, told):
     with pytest.raises(ValueError, match=told):
-        read_counted(text)
+        parse_caller_counts(text)
 
 
 def test_documents_as_json_and_csv_for_people():
