--- a/flintshift/lifecycle/books.py
+++ b/flintshift/lifecycle/books.py
@@ -156,10 +156,12 @@
         clock = LedgerClock(now, time.monotonic() * 1000, last_ms)
         life = folder.accounts.state.life or os.urandom(16)
         if copied:
-            from flintshift.usage.replica import stood_before
+            from flintshift.usage.replica import position_before_grant
 
             reach = folder.reach
-            folder.granted_position = stood_before(files, options.folder, life, (reach.epoch, reach.following - 1))
+            folder.granted_position = position_before_grant(
+                files, options.folder, life, (reach.epoch, reach.following - 1)
+            )
             if not reach.epoch:
                 folder.log.epoch = max(int(now / 1000), above + 1)
         folder.open(name, life, options.period_ms, *lists, int(max(now, last_ms)))
--- a/flintshift/lifecycle/held_copies.py
+++ b/flintshift/lifecycle/held_copies.py
@@ -23,7 +23,7 @@
 from flintshift.storage.log import BrokenError
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage import replica as on_disk
-from flintshift.usage.replica import CopyState, Replica
+from flintshift.usage.replica import Replica, ReplicaState
 
 TELL_REFUSED_MS = 500.0  # from a refusal until a writer hears of it: not at once, as it answers with all that it has
 REFUSED = (OSError, BrokenError, DamagedError)
@@ -77,7 +77,7 @@
             raise
 
     def _restore(self) -> None:
-        for folder, state in on_disk.stands(self.files, self.folder):
+        for folder, state in on_disk.list_replicas(self.files, self.folder):
             log = state.member, state.life
             sure = state.sure and (self.options.durability == "power-cut" or state.boot in ("", self.boot))
             try:
@@ -90,12 +90,12 @@
                     cause=str(error),
                     then="it is filled anew by whoever writes that ledger",
                 )
-                on_disk.emptied(self.files, folder)
+                on_disk.remove_contents(self.files, folder)
                 replica, sure = Replica(self.files, folder, state, self.options.segment_bytes), False
             self.replicas[log] = replica
             self.held_logs.restored(log, state.promised, state.by, replica.last, sure, state.over)
             if not state.over:
-                replica.keep(sure=sure, boot=self.boot)
+                replica.save_state(sure=sure, boot=self.boot)
 
     def hold(self, actions: list[logs.HolderAction]) -> None:
         """Do what the state machine says. Where the disk refuses, nothing more is done on that ledger: what was to be
@@ -124,12 +124,12 @@
         replica = self.replicas.get(log)
         known = replica is not None and self._recovered(log, replica)
         if unsynced and replica is not None:
-            replica.doubt()
+            replica.mark_in_doubt()
         if replica is None:
             self.held_logs.dropped(log)
         elif log not in self.taken.table:
             state, last = replica.state, replica.last if known else logs.NOWHERE
-            sure = known and replica.whole
+            sure = known and replica.complete
             self.held_logs.put_back(log, state.promised, state.by, last, sure, state.over, known)
             self.refused.setdefault(log, self.now_ms() + TELL_REFUSED_MS)
         self.log(
@@ -159,7 +159,7 @@
             if held.known or replica is None or log in self.taken.table or not self._recovered(log, replica):
                 continue
             state = replica.state
-            sure = replica.whole
+            sure = replica.complete
             self.held_logs.put_back(log, state.promised, state.by, replica.last, sure, state.over)
             self.log("info", "usage.copy_readable", ledger=log[0], records=replica.last[1], sure=sure)
 
@@ -194,10 +194,10 @@
             case logs.Write(_, epoch, first, records):
                 self.replicas[log].append(epoch, first, records)
             case logs.Replace(_, (epoch, sequence), data):
-                self.replicas[log].replace(epoch, sequence, data)
-                self.replicas[log].keep(sure=True)
+                self.replicas[log].install_snapshot(epoch, sequence, data)
+                self.replicas[log].save_state(sure=True)
             case logs.Note(told):
-                self.replicas[log].note(told.sink, told.name, told.digest)
+                self.replicas[log].record_acknowledgement(told.sink, told.name, told.digest)
             case logs.Answer(to, word):
                 if self.options.durability == "power-cut":
                     self.unsynced.append((log, to, word))
@@ -209,10 +209,10 @@
             case logs.Taken():
                 self.taken.take(action)
             case logs.Forget(_, epoch):
-                self.replicas[log].forget(epoch)
+                self.replicas[log].mark_finished(epoch)
                 self.taken.leave(log)
             case logs.Drop():
-                self.replicas.pop(log).drop()
+                self.replicas.pop(log).delete()
             case logs.Lost(_, of):
                 self._lost(log, of)
 
@@ -229,19 +229,19 @@
             cause="its writer is dead, and this copy was never filled",
             then="where the writer comes back with its disk, it is copied again",
         )
-        self.replicas.pop(log).drop()
+        self.replicas.pop(log).delete()
 
     def _promise(self, log: LogId, epoch: int, by: str) -> None:
         """Keep a promise; a copy counts once its first one stands on the disk."""
         replica = self.replicas.get(log)
         if replica is not None:
-            replica.keep(promised=epoch, by=by)
+            replica.save_state(promised=epoch, by=by)
             return
-        state = CopyState(*log, epoch, by, False, self.boot)
-        folder = self.folder / on_disk.folder_name(*log)
+        state = ReplicaState(*log, epoch, by, False, self.boot)
+        folder = self.folder / on_disk.replica_folder_name(*log)
         replica = Replica(self.files, folder, state, self.options.segment_bytes)
         try:
-            replica.keep()
+            replica.save_state()
         except BaseException:
             replica.ledger.close()
             raise
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -206,17 +206,17 @@
         """Keep whether the ledger's epoch is granted. Where the disk refuses, the ledger seems to lack something at its
         next start and is taken over: no harm is done."""
         try:
-            on_disk.keep_standing(
-                self.files, self.usage.folder, on_disk.Standing(writer.log[1], *writer.before, elected)
+            on_disk.write_epoch_grant(
+                self.files, self.usage.folder, on_disk.EpochGrant(writer.log[1], *writer.before, elected)
             )
         except OSError as error:
             self.log("error", "usage.copy_refused", ledger=self.name, cause=str(error))
 
     def _whole(self, writer: LogWriter) -> bytes:
         if writer is self.writer and self.ledger is not None:
-            return on_disk.whole_of(self.files, self.usage.folder, self.ledger.accounts, self.sinks)
+            return on_disk.snapshot_ledger(self.files, self.usage.folder, self.ledger.accounts, self.sinks)
         replica = self.holder.replicas[writer.log]
-        return on_disk.whole_of(self.files, replica.folder, replica.ledger.accounts, self.sinks)
+        return on_disk.snapshot_ledger(self.files, replica.folder, replica.ledger.accounts, self.sinks)
 
     def _begin_anew(self, cause: str) -> None:
         """Another member goes on with this member's ledger: one of its own begins. Tried again at each look while the
--- a/flintshift/usage/replica.py
+++ b/flintshift/usage/replica.py
@@ -30,7 +30,7 @@
 STANDING, STANDING_KIND = "COPIED", 35
 
 
-class CopyState(msgspec.Struct, frozen=True):
+class ReplicaState(msgspec.Struct, frozen=True):
     member: str  # that began the ledger
     life: bytes
     promised: int
@@ -40,7 +40,7 @@
     over: bool = False
 
 
-class Standing(msgspec.Struct, frozen=True):
+class EpochGrant(msgspec.Struct, frozen=True):
     """Of a ledger that this member writes: whether a majority of its holders has granted it the epoch that it writes
     under, and how far it had come before that."""
 
@@ -50,24 +50,24 @@
     elected: bool
 
 
-def keep_standing(files: Files, folder: Path, told: Standing) -> None:
+def write_epoch_grant(files: Files, folder: Path, told: EpochGrant) -> None:
     snapshot.publish(files, folder / STANDING, snapshot.sealed(STANDING_KIND, 1, 1, msgspec.msgpack.encode(told)))
 
 
-def stood_before(files: Files, folder: Path, life: bytes, found: tuple[int, int]) -> tuple[int, int]:
+def position_before_grant(files: Files, folder: Path, life: bytes, found: tuple[int, int]) -> tuple[int, int]:
     """How far a ledger had come when it was elected last; ``found``: its last record. Kept before a new life writes."""
     before = found
     if STANDING in files.names(folder):
         told = msgspec.msgpack.decode(
-            snapshot.opened(folder / STANDING, files.read(folder / STANDING), STANDING_KIND).payload, type=Standing
+            snapshot.opened(folder / STANDING, files.read(folder / STANDING), STANDING_KIND).payload, type=EpochGrant
         )
         if told.life == life and not told.elected:
             before = told.epoch, told.sequence
-    keep_standing(files, folder, Standing(life, *before, False))
+    write_epoch_grant(files, folder, EpochGrant(life, *before, False))
     return before
 
 
-class Whole(msgspec.Struct, array_like=True):
+class LedgerSnapshot(msgspec.Struct, array_like=True):
     """All that a copy needs to go on from a place."""
 
     accounts: bytes
@@ -75,7 +75,7 @@
     acks: list[tuple[str, str, bytes]]  # sink, name, digest: of these, what another sink has
 
 
-def whole_of(files: Files, folder: Path, book: UsageAccounts, sinks: Iterable[str]) -> bytes:
+def snapshot_ledger(files: Files, folder: Path, book: UsageAccounts, sinks: Iterable[str]) -> bytes:
     """Of a ledger's folder as it stands now."""
     left = unacknowledged(files, folder, list(sinks))
     standing = [name for name in files.names(folder / "documents") if documents.NAME_PATTERN.fullmatch(name)]
@@ -87,11 +87,11 @@
         if name not in left[sink]
     ]
     return msgspec.msgpack.encode(
-        Whole(book.dump(), [(name, files.read(folder / "documents" / name)) for name in names], acks)
+        LedgerSnapshot(book.dump(), [(name, files.read(folder / "documents" / name)) for name in names], acks)
     )
 
 
-def stands(files: Files, folder: Path) -> list[tuple[Path, CopyState]]:
+def list_replicas(files: Files, folder: Path) -> list[tuple[Path, ReplicaState]]:
     """The copies below a folder, as they were left."""
     found = []
     for name in files.names(folder):
@@ -100,13 +100,15 @@
             found.append(
                 (
                     folder / name,
-                    msgspec.msgpack.decode(snapshot.opened(path, files.read(path), COPY_KIND).payload, type=CopyState),
+                    msgspec.msgpack.decode(
+                        snapshot.opened(path, files.read(path), COPY_KIND).payload, type=ReplicaState
+                    ),
                 )
             )
     return found
 
 
-def emptied(files: Files, folder: Path) -> None:
+def remove_contents(files: Files, folder: Path) -> None:
     """Remove what stands of the ledger."""
     acks = [f"acks/{sink}" for sink in files.names(folder / "acks")]
     for name in ("log", "snapshots", "documents", "inbox", "replies", *acks):
@@ -114,7 +116,7 @@
             files.remove(folder / name / one)
 
 
-def folder_name(member: str, life: bytes) -> str:
+def replica_folder_name(member: str, life: bytes) -> str:
     return f"{member}.{life.hex()}"
 
 
@@ -125,7 +127,7 @@
         OSError, LockedError, DamagedError: it can't be used.
     """
 
-    def __init__(self, files: Files, folder: Path, state: CopyState, segment_bytes: int) -> None:
+    def __init__(self, files: Files, folder: Path, state: ReplicaState, segment_bytes: int) -> None:
         self.files, self.folder, self.state, self.segment_bytes = files, folder, state, segment_bytes
         self.sync_failed = False  # what was written last can be read, and may be gone after a power cut
         files.make_folder(folder)
@@ -135,7 +137,7 @@
     def last(self) -> tuple[int, int]:
         return self.ledger.reach.epoch, self.ledger.log.following - 1
 
-    def keep(self, **changes: object) -> None:
+    def save_state(self, **changes: object) -> None:
         """Change what stands of the copy, durably. ``state`` is what the disk has taken: where it refuses, nothing has
         changed."""
         state = msgspec.structs.replace(self.state, **changes)
@@ -151,16 +153,16 @@
         return log.file is not None and (not log.broken or log.torn)
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """All that was acknowledged stands here, and can be written on."""
         return self.state.sure and self.writable and not self.sync_failed
 
-    def doubt(self) -> None:
+    def mark_in_doubt(self) -> None:
         """A sync failed: the system takes those pages for written. Kept for the next process too, if the disk takes it;
         only a refill makes the copy sure again."""
         self.sync_failed = True
         with contextlib.suppress(OSError):
-            self.keep(sure=False)
+            self.save_state(sure=False)
 
     def recover(self) -> None:
         """After a refusal: read again what stands on the disk, where that is not known.
@@ -232,7 +234,7 @@
             if one != sequence:
                 self.files.remove(self.folder / "snapshots" / snapshot_name(one))
 
-    def replace(self, epoch: int, sequence: int, data: bytes) -> None:
+    def install_snapshot(self, epoch: int, sequence: int, data: bytes) -> None:
         """Hold this in place of what stood here. Not sure until the caller keeps that it is.
 
         Raises:
@@ -240,11 +242,11 @@
             DamagedError: it is no whole ledger.
         """
         try:
-            told = msgspec.msgpack.decode(data, type=Whole)
+            told = msgspec.msgpack.decode(data, type=LedgerSnapshot)
             book = UsageAccounts.load(told.accounts)
         except (msgspec.DecodeError, ValueError) as error:
             raise DamagedError(f"{self.folder}: what came is no ledger: {error}") from error
-        self.keep(sure=False)
+        self.save_state(sure=False)
         ledger, files, folder = self.ledger, self.files, self.folder
         ledger.log.close()
         for _, name in segments(files, folder / "log"):
@@ -253,7 +255,7 @@
             if documents.NAME_PATTERN.fullmatch(name):
                 snapshot.publish(files, folder / "documents" / name, document)
         for sink, name, digest in told.acks:
-            self.note(sink, name, digest)
+            self.record_acknowledgement(sink, name, digest)
         ledger.accounts, ledger.reach.epoch = book, epoch
         ledger.log = Log(files, folder / "log", epoch, sequence + 1)
         ledger.write_snapshot(sequence, ledger.snapshot_now())
@@ -261,7 +263,7 @@
         self._only(sequence)
         self.sync_failed = False
 
-    def note(self, sink: str, name: str, digest: bytes) -> None:
+    def record_acknowledgement(self, sink: str, name: str, digest: bytes) -> None:
         """A sink has this document."""
         if documents.NAME_PATTERN.fullmatch(name) and sink in ("folder", "http"):
             self.files.make_folder(self.folder / "acks" / sink)
@@ -270,16 +272,16 @@
     def retire(self, sinks: list[str], retention_ms: float, now_ms: float) -> None:
         retire(self.files, self.folder, sinks, retention_ms, now_ms, self.ledger.accounts.state.closed_to)
 
-    def forget(self, epoch: int) -> None:
+    def mark_finished(self, epoch: int) -> None:
         """Nothing of it is needed any more, but that this is so."""
-        self.keep(promised=epoch, over=True, sure=False)
+        self.save_state(promised=epoch, over=True, sure=False)
         self.ledger.log.close()
-        emptied(self.files, self.folder)
+        remove_contents(self.files, self.folder)
 
-    def drop(self) -> None:
+    def delete(self) -> None:
         """Not even that."""
         self.close(clean=False)
-        emptied(self.files, self.folder)
+        remove_contents(self.files, self.folder)
         self.files.remove(self.folder / COPY)
 
     def close(self, clean: bool = True) -> None:
@@ -288,6 +290,6 @@
         if not clean or self.state.over:
             return
         if self.sync_failed:
-            self.keep(sure=False)
+            self.save_state(sure=False)
         elif not self.ledger.log.broken:
-            self.keep(boot="")
+            self.save_state(boot="")
--- a/tests/copies/test_use_copies_refusals.py
+++ b/tests/copies/test_use_copies_refusals.py
@@ -49,7 +49,7 @@
     book = UsageAccounts()
     book.apply(1, EPOCH, Opened("n1", LOG[1], 1000, ["a"], ["look"], 1_000_000))
     book.state.sequence = 1
-    return msgspec.msgpack.encode(on_disk.Whole(book.dump(), [], []))
+    return msgspec.msgpack.encode(on_disk.LedgerSnapshot(book.dump(), [], []))
 
 
 class Holder:
@@ -159,7 +159,7 @@
     assert holder.asked(raised) is None  # nothing was kept of it
     holder.files.refuse = {}
     assert holder.asked(raised).word is logs.Word.GRANTED
-    state = dict(on_disk.stands(holder.files, holder.copies.holder.folder)).popitem()[1]
+    state = dict(on_disk.list_replicas(holder.files, holder.copies.holder.folder)).popitem()[1]
     assert (state.promised, state.by) == (EPOCH + 1, WRITER)
 
 
