--- a/tests/copies/test_use_copies_refusals.py
+++ b/tests/copies/test_use_copies_refusals.py
@@ -22,7 +22,7 @@
 import msgspec
 import pytest
 from storage.sim_files import SimFiles
-from usage.test_ledger_stops import BEGIN, FOLDER, Life
+from usage.test_ledger_stops import FOLDER, START_MS, SimulatedLedger
 
 from flintshift.copies import logs
 from flintshift.copies.log_holders import HolderPace
@@ -285,7 +285,7 @@
 @pytest.mark.parametrize("count", [1, 3, 6, 1000])
 async def test_a_ledger_that_another_has_begins_anew_once_the_disk_takes_it(count):
     """The refusal was raised to the link that had brought the word, and the ledger was written no more."""
-    life = Life(SimFiles(), BEGIN)
+    life = SimulatedLedger(SimFiles(), START_MS)
     ledger = life.ledger
     holder = Holder(life.files, name="n1", folder=FOLDER)
     holder.copies.write(ledger)
--- a/tests/usage/test_ledger_leaves.py
+++ b/tests/usage/test_ledger_leaves.py
@@ -23,7 +23,7 @@
 
 import pytest
 from storage.sim_files import SimFile, SimFiles
-from usage.test_ledger_stops import BEGIN, FOLDER, ROW, Life
+from usage.test_ledger_stops import FOLDER, ROW, START_MS, SimulatedLedger
 
 from flintshift.usage.folder import load
 from flintshift.usage.records import FLAG_NO_ANSWER, GONE
@@ -66,7 +66,7 @@
 
 async def test_a_sync_that_the_exit_cancelled_is_made_again(monkeypatch):
     files = SimFiles()
-    life = Life(files, BEGIN)
+    life = SimulatedLedger(files, START_MS)
     await life.tick()
     slow = SlowSync(monkeypatch)
     life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
@@ -80,7 +80,7 @@
 
 async def test_what_was_booked_in_a_gap_is_written_though_the_exit_cancelled_its_snapshot(monkeypatch):
     files = SimFiles()
-    life = Life(files, BEGIN, reopen_ms=10.0)
+    life = SimulatedLedger(files, START_MS, reopen_ms=10.0)
     await life.tick()
     files.refuse = {files.count + place: errno.ENOSPC for place in range(1, 1000)}
     life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
--- a/tests/usage/test_ledger_refusals.py
+++ b/tests/usage/test_ledger_refusals.py
@@ -13,7 +13,7 @@
 
 import pytest
 from storage.sim_files import SimFiles
-from usage.test_ledger_stops import BEGIN, FOLDER, ROW, Life
+from usage.test_ledger_stops import FOLDER, ROW, START_MS, SimulatedLedger
 
 from flintshift.usage.folder import load
 from flintshift.usage.records import FLAG_NO_ANSWER, GONE
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 async def test_a_single_refused_write_is_no_gap_and_refuses_no_work(error):
     files = SimFiles()
-    life = Life(files, BEGIN, durability="process-death", refuse=True)
+    life = SimulatedLedger(files, START_MS, durability="process-death", refuse=True)
     await life.tick()
     files.refuse = {files.count + 1: error}
     life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
@@ -38,7 +38,7 @@
 
 async def test_a_disk_that_refuses_twice_is_a_gap_and_refuses_work():
     files = SimFiles()
-    life = Life(files, BEGIN, durability="process-death", refuse=True)
+    life = SimulatedLedger(files, START_MS, durability="process-death", refuse=True)
     await life.tick()
     files.refuse = {files.count + place: errno.ENOSPC for place in (1, 2, 3)}
     life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
--- a/tests/usage/test_ledger_stops.py
+++ b/tests/usage/test_ledger_stops.py
@@ -34,10 +34,10 @@
 FOLDER, OUT = Path("/u"), Path("/out")
 CLUBS, CLASSES = ["a", "b"], ["look", "pay"]
 ROW = row_number(0, 0, 2, 0, 0)
-BEGIN = 1_000_000
+START_MS = 1_000_000
 
 
-class Life:
+class SimulatedLedger:
     """One life of a ledger on a simulated disk and clock; its tasks are stepped by hand."""
 
     def __init__(self, files, at_ms, durability="power-cut", refuse=False, steady_ms=None, **limits):
@@ -107,7 +107,7 @@
 
 async def script(files, lives):
     """Two periods of use with a correction, a roll, a close, an export and a clean end."""
-    life = Life(files, BEGIN)
+    life = SimulatedLedger(files, START_MS)
     lives.append(life)
     await life.answer(1, 2)
     await life.answer(3, final=True)
@@ -117,7 +117,7 @@
     await life.tick()  # closes the first period, publishes it; the segment is full: a new one
     await life.export()
     asked = CorrectionRequested(
-        "c1", "op", "a wrong count", BEGIN, "b", "look", "http", "served", (1, 0, 0, 0, 0, 1 << 40, 0)
+        "c1", "op", "a wrong count", START_MS, "b", "look", "http", "served", (1, 0, 0, 0, 0, 1 << 40, 0)
     )
     life.ledger.correct(to_json(asked))
     await life.tick()
@@ -163,7 +163,7 @@
 
 async def settle(files, at_ms):
     """The next life: recovers, closes all that was open, exports, and ends."""
-    life = Life(files, at_ms)
+    life = SimulatedLedger(files, at_ms)
     life.at_ms += 5000
     await life.tick()
     await life.tick()
@@ -176,7 +176,7 @@
 def verify(left, life, claimed=frozenset(range(1, 7)) | {40}):
     delivered = life.delivered if life is not None else set()
     kept = {name: found.SerializeToString(deterministic=True) for name, found in out_documents(left).items()}
-    asyncio.run(settle(left, BEGIN + 10_000))
+    asyncio.run(settle(left, START_MS + 10_000))
     exported = out_documents(left)
     for name, data in kept.items():  # what was exported is never changed
         assert exported[name].SerializeToString(deterministic=True) == data
@@ -225,7 +225,7 @@
             left = files.survived("torn")
             left.stop_at = second
             try:
-                asyncio.run(settle(left, BEGIN + 10_000))
+                asyncio.run(settle(left, START_MS + 10_000))
                 count = left.count
             except (StoppedError, BaseExceptionGroup):
                 assert left.stopped
@@ -242,7 +242,7 @@
     """The disk refuses one operation or many in a row, then works again: every answer left, and all is booked."""
 
     async def work(files, at):
-        life = Life(files, BEGIN, refuse=refuse)
+        life = SimulatedLedger(files, START_MS, refuse=refuse)
         files.refuse = dict.fromkeys(range(at, at + stretch), error)
         files.count = 0
         refused = False
@@ -274,7 +274,7 @@
 
 
 async def eight(files, lives):
-    life = Life(files, BEGIN, "process-death")
+    life = SimulatedLedger(files, START_MS, "process-death")
     lives.append(life)
     for number in range(1, 9):
         await life.answer(number)
@@ -289,19 +289,19 @@
             lives = []
             with contextlib.suppress(StoppedError, BaseExceptionGroup):
                 asyncio.run(eight(files, lives))
-            life = Life(files.survived(how), BEGIN + 10_000)
+            life = SimulatedLedger(files.survived(how), START_MS + 10_000)
             booked, doubted = booked_and_doubted(life.files)
             assert booked | set(doubted) <= set(range(1, 9))
-            life = Life(files.survived("kept"), BEGIN + 10_000)
+            life = SimulatedLedger(files.survived("kept"), START_MS + 10_000)
             booked, doubted = booked_and_doubted(life.files)
             assert (lives[0].delivered if lives else set()) <= booked | set(doubted)
 
 
 def test_two_ledgers_on_one_folder_are_refused():
     files = SimFiles()
-    Life(files, BEGIN)
+    SimulatedLedger(files, START_MS)
     with pytest.raises(Exception, match="another process works"):
-        Life(files, BEGIN)
+        SimulatedLedger(files, START_MS)
 
 
 def test_a_document_of_an_unknown_schema_is_refused_by_name():
@@ -342,7 +342,7 @@
 def test_a_folder_that_cannot_be_listed_for_a_while_ends_nothing():
     async def work():
         files = SimFiles()
-        life, names = Life(files, BEGIN), files.names
+        life, names = SimulatedLedger(files, START_MS), files.names
 
         def refused(folder):
             raise OSError(errno.EIO, "refused here")
@@ -379,9 +379,9 @@
 
     async def work():
         files, began = Hanging(), time.monotonic()
-        life = Life(
+        life = SimulatedLedger(
             files,
-            BEGIN,
+            START_MS,
             steady_ms=lambda: (time.monotonic() - began) * 1000,
             held_ms=50.0,
             reopen_ms=50.0,
@@ -437,7 +437,7 @@
 
     async def work():
         files = Hanging()
-        life = Life(files, BEGIN, "process-death", segment_bytes=1 << 30)
+        life = SimulatedLedger(files, START_MS, "process-death", segment_bytes=1 << 30)
         ledger = life.ledger
         await life.answer(1)
         life.at_ms += 2000
@@ -481,7 +481,7 @@
     """uvloop gives no timer for less than half a millisecond, and a second wait is told while it stands."""
 
     async def play():
-        life = Life(SimFiles(), BEGIN, sync_ms=0.2)
+        life = SimulatedLedger(SimFiles(), START_MS, sync_ms=0.2)
         woken = []
         life.ledger._do = woken.append
         for at_ms in (life.at_ms + 0.2, life.at_ms, life.at_ms + 0.1, life.at_ms + 5000):
@@ -497,7 +497,7 @@
     """Another member has taken the ledger over meanwhile: the new one may never come to a sequence of the old."""
 
     async def work():
-        life = Life(SimFiles(), BEGIN)
+        life = SimulatedLedger(SimFiles(), START_MS)
         ledger, going_on = life.ledger, threading.Event()
         for _ in range(5):
             ledger.write_empty_record()
@@ -506,7 +506,7 @@
         waiting = asyncio.create_task(ledger._synced())
         await asyncio.sleep(0.02)
         holder = LedgerFolder(SimFiles(), FOLDER)
-        holder.open("n1", b"m" * 16, 1000, CLUBS, CLASSES, BEGIN)
+        holder.open("n1", b"m" * 16, 1000, CLUBS, CLASSES, START_MS)
         ledger.switch_folder(holder)
         going_on.set()
         assert not await asyncio.wait_for(waiting, 5)
@@ -517,7 +517,7 @@
 @pytest.mark.parametrize("stretch", [1, 3, 8])
 def test_a_disk_that_refuses_while_the_node_leaves_is_tried_again(stretch):
     async def work(files):
-        life = Life(files, BEGIN)
+        life = SimulatedLedger(files, START_MS)
         await life.answer(1, 2, 3)
         files.refuse = dict.fromkeys(range(files.count, files.count + stretch), errno.EIO)
         await life.answer(4, 5, 6)
