--- a/flintshift/usage/accounts.py
+++ b/flintshift/usage/accounts.py
@@ -25,23 +25,23 @@
     FLAG_NO_ANSWER,
     FRONTS,
     GONE,
-    OTHER,
+    OTHER_CLUBS,
     OUTCOMES,
     Claim,
+    ClockStepped,
     Closed,
     Corrected,
     Ended,
     Entry,
     Forgotten,
     Gap,
-    Late,
-    Listed,
+    LateRun,
     Marked,
     Opened,
     Published,
     Rotated,
-    Stepped,
-    renumbered,
+    RowListsChanged,
+    renumber_row,
 )
 
 
@@ -49,7 +49,7 @@
 class Bounds:
     """The most that each list holds."""
 
-    doubted: int = 10_000  # requests in doubt, a period
+    in_doubt: int = 10_000  # requests in doubt, a period
     corrections: int = 10_000  # whose ids are known
     notes: int = 1000  # gaps, steps and lives, a period
     documents: int = 64  # made, and not in files of their own yet
@@ -72,12 +72,12 @@
     doubted: list[tuple[bytes, str, list[int]]] = []
     doubted_unlisted: int = 0
     gaps: list[Gap] = []
-    steps: list[Stepped] = []
+    steps: list[ClockStepped] = []
     lives: list[tuple[int, int, bool]] = []  # epoch, time, whether the life before ended well
     corrections: list[Corrected] = []
 
 
-class Document(msgspec.Struct):
+class UnpublishedDocument(msgspec.Struct):
     """A document that was made and does not stand in a file of its own yet."""
 
     number: int
@@ -97,7 +97,7 @@
     current: int | None = None  # the begin of the period that requests belong to now
     periods: dict[int, Period] = {}  # the open ones
     waiting: dict[int, Waiting] = {}  # by sequence
-    documents: list[Document] = []
+    documents: list[UnpublishedDocument] = []
     number: int = 0  # of the last document
     digest: bytes = b""  # of the last document
     closed_to: int = 0  # the end of the last period that closed
@@ -135,7 +135,7 @@
         club, class_ = divmod(number, len(self.state.classes))
         clubs = self.state.clubs
         return (
-            clubs[club] if club < len(clubs) else OTHER,
+            clubs[club] if club < len(clubs) else OTHER_CLUBS,
             self.state.classes[class_],
             FRONTS[front],
             OUTCOMES[outcome],
@@ -148,7 +148,7 @@
             for begin, period in sorted(self.state.periods.items())
         }
 
-    def settled(self, begin: int, names: RowKey) -> list[int]:
+    def settled_amounts(self, begin: int, names: RowKey) -> list[int]:
         """A row of an open period less the claims whose answers are on their way, which may still leave it."""
         row = list(self.state.periods[begin].rows.get(joined(names), [0] * len(AMOUNTS)))
         for found in self.state.waiting.values():
@@ -173,16 +173,16 @@
         kind = type(entry)
         self.state.sequence = sequence
         if kind is Claim:  # by far the most: first, and without a detour
-            self.claimed(sequence, entry)  # type: ignore[arg-type]
+            self.apply_claim(sequence, entry)  # type: ignore[arg-type]
             return
         match entry:
             case Marked():
                 self._marked(entry)
-            case Late():
+            case LateRun():
                 self._late(entry)
             case Opened():
                 self._opened(epoch, entry)
-            case Listed():
+            case RowListsChanged():
                 self._listed(entry)
             case Rotated():
                 self._turned(sequence, entry)
@@ -195,7 +195,7 @@
             case Gap():
                 self._note(lambda period: period.gaps, entry)
                 self.state.last_ms = max(self.state.last_ms, entry.to_ms)
-            case Stepped():
+            case ClockStepped():
                 self._note(lambda period: period.steps, entry)
                 self.state.last_ms = max(self.state.last_ms, entry.at_ms)
             case Forgotten(before):
@@ -206,7 +206,7 @@
                 self.state.ended = True
                 self.state.last_ms = max(self.state.last_ms, entry.at_ms)
 
-    def claimed(self, sequence: int, claim: Claim) -> None:
+    def apply_claim(self, sequence: int, claim: Claim) -> None:
         """``apply`` for a claim; the caller of this one tells the sequence of its last record itself."""
         row = self.rows.get(claim.row)
         if row is None:
@@ -246,7 +246,7 @@
                 to[place] += amount
         return amounts
 
-    def _late(self, late: Late) -> None:
+    def _late(self, late: LateRun) -> None:
         open_ = late.period in self.state.periods
         row = self._row(late.period if open_ else self.state.current or 0, late.row)
         row[3] += late.run_us
@@ -257,7 +257,7 @@
         for found in state.waiting.values():  # by the names of the life that claimed them
             period = state.periods[found.period]
             amounts, names = self._move(found, None), self.row_key(found.claim.row)
-            if len(period.doubted) < self.bounds.doubted:
+            if len(period.doubted) < self.bounds.in_doubt:
                 period.doubted.append((found.claim.id, joined(names), amounts))
             else:
                 period.doubted_unlisted += 1
@@ -269,11 +269,11 @@
         self.rows.clear()
         self._note(lambda period: period.lives, (epoch, opened.at_ms, well))
 
-    def _listed(self, listed: Listed) -> None:
+    def _listed(self, listed: RowListsChanged) -> None:
         state = self.state
         before, after = (state.clubs, state.classes), (listed.clubs, listed.classes)
         for found in state.waiting.values():
-            found.claim = msgspec.structs.replace(found.claim, row=renumbered(found.claim.row, before, after))
+            found.claim = msgspec.structs.replace(found.claim, row=renumber_row(found.claim.row, before, after))
         state.clubs, state.classes = listed.clubs, listed.classes
         self.rows.clear()
 
@@ -322,7 +322,7 @@
 
     def _corrected(self, sequence: int, entry: Corrected) -> None:
         state = self.state
-        state.corrections[entry.id] = content_of(entry), entry.period
+        state.corrections[entry.id] = content_digest(entry), entry.period
         state.last_ms = max(state.last_ms, entry.at_ms)
         names = entry.club, entry.class_name, entry.front, entry.outcome
         period = state.periods.get(entry.period)
@@ -356,7 +356,7 @@
 
     def _made(self, document: pb.UsageDocument) -> None:
         state, data = self.state, documents.serialize(document)
-        state.documents.append(Document(document.number, documents.document_name(document), data))
+        state.documents.append(UnpublishedDocument(document.number, documents.document_name(document), data))
         state.number, state.digest = document.number, documents.compute_digest(data)
 
 
@@ -372,7 +372,7 @@
     ]
 
 
-def content_of(entry: Corrected) -> bytes:
+def content_digest(entry: Corrected) -> bytes:
     """What makes two corrections the same: all but the time at which they came."""
     return documents.compute_digest(
         msgspec.msgpack.encode(
--- a/flintshift/usage/corrections.py
+++ b/flintshift/usage/corrections.py
@@ -41,7 +41,9 @@
     return CorrectionRequested(period=told["period"], amounts=tuple(amounts), **{name: told[name] for name in TEXTS})
 
 
-def base_of(files: Files, folder: Path, book: UsageAccounts, asked: CorrectionRequested) -> CorrectionRequested:
+def with_closed_totals(
+    files: Files, folder: Path, book: UsageAccounts, asked: CorrectionRequested
+) -> CorrectionRequested:
     """The correction with what its row holds now, where its period has closed.
 
     Raises:
--- a/flintshift/usage/export_driver.py
+++ b/flintshift/usage/export_driver.py
@@ -19,17 +19,17 @@
 from flintshift.usage import documents
 from flintshift.usage.exporter import DeliveryConfig, Exporter
 from flintshift.usage.folder import unacknowledged
-from flintshift.usage.ledger import Say
+from flintshift.usage.ledger import EventLogger
 from flintshift.usage.messages import (
     Acknowledge,
     Alarm,
     Deliver,
     Delivered,
+    DocumentFound,
     ExportEvent,
-    Found,
     NotDelivered,
     Rejected,
-    Stand,
+    StopDelivery,
     Tick,
     WakeAt,
 )
@@ -50,7 +50,7 @@
         pace: DeliveryConfig,
         draw: Callable[[], float],
         now_ms: Callable[[], float],
-        say: Say,
+        say: EventLogger,
         until_done: bool = False,
         epoch: int | None = None,
         noted: Callable[[str, str, bytes], object] = lambda sink, name, digest: None,
@@ -112,7 +112,7 @@
         left = await anyio.to_thread.run_sync(unacknowledged, self.files, self.folder, list(self.sinks))
         for sink, names in left.items():
             for name in order(names):
-                self._tell(tasks, Found(sink, name))
+                self._tell(tasks, DocumentFound(sink, name))
         self._tell(tasks, Tick())
         if self.until_done and self.heart.done:
             return False
@@ -134,7 +134,7 @@
                     self.say("error", "export.alarm", sink=sink, name=name, text=text)
                 case WakeAt(at_ms):
                     self.wake_ms = min(self.wake_ms, at_ms)
-                case Stand(sink):
+                case StopDelivery(sink):
                     self.say("error", "export.stands", sink=sink)
 
     async def _deliver(self, tasks: TaskGroup, sink: str, name: str, attempt: int) -> None:
--- a/flintshift/usage/exporter.py
+++ b/flintshift/usage/exporter.py
@@ -18,12 +18,12 @@
     Alarm,
     Deliver,
     Delivered,
+    DocumentFound,
     ExportAction,
     ExportEvent,
-    Found,
     NotDelivered,
     Rejected,
-    Stand,
+    StopDelivery,
     Superseded,
     Tick,
     WakeAt,
@@ -67,7 +67,7 @@
             return [action for name in self.sinks for action in self._next(now_ms, name)]
         sink = self.sinks[event.sink]
         match event:
-            case Found(name=name):
+            case DocumentFound(name=name):
                 fresh = name not in sink.known and name not in sink.put_aside
                 if fresh and len(sink.known) < self.pace.queue:
                     sink.known.add(name)
@@ -78,7 +78,7 @@
                 self._over(sink)
                 sink.known.discard(name)
                 return [Acknowledge(event.sink, name), *self._next(now_ms, event.sink)]
-            case NotDelivered(name=name, text=text, again_after_ms=after_ms):
+            case NotDelivered(name=name, text=text, retry_after_ms=after_ms):
                 if sink.out != name:
                     return []
                 sink.out = None
@@ -99,12 +99,12 @@
                             f"{text}; {len(sink.put_aside):,} documents are put aside, and no "
                             "more are sent: look at the sink, then start the exporter again",
                         ),
-                        Stand(event.sink),
+                        StopDelivery(event.sink),
                     ]
                 return [Alarm(event.sink, name, text), *self._next(now_ms, event.sink)]
             case Superseded(text=text):
                 sink.stands, sink.out = True, None
-                return [Alarm(event.sink, "", text), Stand(event.sink)]
+                return [Alarm(event.sink, "", text), StopDelivery(event.sink)]
         return self._next(now_ms, event.sink)
 
     @property
--- a/flintshift/usage/folder.py
+++ b/flintshift/usage/folder.py
@@ -24,7 +24,7 @@
 from flintshift.storage.log import BrokenError, Log, Reach, batches, segments
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage import documents
-from flintshift.usage.accounts import Bounds, Document, UsageAccounts
+from flintshift.usage.accounts import Bounds, UnpublishedDocument, UsageAccounts
 from flintshift.usage.records import CLAIM_KIND, SNAPSHOT_KIND, Entry, Opened, pack, unpack, unpack_claim
 from flintshift.usage.retention import Removal, StandingDocument, StandingSegment, removal
 
@@ -47,7 +47,7 @@
     return f"{sequence:016x}{ENDING}"
 
 
-def snapshots(files: Files, folder: Path) -> list[int]:
+def snapshot_sequences(files: Files, folder: Path) -> list[int]:
     return sorted(
         (
             int(name[:16], 16)
@@ -75,7 +75,7 @@
 
 def _load(files: Files, folder: Path, bounds: Bounds | None) -> tuple[UsageAccounts, Reach, Recovered]:
     book, found, epoch = UsageAccounts(bounds or Bounds()), Recovered(), 0
-    for sequence in snapshots(files, folder):
+    for sequence in snapshot_sequences(files, folder):
         path = folder / "snapshots" / snapshot_name(sequence)
         try:
             record = snapshot.opened(path, files.read(path), SNAPSHOT_KIND)
@@ -89,7 +89,7 @@
         if found.warnings:
             raise DamagedError(f"{folder}: no snapshot can be used: {'; '.join(found.warnings)}")
     reach = Reach(book.state.sequence + 1, max(book.state.epoch, epoch))
-    claimed, decode = book.claimed, unpack_claim
+    claimed, decode = book.apply_claim, unpack_claim
     for batch in batches(files, folder / "log", reach.following, reach):
         try:
             for sequence, epoch, kind, payload in batch:
@@ -179,7 +179,7 @@
     def write_snapshot(self, sequence: int, data: bytes) -> None:
         snapshot.publish(self.files, self.folder / "snapshots" / snapshot_name(sequence), data)
 
-    def write_documents(self, made: list[Document]) -> int:
+    def write_documents(self, made: list[UnpublishedDocument]) -> int:
         """Publish documents in files of their own; returns the number of the last."""
         for document in made:
             snapshot.publish(self.files, self.folder / "documents" / document.name, document.data)
@@ -242,7 +242,7 @@
         StandingSegment(name, first, files.age_ms(folder / "log" / name, now_ms))
         for first, name in segments(files, folder / "log")
     ]
-    gone = removal(standing, listed, snapshots(files, folder), retention_ms, bool(sinks), closed_to_ms)
+    gone = removal(standing, listed, snapshot_sequences(files, folder), retention_ms, bool(sinks), closed_to_ms)
     for name in gone.documents:  # before its acknowledgements: a death between leaves these alone, and they go below
         files.remove(folder / "documents" / name)
     for sink in sinks:
--- a/flintshift/usage/ledger.py
+++ b/flintshift/usage/ledger.py
@@ -46,21 +46,31 @@
 )
 from flintshift.storage.log import BrokenError
 from flintshift.usage.accounts import UsageAccounts
-from flintshift.usage.corrections import base_of, from_json
+from flintshift.usage.corrections import from_json, with_closed_totals
 from flintshift.usage.folder import LedgerFolder, retire
 from flintshift.usage.messages import (
     Append,
-    ClockMoved,
-    DiskBack,
-    DocumentsStand,
-    KeeperEvent,
+    ClockAdjusted,
+    DiskRecovered,
+    DocumentsPublished,
+    DocumentsRetired,
+    PolicyEvent,
     Reply,
-    Retired,
     Tick,
 )
 from flintshift.usage.periods import LedgerClock
 from flintshift.usage.policy import LedgerPolicy
-from flintshift.usage.records import Claim, Ended, Entry, Late, Listed, Marked, Published, pack, renumbered
+from flintshift.usage.records import (
+    Claim,
+    Ended,
+    Entry,
+    LateRun,
+    Marked,
+    Published,
+    RowListsChanged,
+    pack,
+    renumber_row,
+)
 
 TICK_S = 0.25
 MAX_ANSWER_WAIT_MS = (
@@ -75,7 +85,7 @@
 INBOX_MOST = 100  # corrections taken in one tick
 
 
-class Say(Protocol):
+class EventLogger(Protocol):
     """A structured log line."""
 
     def __call__(self, level: str, event: str, **fields: Any) -> None: ...
@@ -124,7 +134,7 @@
         clock: LedgerClock,
         wall_ms: Callable[[], float],
         steady_ms: Callable[[], float],
-        say: Say,
+        say: EventLogger,
     ) -> None:
         self.folder, self.accounts = folder, folder.accounts
         self.keeper = LedgerPolicy(folder.accounts, grace_ms)
@@ -134,9 +144,9 @@
         self.claims: list[Waits] = []  # not written yet
         self.delivered: list[Ticket] = []  # not marked yet
         self.undelivered: list[Ticket] = []
-        self.late: list[Late] = []
+        self.late: list[LateRun] = []
         self.row_lists: Lists = (folder.accounts.state.clubs, folder.accounts.state.classes)
-        self.listed: Listed | None = None  # not written yet
+        self.listed: RowListsChanged | None = None  # not written yet
         # Answers that wait until their claim stands on the disk and at other members, by sequence.
         self.held: deque[tuple[int, Waits]] = deque()
         self.synced: float = -1.0  # what the disk has told of that
@@ -195,8 +205,8 @@
                 asyncio.get_running_loop().call_later(MARK_S, self._flush_marks)
 
     def add_late_run(self, ticket: Ticket, run_us: int, calls: int) -> None:
-        row = ticket.row if ticket.lists is self.row_lists else renumbered(ticket.row, ticket.lists, self.row_lists)
-        self.late.append(Late(ticket.period or self.accounts.state.current or 0, row, run_us, calls))
+        row = ticket.row if ticket.lists is self.row_lists else renumber_row(ticket.row, ticket.lists, self.row_lists)
+        self.late.append(LateRun(ticket.period or self.accounts.state.current or 0, row, run_us, calls))
         if not self.due:
             self._flush_soon()
 
@@ -214,11 +224,11 @@
         are out are known by the lists of their claim."""
         before, self.row_lists = self.row_lists, (clubs, classes)
         self.claims = [
-            (ticket, structs.replace(claim, row=renumbered(claim.row, before, self.row_lists)), deliver)
+            (ticket, structs.replace(claim, row=renumber_row(claim.row, before, self.row_lists)), deliver)
             for ticket, claim, deliver in self.claims
         ]
-        self.late = [structs.replace(late, row=renumbered(late.row, before, self.row_lists)) for late in self.late]
-        self.listed = Listed(clubs, classes)
+        self.late = [structs.replace(late, row=renumber_row(late.row, before, self.row_lists)) for late in self.late]
+        self.listed = RowListsChanged(clubs, classes)
         if not self.due:
             self._flush_soon()
 
@@ -314,7 +324,7 @@
                     self._disk_changed()
                 case GapEnded(since_ms, requests, cause):
                     ago_ms = self.steady_ms() - since_ms
-                    self._tell(DiskBack(int(self._now() - ago_ms), requests, cause))
+                    self._tell(DiskRecovered(int(self._now() - ago_ms), requests, cause))
                     self.say("info", "usage.disk_back", requests_in_memory=requests)
                 case StillRefused(cause):
                     self.say("warning", "usage.disk_still_refuses", cause=cause)
@@ -425,10 +435,10 @@
             self.say("warning", "usage.clock_stepped", by_ms=step.by_ms)
             self.steps.append(step.by_ms)
         while self.steps and not self.commit.stalls:
-            self._tell(ClockMoved(self.steps.pop(0)), now)
+            self._tell(ClockAdjusted(self.steps.pop(0)), now)
         return now
 
-    def _tell(self, event: KeeperEvent, now: float | None = None) -> Reply | None:
+    def _tell(self, event: PolicyEvent, now: float | None = None) -> Reply | None:
         """Have the keeper decide, and do what it says."""
         reply = None
         for action in self.keeper.handle(self._now() if now is None else now, event):
@@ -498,7 +508,7 @@
         await self._writable()
         if book is not self.accounts:
             return
-        self._tell(DocumentsStand(number))
+        self._tell(DocumentsPublished(number))
         for document in made:
             self.say("info", "usage.document", name=document.name, bytes=len(document.data))
         self.on_documents_published()
@@ -528,7 +538,7 @@
         """Take a correction as it was handed in."""
         try:
             asked = from_json(data)
-            base = base_of(self.folder.files, self.folder.folder, self.accounts, asked)
+            base = with_closed_totals(self.folder.files, self.folder.folder, self.accounts, asked)
         except (ValueError, snapshot.DamagedError) as error:
             return Reply(False, str(error))
         reply = self._tell(base)
@@ -586,7 +596,7 @@
             self.say("info", "usage.retired", documents=len(gone.documents), segments=len(gone.segments))
         if gone.retired_before_ms is not None:
             await self._writable()
-            self._tell(Retired(gone.retired_before_ms))
+            self._tell(DocumentsRetired(gone.retired_before_ms))
 
     async def close(self) -> None:
         """The node leaves in good order: all is written, nothing is in doubt."""
--- a/flintshift/usage/messages.py
+++ b/flintshift/usage/messages.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClockMoved:
+class ClockAdjusted:
     by_ms: int
 
 
@@ -38,14 +38,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DocumentsStand:
+class DocumentsPublished:
     """Files of their own hold all documents up to this number, durably."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class DiskBack:
+class DiskRecovered:
     """The disk takes records again after it did not."""
 
     from_ms: int
@@ -65,7 +65,7 @@
     """Whoever wrote this ledger is dead, and nothing more will be booked in it."""
 
 
-KeeperEvent = Tick | OwnerDied | ClockMoved | CorrectionRequested | DocumentsStand | DiskBack | Retired
+PolicyEvent = Tick | OwnerDied | ClockAdjusted | CorrectionRequested | DocumentsPublished | DiskRecovered | Retired
 
 
 # Answered by the keeper.
@@ -86,14 +86,14 @@
     text: str
 
 
-KeeperAction = Append | Reply
+PolicyAction = Append | Reply
 
 
 # Told to the exporter.
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class DocumentFound:
     """A document stands and no acknowledgement of this sink for it."""
 
     sink: str
@@ -115,7 +115,7 @@
     sink: str
     name: str
     text: str
-    again_after_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,7 +135,7 @@
     text: str
 
 
-ExportEvent = Tick | Found | Delivered | NotDelivered | Rejected | Superseded
+ExportEvent = Tick | DocumentFound | Delivered | NotDelivered | Rejected | Superseded
 
 
 # Answered by the exporter.
@@ -169,10 +169,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stand:
+class StopDelivery:
     """Nothing more is delivered to this sink: another exporter has taken over, or too much was put aside."""
 
     sink: str
 
 
-ExportAction = Deliver | Acknowledge | Alarm | WakeAt | Stand
+ExportAction = Deliver | Acknowledge | Alarm | WakeAt | StopDelivery
--- a/flintshift/usage/periods.py
+++ b/flintshift/usage/periods.py
@@ -2,7 +2,7 @@
 
 Periods are counted from the Unix epoch, in UTC, whatever their length. The ledger's clock runs with the steady
 clock and follows the system's only when the two stay apart: a clock that is moved and put right again moves no
-period, and one that is moved for good is followed after ``CONFIRM_MS``. It never runs backwards: a system's clock
+period, and one that is moved for good is followed after ``STEP_CONFIRM_MS``. It never runs backwards: a system's clock
 that was set back holds it where it is until that time has come again. Each move that is followed is told.
 """
 
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-CONFIRM_MS = 300_000.0  # the clocks stay apart for so long before a step is followed
+STEP_CONFIRM_MS = 300_000.0  # the clocks stay apart for so long before a step is followed
 SLACK_MS = 1000.0  # closer than this they are the same: such a difference is followed at once
 
 
@@ -51,7 +51,7 @@
         elif self.apart_since is None or abs(by - self.apart_by) > SLACK_MS:
             self.apart_since, self.apart_by = steady_ms, by
             step = step or Step(int(steady_ms + self.offset), int(by))
-        elif steady_ms - self.apart_since >= CONFIRM_MS:
+        elif steady_ms - self.apart_since >= STEP_CONFIRM_MS:
             self.offset += by
             self.apart_since = None
         self.floor_ms = max(self.floor_ms, steady_ms + self.offset)
--- a/flintshift/usage/policy.py
+++ b/flintshift/usage/policy.py
@@ -14,33 +14,33 @@
 
 import re
 
-from flintshift.usage.accounts import UsageAccounts, content_of
+from flintshift.usage.accounts import UsageAccounts, content_digest
 from flintshift.usage.messages import (
     Append,
-    ClockMoved,
+    ClockAdjusted,
     CorrectionRequested,
-    DiskBack,
-    DocumentsStand,
-    KeeperAction,
-    KeeperEvent,
+    DiskRecovered,
+    DocumentsPublished,
+    DocumentsRetired,
     OwnerDied,
+    PolicyAction,
+    PolicyEvent,
     Reply,
-    Retired,
     Tick,
 )
 from flintshift.usage.periods import period_of
 from flintshift.usage.records import (
     AMOUNTS,
     FRONTS,
-    OTHER,
+    OTHER_CLUBS,
     OUTCOMES,
+    ClockStepped,
     Closed,
     Corrected,
     Forgotten,
     Gap,
     Published,
     Rotated,
-    Stepped,
 )
 
 MOST = 2**63 - 1
@@ -51,27 +51,27 @@
     def __init__(self, book: UsageAccounts, grace_ms: int) -> None:
         self.accounts, self.grace_ms = book, grace_ms
 
-    def handle(self, now_ms: float, event: KeeperEvent) -> list[KeeperAction]:
+    def handle(self, now_ms: float, event: PolicyEvent) -> list[PolicyAction]:
         now = int(now_ms)
         match event:
             case Tick():
                 return self._time_passed(now)
             case OwnerDied():
                 return self._closed_all(now)
-            case ClockMoved(by_ms):
-                return [*self._time_passed(now), Append(Stepped(now, by_ms))]
+            case ClockAdjusted(by_ms):
+                return [*self._time_passed(now), Append(ClockStepped(now, by_ms))]
             case CorrectionRequested():
                 return self._correction(now, event)
-            case DocumentsStand(number):
+            case DocumentsPublished(number):
                 return [Append(Published(number))]
-            case Retired(before_ms):
+            case DocumentsRetired(before_ms):
                 return [Append(Forgotten(before_ms))]
-            case DiskBack(from_ms, requests, cause):
+            case DiskRecovered(from_ms, requests, cause):
                 return [Append(Gap(from_ms, now, requests, cause))]
 
-    def _time_passed(self, now: int) -> list[KeeperAction]:
+    def _time_passed(self, now: int) -> list[PolicyAction]:
         state = self.accounts.state
-        actions: list[KeeperAction] = []
+        actions: list[PolicyAction] = []
         current, edge = state.current, state.closed_to
         if current is not None:
             edge = max(edge, current + state.periods[current].length)
@@ -89,12 +89,12 @@
             actions.append(Append(Closed(begin, now)))
         return actions
 
-    def _closed_all(self, now: int) -> list[KeeperAction]:
+    def _closed_all(self, now: int) -> list[PolicyAction]:
         """Every period is over, and no answer of any is on its way."""
         room = max(0, self.accounts.bounds.documents - len(self.accounts.state.documents))
         return [Append(Closed(begin, now)) for begin in sorted(self.accounts.state.periods)[:room]]
 
-    def _correction(self, now: int, asked: CorrectionRequested) -> list[KeeperAction]:
+    def _correction(self, now: int, asked: CorrectionRequested) -> list[PolicyAction]:
         entry = Corrected(
             asked.id,
             asked.author,
@@ -110,7 +110,7 @@
         )
         known = self.accounts.state.corrections.get(asked.id)
         if known is not None:
-            if known[0] == content_of(entry):
+            if known[0] == content_digest(entry):
                 return [Reply(True, "was taken before; nothing changes")]
             return [Reply(False, f"the id {asked.id} was taken before with another content")]
         fault = self._fault(asked)
@@ -132,8 +132,8 @@
             return "the id is 1 to 64 of A-Z a-z 0-9 . _ -"
         if not asked.author.strip() or not asked.reason.strip() or max(len(asked.author), len(asked.reason)) > 500:
             return "author and reason are 1 to 500 characters each"
-        if asked.club not in (*state.clubs, OTHER):
-            return f"the club {asked.club!r} is unknown; known are {', '.join((*state.clubs, OTHER))}"
+        if asked.club not in (*state.clubs, OTHER_CLUBS):
+            return f"the club {asked.club!r} is unknown; known are {', '.join((*state.clubs, OTHER_CLUBS))}"
         if asked.class_name not in state.classes:
             return f"the class {asked.class_name!r} is unknown; known are {', '.join(state.classes)}"
         if asked.front not in FRONTS or asked.outcome not in OUTCOMES:
@@ -147,7 +147,7 @@
             return f"{len(state.documents)} documents wait to be written: look at the disk, and hand it in again"
         if period is not None:
             names = asked.club, asked.class_name, asked.front, asked.outcome
-            standing = tuple(self.accounts.settled(asked.period, names))
+            standing = tuple(self.accounts.settled_amounts(asked.period, names))
         elif asked.length is None:
             return f"no period begins at {asked.period} ms"
         else:
--- a/flintshift/usage/records.py
+++ b/flintshift/usage/records.py
@@ -14,7 +14,7 @@
 FRONTS = ("http", "uwsgi")
 OUTCOMES = ("served", "poorer", "refused", "failed", "gone")
 GONE = OUTCOMES.index("gone")
-OTHER = "(other)"  # the row of all clubs that the configuration does not name
+OTHER_CLUBS = "(other)"  # the row of all clubs that the configuration does not name
 AMOUNTS = ("requests", "further_tries", "kept", "run_us", "calls", "bytes_in", "bytes_out")
 FLAG_FURTHER_TRY, FLAG_KEPT_RESULT, FLAG_NO_ANSWER = (
     1,
@@ -61,7 +61,7 @@
     undelivered: list[int]
 
 
-class Late(msgspec.Struct, array_like=True, frozen=True):
+class LateRun(msgspec.Struct, array_like=True, frozen=True):
     """A run that ended after its request's final answer, booked to the period of that answer, or to the
     one of now where that one has closed."""
 
@@ -103,7 +103,7 @@
     cause: str
 
 
-class Stepped(msgspec.Struct, array_like=True, frozen=True):
+class ClockStepped(msgspec.Struct, array_like=True, frozen=True):
     at_ms: int
     by_ms: int
 
@@ -120,7 +120,7 @@
     before: int
 
 
-class Listed(msgspec.Struct, array_like=True, frozen=True):
+class RowListsChanged(msgspec.Struct, array_like=True, frozen=True):
     """From here on rows are numbered by these lists, which hold all that the ones before held."""
 
     clubs: list[str]
@@ -128,17 +128,17 @@
 
 
 Entry = (
-    Listed
+    RowListsChanged
     | Opened
     | Rotated
     | Claim
     | Marked
-    | Late
+    | LateRun
     | Closed
     | Corrected
     | Published
     | Gap
-    | Stepped
+    | ClockStepped
     | Ended
     | Forgotten
 )
@@ -147,15 +147,15 @@
     2: Rotated,
     3: Claim,
     4: Marked,
-    5: Late,
+    5: LateRun,
     6: Closed,
     7: Corrected,
     8: Published,
     9: Gap,
-    10: Stepped,
+    10: ClockStepped,
     11: Ended,
     12: Forgotten,
-    13: Listed,
+    13: RowListsChanged,
 }
 SNAPSHOT_KIND = 32  # of the frame that a snapshot is
 NUMBERS = {kind: number for number, kind in KINDS.items()}
@@ -188,10 +188,10 @@
     return ((club * classes + class_) * len(FRONTS) + front) * len(OUTCOMES) + outcome
 
 
-def renumbered(row: int, before: tuple[list[str], list[str]], after: tuple[list[str], list[str]]) -> int:
+def renumber_row(row: int, before: tuple[list[str], list[str]], after: tuple[list[str], list[str]]) -> int:
     """The number of a row by other lists of clubs and classes, which hold the ones that it was numbered by.
 
-    >>> renumbered(row_number(1, 0, 1, 0, 2), (["a"], ["look"]), (["b", "a"], ["pay", "look"]))  # of no club there
+    >>> renumber_row(row_number(1, 0, 1, 0, 2), (["a"], ["look"]), (["b", "a"], ["pay", "look"]))  # of no club there
     52
     """
     number, outcome = divmod(row, len(OUTCOMES))
--- a/flintshift/usage/replica.py
+++ b/flintshift/usage/replica.py
@@ -23,7 +23,7 @@
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage import documents
 from flintshift.usage.accounts import UsageAccounts
-from flintshift.usage.folder import LedgerFolder, retire, snapshot_name, snapshots, unacknowledged
+from flintshift.usage.folder import LedgerFolder, retire, snapshot_name, snapshot_sequences, unacknowledged
 from flintshift.usage.records import Entry, Published, pack, unpack
 
 COPY, COPY_KIND = "COPY", 34
@@ -230,7 +230,7 @@
         for first, name in segments(self.files, self.folder / "log"):
             if first <= sequence:
                 self.files.remove(self.folder / "log" / name)
-        for one in snapshots(self.files, self.folder):
+        for one in snapshot_sequences(self.files, self.folder):
             if one != sequence:
                 self.files.remove(self.folder / "snapshots" / snapshot_name(one))
 
--- a/tests/usage/test_accounts.py
+++ b/tests/usage/test_accounts.py
@@ -12,8 +12,8 @@
 
 from flintshift.usage import documents
 from flintshift.usage.accounts import Bounds, UsageAccounts
-from flintshift.usage.messages import Append, ClockMoved, CorrectionRequested, DocumentsStand, Reply, Tick
-from flintshift.usage.periods import CONFIRM_MS, LedgerClock, period_of
+from flintshift.usage.messages import Append, ClockAdjusted, CorrectionRequested, DocumentsPublished, Reply, Tick
+from flintshift.usage.periods import STEP_CONFIRM_MS, LedgerClock, period_of
 from flintshift.usage.policy import LedgerPolicy
 from flintshift.usage.reconcile import check_documents
 from flintshift.usage.records import (
@@ -24,17 +24,17 @@
     OUTCOMES,
     Claim,
     Ended,
-    Late,
-    Listed,
+    LateRun,
     Marked,
     Opened,
+    RowListsChanged,
     pack,
     row_number,
     unpack,
 )
 
 CLUBS, CLASSES = ["a", "b"], ["look", "pay"]
-BOUNDS = Bounds(doubted=5, documents=3, periods=4)
+BOUNDS = Bounds(in_doubt=5, documents=3, periods=4)
 
 
 class Desk:
@@ -156,7 +156,7 @@
     @rule(club=st.integers(0, 2), run=st.integers(1, 5), back=st.integers(0, 3))
     def late(self, club, run, back):
         row = self.desk.row(club, 1, 1, 0)
-        self.desk.write(Late((self.desk.accounts.state.current or 0) - 1000 * back, row, run, 0))
+        self.desk.write(LateRun((self.desk.accounts.state.current or 0) - 1000 * back, row, run, 0))
         self.model[([*CLUBS, "(other)"][club], "pay", "uwsgi", "served"), 3] += run
 
     @rule(clubs=st.booleans(), first=st.booleans())
@@ -167,7 +167,7 @@
         if len(grown) < 5:
             grown.insert(0 if first else len(grown), f"new{len(grown)}")
             self.desk.lists = tuple(lists)
-            self.desk.write(Listed(*lists))
+            self.desk.write(RowListsChanged(*lists))
 
     @rule(by=st.sampled_from([0, 1, 50, 99, 100, 101, 900, 1000, 2500, 40_000_000, -1, -700, -5000]))
     def time_passes(self, by):
@@ -176,7 +176,7 @@
 
     @rule(by=st.integers(-(10**9), 10**9))
     def clock_moves(self, by):
-        self.desk.tell(ClockMoved(by))
+        self.desk.tell(ClockAdjusted(by))
 
     @rule(period_ms=st.sampled_from([1000, 1000, 300, 7000]), well=st.booleans())
     def dies(self, period_ms, well):
@@ -191,7 +191,7 @@
     @rule()
     def documents_stand(self):
         if self.desk.accounts.state.documents:
-            self.desk.tell(DocumentsStand(self.desk.accounts.state.documents[-1].number))
+            self.desk.tell(DocumentsPublished(self.desk.accounts.state.documents[-1].number))
 
     @rule(
         club=st.sampled_from(["a", "b", "(other)", "nobody"]),
@@ -281,7 +281,7 @@
         desk.write(Claim(b"i" * 8, 0, FLAG_NO_ANSWER, 1, 0, 1, 1))
     assert (len(desk.accounts.state.documents), len(desk.accounts.state.periods)) == (3, 4)
     assert desk.all_rows()[("a", "look", "http", "served"), 0] == 1440
-    desk.tell(DocumentsStand(3))
+    desk.tell(DocumentsPublished(3))
     desk.tell(Tick())  # closes
     desk.tell(Tick())  # and turns, now that there is room
     assert desk.accounts.state.current == period_of(desk.now, 1000) and len(desk.documents) == 6
@@ -397,15 +397,15 @@
                 "Rotated",
                 "Claim",
                 "Marked",
-                "Late",
+                "LateRun",
                 "Closed",
                 "Corrected",
                 "Published",
                 "Gap",
-                "Stepped",
+                "ClockStepped",
                 "Ended",
                 "Forgotten",
-                "Listed",
+                "RowListsChanged",
             ),
             1,
         )
@@ -436,14 +436,14 @@
 def test_a_clock_that_stays_moved_is_followed_and_never_goes_back(by):
     clock = LedgerClock(1_000_000_000, 0)
     steady, last, steps = 0, 0, 0
-    for _ in range(int(CONFIRM_MS // 1000) + 10):
+    for _ in range(int(STEP_CONFIRM_MS // 1000) + 10):
         steady += 1000
         now, step = clock.read(1_000_000_000 + steady + by, steady)
         assert now >= last
         last, steps = now, steps + (step is not None)
     assert steps == 1
     expected = 1_000_000_000 + steady + by
-    assert last == expected if by > 0 else last >= 1_000_000_000 + CONFIRM_MS
+    assert last == expected if by > 0 else last >= 1_000_000_000 + STEP_CONFIRM_MS
 
 
 def test_a_clock_set_back_while_the_node_was_down_is_told_and_waited_for():
--- a/tests/usage/test_export.py
+++ b/tests/usage/test_export.py
@@ -27,10 +27,10 @@
     Alarm,
     Deliver,
     Delivered,
-    Found,
+    DocumentFound,
     NotDelivered,
     Rejected,
-    Stand,
+    StopDelivery,
     Superseded,
     Tick,
     WakeAt,
@@ -86,9 +86,9 @@
 
 def test_documents_go_in_their_order_one_at_a_time_to_each_sink():
     heart = Exporter(["x", "y"], DeliveryConfig(), lambda: 1.0, 0.0)
-    assert heart.handle(0, Found("x", "1")) == [Deliver("x", "1", 1)]
-    assert heart.handle(0, Found("x", "2")) == heart.handle(0, Found("x", "1")) == []
-    assert heart.handle(0, Found("y", "1")) == [Deliver("y", "1", 1)]
+    assert heart.handle(0, DocumentFound("x", "1")) == [Deliver("x", "1", 1)]
+    assert heart.handle(0, DocumentFound("x", "2")) == heart.handle(0, DocumentFound("x", "1")) == []
+    assert heart.handle(0, DocumentFound("y", "1")) == [Deliver("y", "1", 1)]
     assert heart.handle(5, Delivered("x", "1")) == [Acknowledge("x", "1"), Deliver("x", "2", 1)]
     assert heart.handle(6, Delivered("x", "1")) == []  # told twice
 
@@ -96,7 +96,7 @@
 def test_a_sink_that_is_down_is_tried_with_growing_waits_and_never_in_a_loop():
     heart = Exporter(["x"], DeliveryConfig(100.0, 2000.0, 600), lambda: 1.0, 0.0)
     now, waits = 0.0, []
-    actions = heart.handle(now, Found("x", "1"))
+    actions = heart.handle(now, DocumentFound("x", "1"))
     for _ in range(8):
         assert actions == [Deliver("x", "1", len(waits) + 1)]
         wake = next(one for one in heart.handle(now, NotDelivered("x", "1", "down")) if isinstance(one, WakeAt))
@@ -113,7 +113,7 @@
     draw = random.Random(seed)
     heart = Exporter(["x"], DeliveryConfig(10.0, 1000.0, budget), lambda: low * draw.random(), 0.0)
     now, attempts = 0.0, 0
-    actions = heart.handle(now, Found("x", "1"))
+    actions = heart.handle(now, DocumentFound("x", "1"))
     while now < 6 * HOUR:
         if any(isinstance(one, Deliver) for one in actions):
             attempts += 1
@@ -127,7 +127,7 @@
 
 def test_a_sink_may_say_when_to_come_back_and_failures_raise_an_alarm():
     heart = Exporter(["x"], DeliveryConfig(100.0, 2000.0, alarm_after=2), lambda: 0.5, 0.0)
-    heart.handle(0, Found("x", "1"))
+    heart.handle(0, DocumentFound("x", "1"))
     assert heart.handle(0, NotDelivered("x", "1", "429", 7000.0)) == [WakeAt(7000.0)]
     assert heart.handle(7000, Tick()) == [Deliver("x", "1", 2)]
     actions = heart.handle(7000, NotDelivered("x", "1", "down"))
@@ -136,37 +136,37 @@
 
 def test_what_is_rejected_is_put_aside_and_the_next_goes_on():
     heart = Exporter(["x"], DeliveryConfig(), lambda: 0.5, 0.0)
-    heart.handle(0, Found("x", "1"))
-    heart.handle(0, Found("x", "2"))
+    heart.handle(0, DocumentFound("x", "1"))
+    heart.handle(0, DocumentFound("x", "2"))
     assert heart.handle(0, Rejected("x", "1", "no")) == [Alarm("x", "1", "no"), Deliver("x", "2", 1)]
     heart.handle(0, Delivered("x", "2"))
-    assert heart.handle(0, Found("x", "1")) == []  # not in this life
+    assert heart.handle(0, DocumentFound("x", "1")) == []  # not in this life
 
 
 def test_a_sink_that_rejects_all_is_left_alone_at_a_bound_and_says_so():
     heart = Exporter(["x", "y"], DeliveryConfig(queue=2, put_aside=3), lambda: 0.5, 0.0)
     for name in "abcd":  # more than the queue holds: what was put aside takes no place in it
-        heart.handle(0, Found("x", name))
+        heart.handle(0, DocumentFound("x", name))
         told = heart.handle(0, Rejected("x", name, "no"))
     assert heart.sinks["x"].put_aside == {"a", "b", "c"} and heart.sinks["x"].stands
     assert told == [] and heart.done
-    assert heart.handle(0, Found("y", "a")) == [Deliver("y", "a", 1)] and not heart.done
+    assert heart.handle(0, DocumentFound("y", "a")) == [Deliver("y", "a", 1)] and not heart.done
 
 
 def test_an_exporter_that_was_superseded_delivers_nothing_more():
     heart = Exporter(["x"], DeliveryConfig(), lambda: 0.5, 0.0)
-    heart.handle(0, Found("x", "1"))
-    assert Stand("x") in heart.handle(0, Superseded("x", "later"))
-    assert heart.handle(0, Found("x", "2")) == heart.handle(HOUR, Tick()) == []
+    heart.handle(0, DocumentFound("x", "1"))
+    assert StopDelivery("x") in heart.handle(0, Superseded("x", "later"))
+    assert heart.handle(0, DocumentFound("x", "2")) == heart.handle(HOUR, Tick()) == []
 
 
 def test_the_queue_is_bounded_and_what_was_left_out_is_found_again():
     heart = Exporter(["x"], DeliveryConfig(queue=3), lambda: 0.5, 0.0)
     for name in "abcdef":
-        heart.handle(0, Found("x", name))
+        heart.handle(0, DocumentFound("x", name))
     assert heart.sinks["x"].known == {"a", "b", "c"}
     heart.handle(0, Delivered("x", "a"))
-    heart.handle(0, Found("x", "d"))
+    heart.handle(0, DocumentFound("x", "d"))
     assert heart.sinks["x"].known == {"b", "c", "d"}
 
 
@@ -194,8 +194,8 @@
 
 
 def test_retry_after_is_heeded_where_it_is_a_number():
-    assert judged("n", "d", 503, b"", "7").again_after_ms == 7000
-    assert judged("n", "d", 503, b"", "Wed, 21 Oct").again_after_ms == 0
+    assert judged("n", "d", 503, b"", "7").retry_after_ms == 7000
+    assert judged("n", "d", 503, b"", "Wed, 21 Oct").retry_after_ms == 0
 
 
 # The sinks.
--- a/tests/usage/test_folder.py
+++ b/tests/usage/test_folder.py
@@ -11,7 +11,7 @@
 from flintshift.storage.log import segments
 from flintshift.storage.snapshot import DamagedError, publish
 from flintshift.usage import documents
-from flintshift.usage.folder import LedgerFolder, load, read_documents, retire, snapshots
+from flintshift.usage.folder import LedgerFolder, load, read_documents, retire, snapshot_sequences
 from flintshift.usage.messages import Tick
 from flintshift.usage.policy import LedgerPolicy
 from flintshift.usage.records import FLAG_NO_ANSWER, Claim
@@ -44,7 +44,11 @@
 
 
 def standing(files):
-    return (len(read_documents(files, FOLDER)), len(segments(files, FOLDER / "log")), len(snapshots(files, FOLDER)))
+    return (
+        len(read_documents(files, FOLDER)),
+        len(segments(files, FOLDER / "log")),
+        len(snapshot_sequences(files, FOLDER)),
+    )
 
 
 def test_without_a_sink_nothing_goes():
@@ -85,7 +89,7 @@
     files = SimFiles()
     ledger(files)
     state = load(files, FOLDER)[0].state
-    newest = FOLDER / "snapshots" / f"{snapshots(files, FOLDER)[0]:016x}.snapshot"
+    newest = FOLDER / "snapshots" / f"{snapshot_sequences(files, FOLDER)[0]:016x}.snapshot"
     files.names_now[newest].data[30] ^= 1
     book, _, found = load(files, FOLDER)
     assert book.state == state and "an older one is used" in found.warnings[0]
