--- a/flintshift/usage/__init__.py
+++ b/flintshift/usage/__init__.py
@@ -1,1 +1,1 @@
-"""The ledger of use: what each club used in each period, corrected, closed and exported once."""
+"""The usage ledger: records what each club used in each period, with corrections, and exports closed periods once."""
--- a/flintshift/usage/messages.py
+++ b/flintshift/usage/messages.py
@@ -1,4 +1,4 @@
-"""Events and actions of the ledger's state machines: keeper and exporter."""
+"""Events and actions of the two state machines of the usage ledger: the policy and the exporter."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from flintshift.usage.records import Entry
 
-# Told to the keeper.
+# Events of the policy.
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,13 +16,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockAdjusted:
+    """The system's clock was moved by so much."""
+
     by_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class CorrectionRequested:
-    """``closed`` are the totals of the period and row, with all revisions, where the period has closed and its
-    documents stand."""
+    """A person asks for a correction of one row of a period.
+
+    ``closed`` is the row's total over all revisions, where the period has closed and its documents are present.
+    """
 
     id: str
     author: str
@@ -39,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentsPublished:
-    """Files of their own hold all documents up to this number, durably."""
+    """All documents up to this number are in files of their own, durably."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class DiskRecovered:
-    """The disk takes records again after it did not."""
+    """The disk accepts records again after it refused them."""
 
     from_ms: int
     requests: int
@@ -54,21 +58,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Retired:
-    """The documents of all periods that began before this time are gone."""
+class DocumentsRetired:
+    """The documents of all periods that began before this time were removed."""
 
     before_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerDied:
-    """Whoever wrote this ledger is dead, and nothing more will be booked in it."""
+    """The member that wrote this ledger is dead, so no further use will be recorded in it."""
 
 
-PolicyEvent = Tick | OwnerDied | ClockAdjusted | CorrectionRequested | DocumentsPublished | DiskRecovered | Retired
+PolicyEvent = (
+    Tick | OwnerDied | ClockAdjusted | CorrectionRequested | DocumentsPublished | DiskRecovered | DocumentsRetired
+)
 
 
-# Answered by the keeper.
+# Actions of the policy.
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The end of a correction: taken, the same as one taken before, or refused with the reason."""
+    """The result of a correction request: accepted, already accepted before, or rejected with the reason."""
 
     taken: bool
     text: str
@@ -89,12 +95,12 @@
 PolicyAction = Append | Reply
 
 
-# Told to the exporter.
+# Events of the exporter.
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentFound:
-    """A document stands and no acknowledgement of this sink for it."""
+    """A document is present that this sink has not acknowledged."""
 
     sink: str
     name: str
@@ -110,7 +116,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NotDelivered:
-    """No acknowledgement came; whether the document did is unknown. The sink may have said when to come back."""
+    """The sink did not acknowledge the document, which may have arrived all the same.
+
+    ``retry_after_ms`` is the delay that the sink asked for, if it asked for one.
+    """
 
     sink: str
     name: str
@@ -120,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The sink holds something else under this name, or will never take it: a person must look."""
+    """The sink has another content under this name, or will never accept the document: an operator must look."""
 
     sink: str
     name: str
@@ -138,11 +147,13 @@
 ExportEvent = Tick | DocumentFound | Delivered | NotDelivered | Rejected | Superseded
 
 
-# Answered by the exporter.
+# Actions of the exporter.
 
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
+    """Send this document to the sink."""
+
     sink: str
     name: str
     attempt: int
@@ -150,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledge:
-    """This sink has this document, and that is kept."""
+    """Report that the sink has this document. Its acknowledgement is already durable."""
 
     sink: str
     name: str
@@ -158,6 +169,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Alarm:
+    """Report a problem that an operator must look at."""
+
     sink: str
     name: str
     text: str
@@ -165,12 +178,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
+    """Send a tick at this time."""
+
     at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class StopDelivery:
-    """Nothing more is delivered to this sink: another exporter has taken over, or too much was put aside."""
+    """Deliver nothing more to this sink: another exporter has taken over, or too many documents were put aside."""
 
     sink: str
 
--- a/flintshift/usage/records.py
+++ b/flintshift/usage/records.py
@@ -1,7 +1,8 @@
-"""The records of the ledger's log and their form: MessagePack arrays, one kind of record each.
+"""The records of the usage ledger's log, stored as MessagePack arrays.
 
-A kind's number stands in its frame and is never used for anything else. Fields are only ever added at an end, with
-a default, so that an older log stays readable. All amounts are whole numbers; times are Unix milliseconds, UTC.
+The number of a record's kind is stored in its frame and is never reused for another kind. Fields are added only at the
+end and with a default, so that an older log stays readable. All amounts are whole numbers; times are Unix milliseconds,
+UTC.
 """
 
 from __future__ import annotations
@@ -13,18 +14,15 @@
 
 FRONTS = ("http", "uwsgi")
 OUTCOMES = ("served", "poorer", "refused", "failed", "gone")
-GONE = OUTCOMES.index("gone")
-OTHER_CLUBS = "(other)"  # the row of all clubs that the configuration does not name
+GONE = OUTCOMES.index("gone")  # the caller disconnected before its answer was sent
+OTHER_CLUBS = "(other)"  # in place of a club that the configuration does not name
 AMOUNTS = ("requests", "further_tries", "kept", "run_us", "calls", "bytes_in", "bytes_out")
-FLAG_FURTHER_TRY, FLAG_KEPT_RESULT, FLAG_NO_ANSWER = (
-    1,
-    2,
-    4,
-)  # flags of a claim; FLAG_NO_ANSWER: there is no answer to deliver
+# Flags of a claim. With FLAG_NO_ANSWER there is no answer to deliver.
+FLAG_FURTHER_TRY, FLAG_KEPT_RESULT, FLAG_NO_ANSWER = 1, 2, 4
 
 
 class Opened(msgspec.Struct, array_like=True, frozen=True):
-    """A start of the node; claims that no mark follows are in doubt from here on."""
+    """The node started. Earlier claims that have no mark are in doubt from here on."""
 
     node: str
     life: bytes
@@ -35,14 +33,14 @@
 
 
 class Rotated(msgspec.Struct, array_like=True, frozen=True):
-    """From here on requests belong to the period that begins at this time."""
+    """A period began: requests from here on belong to it. ``period`` is its begin."""
 
     period: int
     length: int
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A final answer that is about to leave; ``row`` is ``row_number`` of its club, class, front and outcome."""
+    """A final answer is about to be sent. ``row`` is the ``row_number`` of its club, class, front and outcome."""
 
     id: bytes
     row: int
@@ -54,7 +52,7 @@
 
 
 class Marked(msgspec.Struct, array_like=True, frozen=True):
-    """Claims whose answers have left, and those whose callers went meanwhile, by sequence after ``base``."""
+    """Answers were sent, or their callers disconnected first. Claims are given by sequence, relative to ``base``."""
 
     base: int
     delivered: list[int]
@@ -62,8 +60,10 @@
 
 
 class LateRun(msgspec.Struct, array_like=True, frozen=True):
-    """A run that ended after its request's final answer, booked to the period of that answer, or to the
-    one of now where that one has closed."""
+    """A run ended after its request's final answer.
+
+    It is recorded in the period of that answer, or in the current one if that has closed.
+    """
 
     period: int
     row: int
@@ -72,11 +72,15 @@
 
 
 class Closed(msgspec.Struct, array_like=True, frozen=True):
+    """A period was closed, which makes its document."""
+
     period: int
     at_ms: int
 
 
 class Corrected(msgspec.Struct, array_like=True, frozen=True):
+    """A correction of a row was accepted."""
+
     id: str
     author: str
     reason: str
@@ -91,12 +95,14 @@
 
 
 class Published(msgspec.Struct, array_like=True, frozen=True):
-    """All documents up to this number stand in files of their own."""
+    """All documents up to this number are in files of their own."""
 
     number: int
 
 
 class Gap(msgspec.Struct, array_like=True, frozen=True):
+    """The disk refused records for this time, during which use was recorded in memory."""
+
     from_ms: int
     to_ms: int
     requests: int
@@ -104,24 +110,26 @@
 
 
 class ClockStepped(msgspec.Struct, array_like=True, frozen=True):
+    """The system's clock was moved."""
+
     at_ms: int
     by_ms: int
 
 
 class Ended(msgspec.Struct, array_like=True, frozen=True):
-    """The node left in good order."""
+    """The node stopped cleanly."""
 
     at_ms: int
 
 
 class Forgotten(msgspec.Struct, array_like=True, frozen=True):
-    """Corrections of periods that began before this time are not known any more, nor taken."""
+    """Corrections of periods that began before this time are forgotten, and no new ones are accepted."""
 
     before: int
 
 
 class RowListsChanged(msgspec.Struct, array_like=True, frozen=True):
-    """From here on rows are numbered by these lists, which hold all that the ones before held."""
+    """Rows are numbered by these lists from here on. They contain every name of the lists before."""
 
     clubs: list[str]
     classes: list[str]
@@ -157,7 +165,7 @@
     12: Forgotten,
     13: RowListsChanged,
 }
-SNAPSHOT_KIND = 32  # of the frame that a snapshot is
+SNAPSHOT_KIND = 32  # of the frame that contains a snapshot
 NUMBERS = {kind: number for number, kind in KINDS.items()}
 _encode = msgspec.msgpack.Encoder().encode
 _decode: dict[int, Callable[[bytes], Any]] = {
@@ -168,14 +176,15 @@
 
 
 def pack(entry: Entry) -> tuple[int, bytes]:
-    """A record's kind and payload."""
+    """Encode a record; return its kind and payload."""
     return NUMBERS[type(entry)], _encode(entry)
 
 
 def unpack(kind: int, payload: bytes) -> Entry:
-    """
+    """Decode a record.
+
     Raises:
-        ValueError: no such kind, or not of its form.
+        ValueError: the kind is unknown, or the payload is malformed.
     """
     decode = _decode.get(kind)
     if decode is None:
@@ -184,18 +193,19 @@
     return entry
 
 
-def row_number(club: int, class_: int, classes: int, front: int, outcome: int) -> int:
-    return ((club * classes + class_) * len(FRONTS) + front) * len(OUTCOMES) + outcome
+def row_number(club: int, class_index: int, classes: int, front: int, outcome: int) -> int:
+    """Combine the indexes of a row's club, class, front and outcome into one number; ``classes`` is their count."""
+    return ((club * classes + class_index) * len(FRONTS) + front) * len(OUTCOMES) + outcome
 
 
 def renumber_row(row: int, before: tuple[list[str], list[str]], after: tuple[list[str], list[str]]) -> int:
-    """The number of a row by other lists of clubs and classes, which hold the ones that it was numbered by.
+    """Return a row's number under new lists of clubs and classes, which contain all names of the old lists.
 
-    >>> renumber_row(row_number(1, 0, 1, 0, 2), (["a"], ["look"]), (["b", "a"], ["pay", "look"]))  # of no club there
+    >>> renumber_row(row_number(1, 0, 1, 0, 2), (["a"], ["look"]), (["b", "a"], ["pay", "look"]))  # of no listed club
     52
     """
     number, outcome = divmod(row, len(OUTCOMES))
     number, front = divmod(number, len(FRONTS))
-    club, class_ = divmod(number, len(before[1]))
-    place = after[0].index(before[0][club]) if club < len(before[0]) else len(after[0])
-    return row_number(place, after[1].index(before[1][class_]), len(after[1]), front, outcome)
+    club, class_index = divmod(number, len(before[1]))
+    club_index = after[0].index(before[0][club]) if club < len(before[0]) else len(after[0])
+    return row_number(club_index, after[1].index(before[1][class_index]), len(after[1]), front, outcome)
