--- a/flintshift/usage/folder.py
+++ b/flintshift/usage/folder.py
@@ -1,15 +1,15 @@
-"""The ledger's folder: log, snapshots and documents on disk, and what recovery makes of them.
+"""The ledger's folder: log, snapshots and documents on disk, and the recovery of the accounts from them.
 
 ==================  =============================================================================
-``LOCK``            held by the process that writes here
+``LOCK``            locked by the process that writes here
 ``log/``            segments (``storage/log.py``)
-``snapshots/``      the book as it was when a segment began, named by the last sequence in it
+``snapshots/``      the accounts when a segment began, named by the last sequence in them
 ``documents/``      closed periods and revisions, each written once
 ``acks/SINK/``      a file for each document that the sink has acknowledged, with its digest
-``inbox/``          corrections handed in while a node runs; ``replies/`` what became of them
+``inbox/``          corrections submitted while a node runs; ``replies/`` their results
 ==================  =============================================================================
 
-No rule stands here: what is written is decided by the keeper, what it adds up to by the book.
+This module decides nothing: ``policy.py`` decides what is written, and ``accounts.py`` adds it up.
 """
 
 from __future__ import annotations
@@ -26,93 +26,95 @@
 from flintshift.usage import documents
 from flintshift.usage.accounts import Bounds, UnpublishedDocument, UsageAccounts
 from flintshift.usage.records import CLAIM_KIND, SNAPSHOT_KIND, Entry, Opened, pack, unpack, unpack_claim
-from flintshift.usage.retention import Removal, StandingDocument, StandingSegment, removal
+from flintshift.usage.retention import Removal, StoredDocument, StoredSegment, plan_removal
 
-ENDING = ".snapshot"
-REPLY_MS = 86_400_000.0  # an answer to a correction is kept so long for whoever handed it in
+SNAPSHOT_SUFFIX = ".snapshot"
+REPLY_RETENTION_MS = 86_400_000.0  # a correction's result is kept for so long for its author to read
 
 
 @dataclass(slots=True)
-class Recovered:
-    """What a start found."""
+class Recovery:
+    """Report of a recovery."""
 
     records: int = 0  # replayed
-    from_snapshot: int = 0  # the last sequence in it; 0: there was none
-    truncated_bytes: int = 0  # bytes cut from the tail
+    from_snapshot: int = 0  # the last sequence in the snapshot that was used; 0: there was none
+    truncated_bytes: int = 0  # cut from the end of the log
     in_doubt: int = 0
     warnings: list[str] = field(default_factory=list)
 
 
 def snapshot_name(sequence: int) -> str:
-    return f"{sequence:016x}{ENDING}"
+    """Return the file name of the snapshot whose last record has this sequence."""
+    return f"{sequence:016x}{SNAPSHOT_SUFFIX}"
 
 
 def snapshot_sequences(files: Files, folder: Path) -> list[int]:
+    """Return the sequences of the snapshots in the folder, newest first."""
     return sorted(
         (
             int(name[:16], 16)
             for name in files.names(folder / "snapshots")
-            if name.endswith(ENDING) and len(name) == 16 + len(ENDING)
+            if name.endswith(SNAPSHOT_SUFFIX) and len(name) == 16 + len(SNAPSHOT_SUFFIX)
         ),
         reverse=True,
     )
 
 
-def load(files: Files, folder: Path, bounds: Bounds | None = None) -> tuple[UsageAccounts, Reach, Recovered]:
-    """The book as the folder holds it. Nothing is changed, so a folder in use can be read too.
+def load(files: Files, folder: Path, bounds: Bounds | None = None) -> tuple[UsageAccounts, Reach, Recovery]:
+    """Recover the accounts from the folder. Nothing is changed, so a folder in use can be read too.
 
     Raises:
-        DamagedError: something that was written whole is not as it was.
+        DamagedError: a file that was written completely has changed since.
     """
-    collects = gc.isenabled()
-    gc.disable()  # records make no circles, and looking for some takes a third of the time
+    gc_was_enabled = gc.isenabled()
+    gc.disable()  # records form no reference cycles, and searching for some takes a third of the time
     try:
         return _load(files, folder, bounds)
     finally:
-        if collects:
+        if gc_was_enabled:
             gc.enable()
 
 
-def _load(files: Files, folder: Path, bounds: Bounds | None) -> tuple[UsageAccounts, Reach, Recovered]:
-    book, found, epoch = UsageAccounts(bounds or Bounds()), Recovered(), 0
+def _load(files: Files, folder: Path, bounds: Bounds | None) -> tuple[UsageAccounts, Reach, Recovery]:
+    accounts, recovery, epoch = UsageAccounts(bounds or Bounds()), Recovery(), 0
     for sequence in snapshot_sequences(files, folder):
         path = folder / "snapshots" / snapshot_name(sequence)
         try:
             record = snapshot.opened(path, files.read(path), SNAPSHOT_KIND)
-            book, epoch = UsageAccounts.load(record.payload, bounds), record.epoch
+            accounts, epoch = UsageAccounts.load(record.payload, bounds), record.epoch
         except (DamagedError, ValueError) as error:
-            found.warnings.append(f"{error}; an older one is used")
+            recovery.warnings.append(f"{error}; an older one is used")
             continue
-        found.from_snapshot = sequence
+        recovery.from_snapshot = sequence
         break
     else:
-        if found.warnings:
-            raise DamagedError(f"{folder}: no snapshot can be used: {'; '.join(found.warnings)}")
-    reach = Reach(book.state.sequence + 1, max(book.state.epoch, epoch))
-    claimed, decode = book.apply_claim, unpack_claim
+        if recovery.warnings:
+            raise DamagedError(f"{folder}: no snapshot can be used: {'; '.join(recovery.warnings)}")
+    reach = Reach(accounts.state.sequence + 1, max(accounts.state.epoch, epoch))
+    apply_claim, decode = accounts.apply_claim, unpack_claim
     for batch in batches(files, folder / "log", reach.following, reach):
         try:
             for sequence, epoch, kind, payload in batch:
-                if kind == CLAIM_KIND:  # nearly all are, and the shortest way for them halves the time
-                    claimed(sequence, decode(payload))
+                if kind == CLAIM_KIND:  # nearly all records are claims; this short path halves the recovery time
+                    apply_claim(sequence, decode(payload))
                 else:
-                    book.apply(sequence, epoch, unpack(kind, payload))
+                    accounts.apply(sequence, epoch, unpack(kind, payload))
         except ValueError as error:
             raise DamagedError(f"{folder}: record {sequence} can't be used: {error}") from error
-        book.state.sequence = sequence
-        found.records += len(batch)
+        accounts.state.sequence = sequence
+        recovery.records += len(batch)
     if reach.following == 1 and any(name.endswith(documents.SUFFIX) for name in files.names(folder / "documents")):
-        raise DamagedError(f"{folder}: documents stand, but the log and the snapshots are gone")
-    found.truncated_bytes = reach.torn
-    return book, reach, found
+        raise DamagedError(f"{folder}: documents are present, but the log and the snapshots are missing")
+    recovery.truncated_bytes = reach.torn
+    return accounts, reach, recovery
 
 
 class LedgerFolder:
-    """The folder as the one process that writes in it holds it."""
+    """The ledger's folder, locked by the one process that writes in it."""
 
     def __init__(self, files: Files, folder: Path, bounds: Bounds | None = None) -> None:
         self.files, self.folder = files, folder
-        self.granted_position = (0, 0)  # epoch and sequence that a copied ledger had when its epoch was granted last
+        self.granted_position = (0, 0)  # epoch and sequence of a replicated ledger when its epoch was granted last
         for name in ("", "log", "snapshots", "documents", "inbox", "replies", "acks"):
             files.make_folder(folder / name)
         self.lock: Lock = files.lock(folder / "LOCK")
@@ -128,36 +130,44 @@
             raise
 
     def reload(self) -> None:
-        """Read again what stands on the disk, and go on at its end; for an owner that does not know what a refused
-        operation left.
+        """Recover again from the disk and continue at the end of the log.
+
+        For an owner that does not know what an operation left behind that the disk refused.
 
         Raises:
-            OSError, DamagedError: it can't be read or written on.
+            OSError, DamagedError: the folder can't be read, or the log can't be continued.
         """
         self.log.close()
         self.accounts, self.reach, self.recovery = load(self.files, self.folder, self.accounts.bounds)
         self.log = Log(self.files, self.folder / "log", max(self.log.epoch, self.reach.epoch), self.reach.following)
         self.log.resume(self.reach)
 
-    def open(self, node: str, drawn: bytes, period_ms: int, clubs: list[str], classes: list[str], now_ms: int) -> None:
-        """Begin a life: what was on its way in the one before is in doubt from here on."""
-        life = self.accounts.state.life or drawn
-        self.append([Opened(node, life, period_ms, clubs, classes, now_ms)])
+    def open(
+        self, node: str, new_ledger_id: bytes, period_ms: int, clubs: list[str], classes: list[str], now_ms: int
+    ) -> None:
+        """Begin an incarnation. Claims of the one before that have no mark are in doubt from here on.
+
+        ``new_ledger_id`` is used if the ledger has no id yet.
+        """
+        ledger_id = self.accounts.state.life or new_ledger_id
+        self.append([Opened(node, ledger_id, period_ms, clubs, classes, now_ms)])
         self.log.sync()
 
     def set_aside(self) -> Path:
-        """Another process goes on with this ledger: what stands here makes room for another one, and is kept for people
-        to look at. Returns where."""
+        """Make room for a new ledger, because another process continues this one; return where it was moved.
+
+        The files are kept for operators to inspect.
+        """
         self.log.close()
         state = self.accounts.state
-        aside = self.folder / "taken-over" / f"{state.life.hex()}.e{state.epoch}"
-        self.files.make_folder(aside)
+        archive = self.folder / "taken-over" / f"{state.life.hex()}.e{state.epoch}"
+        self.files.make_folder(archive)
         for name in ("log", "snapshots", "documents", "acks"):
             if name in self.files.names(self.folder):
-                self.files.rename(self.folder / name, aside / name)
+                self.files.rename(self.folder / name, archive / name)
         self.files.sync_folder(self.folder)
         self.lock.close()
-        return aside
+        return archive
 
     def append(self, entries: list[Entry]) -> None:
         """Write records, then apply them.
@@ -169,92 +179,100 @@
         self.apply(first, entries)
 
     def apply(self, first: int, entries: list[Entry]) -> None:
-        for place, entry in enumerate(entries):
-            self.accounts.apply(first + place, self.log.epoch, entry)
+        """Apply records that were written from the sequence ``first`` on."""
+        for offset, entry in enumerate(entries):
+            self.accounts.apply(first + offset, self.log.epoch, entry)
 
     def snapshot_now(self) -> bytes:
+        """Return the contents of a snapshot of the current state."""
         state = self.accounts.state
         return snapshot.sealed(SNAPSHOT_KIND, self.log.epoch, state.sequence, self.accounts.dump())
 
     def write_snapshot(self, sequence: int, data: bytes) -> None:
+        """Write a snapshot that ``snapshot_now`` made."""
         snapshot.publish(self.files, self.folder / "snapshots" / snapshot_name(sequence), data)
 
-    def write_documents(self, made: list[UnpublishedDocument]) -> int:
-        """Publish documents in files of their own; returns the number of the last."""
-        for document in made:
+    def write_documents(self, unpublished: list[UnpublishedDocument]) -> int:
+        """Write documents to files of their own; return the number of the last one."""
+        for document in unpublished:
             snapshot.publish(self.files, self.folder / "documents" / document.name, document.data)
-        return made[-1].number
+        return unpublished[-1].number
 
     def close(self) -> None:
+        """Sync the log if possible, and unlock the folder."""
         try:
             if not self.log.broken and self.log.file is not None:
                 self.log.sync()
         except (OSError, BrokenError):
-            pass  # what is lost by it is in doubt at the next start
+            pass  # claims that are lost here are in doubt at the next start
         finally:
             self.log.close()
             self.lock.close()
 
 
 def read_documents(files: Files, folder: Path, name_part: str = "") -> dict[str, pb.UsageDocument]:
-    """The documents that stand, by name, in the order in which they were made.
+    """Read the published documents whose names contain ``name_part``; return them by name, ordered by their numbers.
 
     Raises:
-        DamagedError: one can't be read.
+        DamagedError: a document can't be read.
     """
-    found = {}
+    by_name = {}
     for name in files.names(folder / "documents"):
         if documents.NAME_PATTERN.fullmatch(name) and name_part in name:
             path = folder / "documents" / name
             try:
-                found[name] = documents.parse(files.read(path))
+                by_name[name] = documents.parse(files.read(path))
             except documents.DocumentError as error:
                 raise DamagedError(f"{path}: {error}") from error
-    return dict(sorted(found.items(), key=lambda pair: pair[1].number))
+    return dict(sorted(by_name.items(), key=lambda pair: pair[1].number))
 
 
 def unacknowledged(files: Files, folder: Path, sinks: list[str]) -> dict[str, list[str]]:
-    """For each sink the names of the documents that it has not acknowledged."""
-    standing = [name for name in files.names(folder / "documents") if documents.NAME_PATTERN.fullmatch(name)]
-    left = {}
+    """Return for each sink the names of the published documents that it has not acknowledged."""
+    published = [name for name in files.names(folder / "documents") if documents.NAME_PATTERN.fullmatch(name)]
+    missing = {}
     for sink in sinks:
-        taken = set(files.names(folder / "acks" / sink))
-        left[sink] = [name for name in standing if name not in taken]
-    return left
+        acknowledged = set(files.names(folder / "acks" / sink))
+        missing[sink] = [name for name in published if name not in acknowledged]
+    return missing
 
 
 def retire(
     files: Files, folder: Path, sinks: list[str], retention_ms: float, now_ms: float, closed_to_ms: int
 ) -> Removal:
-    """Remove what ``retention.removal`` names, and answers to corrections that nobody fetched."""
-    left = {name for names in unacknowledged(files, folder, sinks).values() for name in names}
-    standing = [
-        StandingDocument(
+    """Remove what ``plan_removal`` names, and results of corrections that were not read in time."""
+    unexported = {name for names in unacknowledged(files, folder, sinks).values() for name in names}
+    stored_documents = [
+        StoredDocument(
             name,
             document.period_ms,
             document.first_sequence,
             files.age_ms(folder / "documents" / name, now_ms),
-            name not in left,
+            name not in unexported,
         )
         for name, document in read_documents(files, folder).items()
     ]
-    listed = [
-        StandingSegment(name, first, files.age_ms(folder / "log" / name, now_ms))
+    stored_segments = [
+        StoredSegment(name, first, files.age_ms(folder / "log" / name, now_ms))
         for first, name in segments(files, folder / "log")
     ]
-    gone = removal(standing, listed, snapshot_sequences(files, folder), retention_ms, bool(sinks), closed_to_ms)
-    for name in gone.documents:  # before its acknowledgements: a death between leaves these alone, and they go below
+    removal = plan_removal(
+        stored_documents, stored_segments, snapshot_sequences(files, folder), retention_ms, bool(sinks), closed_to_ms
+    )
+    # Documents are removed before their acknowledgements: a crash in between leaves only acknowledgements, which the
+    # loop below removes.
+    for name in removal.documents:
         files.remove(folder / "documents" / name)
     for sink in sinks:
-        stands = set(files.names(folder / "documents"))
+        remaining = set(files.names(folder / "documents"))
         for name in files.names(folder / "acks" / sink):
-            if name not in stands:
+            if name not in remaining:
                 files.remove(folder / "acks" / sink / name)
-    for sequence in gone.snapshots:
+    for sequence in removal.snapshots:
         files.remove(folder / "snapshots" / snapshot_name(sequence))
-    for name in gone.segments:
+    for name in removal.segments:
         files.remove(folder / "log" / name)
     for name in files.names(folder / "replies"):
-        if files.age_ms(folder / "replies" / name, now_ms) >= REPLY_MS:
+        if files.age_ms(folder / "replies" / name, now_ms) >= REPLY_RETENTION_MS:
             files.remove(folder / "replies" / name)
-    return gone
+    return removal
--- a/tests/usage/test_folder.py
+++ b/tests/usage/test_folder.py
@@ -1,4 +1,4 @@
-"""What goes from the ledger's folder, and when; snapshots that can't be used."""
+"""Tests of what is removed from the ledger's folder, and of damaged snapshots and missing logs."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from flintshift.usage.records import FLAG_NO_ANSWER, Claim
 
 FOLDER = Path("/u")
-DAY = 86_400_000.0
+DAY_MS = 86_400_000.0
 
 
-def ledger(files, periods=6):
-    """One closed period a second, each with its own segment and snapshot."""
-    holder = LedgerFolder(files, FOLDER)
-    holder.open("n1", b"l" * 16, 1000, ["a"], ["look"], 0)
-    keeper = LedgerPolicy(holder.accounts, 0)
+def make_ledger(files, periods=6):
+    """Make a ledger with one closed period per second, each with its own segment and snapshot."""
+    ledger_folder = LedgerFolder(files, FOLDER)
+    ledger_folder.open("n1", b"l" * 16, 1000, ["a"], ["look"], 0)
+    policy = LedgerPolicy(ledger_folder.accounts, 0)
     for number in range(periods + 1):
         files.now_ms = number * 1000.0
-        for action in keeper.handle(files.now_ms, Tick()):
-            holder.append([action.entry])
-        holder.append([Claim(number.to_bytes(8, "big"), 0, FLAG_NO_ANSWER, 1, 0, 1, 1)])
-        sequence, data = holder.accounts.state.sequence, holder.snapshot_now()
-        holder.log.begin()
-        holder.write_snapshot(sequence, data)
-    holder.write_documents(holder.accounts.state.documents)
-    return holder
+        for action in policy.handle(files.now_ms, Tick()):
+            ledger_folder.append([action.entry])
+        ledger_folder.append([Claim(number.to_bytes(8, "big"), 0, FLAG_NO_ANSWER, 1, 0, 1, 1)])
+        sequence, data = ledger_folder.accounts.state.sequence, ledger_folder.snapshot_now()
+        ledger_folder.log.begin()
+        ledger_folder.write_snapshot(sequence, data)
+    ledger_folder.write_documents(ledger_folder.accounts.state.documents)
+    return ledger_folder
 
 
 def acknowledge(files, names):
@@ -43,7 +43,7 @@
         publish(files, FOLDER / "acks" / "http" / name, b"digest")
 
 
-def standing(files):
+def count_files(files):
     return (
         len(read_documents(files, FOLDER)),
         len(segments(files, FOLDER / "log")),
@@ -51,65 +51,66 @@
     )
 
 
-def test_without_a_sink_nothing_goes():
+def test_without_a_sink_no_document_or_segment_is_removed():
     files = SimFiles()
-    ledger(files)
-    before = standing(files)
-    retire(files, FOLDER, [], 0.0, 99 * DAY, 6000)
-    assert standing(files) == (*before[:2], 2)  # of snapshots two are enough
+    make_ledger(files)
+    before = count_files(files)
+    retire(files, FOLDER, [], 0.0, 99 * DAY_MS, 6000)
+    assert count_files(files) == (*before[:2], 2)  # two snapshots are retained
 
 
-def test_what_a_sink_does_not_have_stays_with_the_segments_that_cover_it():
+def test_an_unexported_document_is_retained_with_the_segments_of_its_records():
     files = SimFiles()
-    ledger(files)
+    make_ledger(files)
     state = load(files, FOLDER)[0].state
     names = list(read_documents(files, FOLDER))
     acknowledge(files, names[:2])
-    gone = retire(files, FOLDER, ["http"], 0.0, 99 * DAY, 6000)
-    left = list(read_documents(files, FOLDER))
-    assert left == names[2:] and gone.retired_before_ms == 2000
-    first_needed = read_documents(files, FOLDER)[left[0]].first_sequence
+    removal = retire(files, FOLDER, ["http"], 0.0, 99 * DAY_MS, 6000)
+    remaining = list(read_documents(files, FOLDER))
+    assert remaining == names[2:] and removal.retired_before_ms == 2000
+    first_needed = read_documents(files, FOLDER)[remaining[0]].first_sequence
     assert segments(files, FOLDER / "log")[0][0] <= first_needed
-    assert gone.segments and load(files, FOLDER)[0].state == state
+    assert removal.segments and load(files, FOLDER)[0].state == state
 
 
-def test_what_is_exported_stays_for_its_retention_and_then_goes():
+def test_an_exported_document_is_retained_for_the_retention_time():
     files = SimFiles()
-    ledger(files)
+    make_ledger(files)
     state = load(files, FOLDER)[0].state
     acknowledge(files, read_documents(files, FOLDER))
-    assert retire(files, FOLDER, ["http"], DAY, DAY - 1, 6000).retired_before_ms is None
-    assert standing(files)[:2] == (6, 8)
-    assert retire(files, FOLDER, ["http"], DAY, 2 * DAY, 6000).retired_before_ms == 6000  # corrections may go too
-    assert standing(files) == (0, 2, 2) and files.names(FOLDER / "acks" / "http") == []
+    assert retire(files, FOLDER, ["http"], DAY_MS, DAY_MS - 1, 6000).retired_before_ms is None
+    assert count_files(files)[:2] == (6, 8)
+    # Corrections of periods before this time may be forgotten too.
+    assert retire(files, FOLDER, ["http"], DAY_MS, 2 * DAY_MS, 6000).retired_before_ms == 6000
+    assert count_files(files) == (0, 2, 2) and files.names(FOLDER / "acks" / "http") == []
     assert load(files, FOLDER)[0].state == state
 
 
-def test_a_damaged_snapshot_gives_way_to_an_older_one_and_is_told():
+def test_an_older_snapshot_replaces_a_damaged_one_with_a_warning():
     files = SimFiles()
-    ledger(files)
+    make_ledger(files)
     state = load(files, FOLDER)[0].state
     newest = FOLDER / "snapshots" / f"{snapshot_sequences(files, FOLDER)[0]:016x}.snapshot"
     files.names_now[newest].data[30] ^= 1
-    book, _, found = load(files, FOLDER)
-    assert book.state == state and "an older one is used" in found.warnings[0]
+    accounts, _, recovery = load(files, FOLDER)
+    assert accounts.state == state and "an older one is used" in recovery.warnings[0]
 
 
-def test_a_folder_whose_log_is_gone_is_not_taken_for_a_new_one(tmp_path):
+def test_a_folder_whose_log_is_missing_is_not_taken_for_a_new_one(tmp_path):
     (tmp_path / "documents").mkdir()
     (tmp_path / "documents" / f"n1.e1.{documents.utc(0)}.r0.usage").write_bytes(b"")
-    with pytest.raises(DamagedError, match="documents stand, but the log and the snapshots are gone"):
+    with pytest.raises(DamagedError, match="documents are present, but the log and the snapshots are missing"):
         LedgerFolder(DiskFiles(), tmp_path)
 
 
-def test_what_is_left_of_a_death_and_answers_that_nobody_fetched_go():
+def test_acknowledgements_left_by_a_crash_and_old_replies_are_removed():
     files = SimFiles()
-    ledger(files)
+    make_ledger(files)
     acknowledge(files, [*read_documents(files, FOLDER), "n0.of-a-document-that-went.usage"])
     files.make_folder(FOLDER / "replies")
     publish(files, FOLDER / "replies" / "old.json", b"{}")
-    files.now_ms = 2 * DAY
+    files.now_ms = 2 * DAY_MS
     publish(files, FOLDER / "replies" / "new.json", b"{}")
-    retire(files, FOLDER, ["http"], 99 * DAY, 2 * DAY, 6000)
-    assert len(files.names(FOLDER / "acks" / "http")) == 6 == standing(files)[0]
+    retire(files, FOLDER, ["http"], 99 * DAY_MS, 2 * DAY_MS, 6000)
+    assert len(files.names(FOLDER / "acks" / "http")) == 6 == count_files(files)[0]
     assert files.names(FOLDER / "replies") == ["new.json"]
