--- a/flintshift/usage/ledger.py
+++ b/flintshift/usage/ledger.py
@@ -1,12 +1,12 @@
-"""The ledger in the node: books what was answered, keeps its folder, and holds each answer until it is booked.
+"""The usage ledger of a node: records each answer before it is sent, and maintains the ledger's folder.
 
-A claim is written before the answer leaves, and a mark once it has left; a death between them leaves the request
-in doubt, listed by its id, never silently either way. Claims and marks that come in one turn of the event loop are
-written by one call of the system (group commit). Where ``holds`` is set (durability power-cut) the answers also wait
-for the sync that follows within ``sync_ms``; else that sync runs behind them.
+A claim is written before the answer is sent, and a mark afterwards. A crash between them leaves the request in doubt,
+listed by its id: it is neither counted nor dropped silently. Claims and marks that arrive in one iteration of the
+event loop are written by one system call (group commit). Where ``holds`` is set (durability power-cut), answers also
+wait for the sync that follows within ``sync_ms``; else that sync runs after they are sent.
 
-Where the disk refuses, the book goes on in memory and the gap is told; what it holds is written as a snapshot as
-soon as the disk takes it again, so nothing is lost but by a death in between.
+While the disk refuses, use is recorded in memory and the gap is reported. As soon as the disk accepts writes again,
+the accounts are written as a snapshot, so that only a crash during the gap loses records.
 """
 
 from __future__ import annotations
@@ -72,107 +72,113 @@
     renumber_row,
 )
 
-TICK_S = 0.25
-MAX_ANSWER_WAIT_MS = (
-    250.0  # an answer waits no longer for a disk that hangs: it has a due time, and what ran is answered
-)
-MARK_S = 0.01  # a mark waits so long for claims to be written with; until then its request would be in doubt
-BACKLOG_MOST = 100_000  # records that come while a segment is begun after a gap
-REOPEN_RETRY_MS = 1000.0  # between two tries to write again after the disk refused
-CLOSE_AGAIN_S = 0.005  # between two tries at a disk that refuses then
-CLOSE_S = 2.0  # for the disk, when the node leaves: what hangs then is in doubt at the next start
-RETIRE_INTERVAL_MS = 600_000.0
-INBOX_MOST = 100  # corrections taken in one tick
+TICK_INTERVAL_S = 0.25
+# An answer waits no longer than this for a disk that hangs: it has a deadline, and its run has been done.
+MAX_ANSWER_WAIT_MS = 250.0
+# A mark waits so long for claims to be written together with. A crash before that leaves its request in doubt.
+MARK_DELAY_S = 0.01
+MAX_BACKLOG_RECORDS = 100_000  # records that arrive while a segment is begun after a gap
+REOPEN_RETRY_MS = 1000.0  # between two attempts to end a gap
+CLOSE_RETRY_S = 0.005  # between two attempts to end a gap while the node stops
+CLOSE_TIMEOUT_S = 2.0  # for the disk while the node stops: what is not written then is in doubt at the next start
+RETIRE_INTERVAL_MS = 600_000.0  # between two removals of expired files
+MAX_CORRECTIONS_PER_TICK = 100
 
 
 class EventLogger(Protocol):
-    """A structured log line."""
+    """Writes a structured log line."""
 
     def __call__(self, level: str, event: str, **fields: Any) -> None: ...
 
 
 class Replication(Protocol):
-    """Further members that hold what is written."""
+    """The replicas of this ledger on other members."""
 
+    # Answers need not wait for records up to this one: a majority has them, or there is a gap.
     @property
-    def replicated_through(self) -> float: ...  # records up to this one stand at a majority, or need not be waited for
+    def replicated_through(self) -> float: ...
     @property
-    def in_gap(self) -> bool: ...  # they do not answer
-    def is_replicated(self, sequence: int) -> bool: ...  # at a majority, gap or not
-    def on_written(self, first: int, items: list[tuple[int, bytes]], answers: bool) -> None: ...  # some wait for them
+    def in_gap(self) -> bool: ...  # the replicas do not respond
+    def is_replicated(self, sequence: int) -> bool: ...  # a majority has this record, whether there is a gap or not
+    # Records were written from the sequence ``first`` on; ``answers``: some answers wait for them.
+    def on_written(self, first: int, items: list[tuple[int, bytes]], answers: bool) -> None: ...
     def on_exported(self, sink: str, name: str, digest: bytes) -> None: ...
 
 
-Lists = tuple[list[str], list[str]]  # clubs and classes, by which rows are numbered
+RowLists = tuple[list[str], list[str]]  # clubs and classes, whose indexes make up a row number
 
 
 class Ticket:
-    """A claim and what became of it."""
+    """Refers to a claim, so that its delivery and late runs can be recorded."""
 
     __slots__ = ("book", "due_ms", "lists", "marked", "period", "row", "sequence")
 
-    def __init__(self, row: int, lists: Lists, due_ms: float) -> None:
-        self.due_ms = due_ms  # of its answer, by the steady clock
+    def __init__(self, row: int, lists: RowLists, due_ms: float) -> None:
+        self.due_ms = due_ms  # deadline of its answer, by the steady clock
         self.row, self.lists, self.sequence, self.period, self.marked = row, lists, 0, 0, False
-        self.book: UsageAccounts | None = None  # that it was written to
+        self.book: UsageAccounts | None = None  # the accounts that the claim was written to
 
 
-Waits = tuple[Ticket, Claim, Callable[[], object] | None]
+QueuedClaim = tuple[Ticket, Claim, Callable[[], object] | None]  # the callable delivers the answer
 
 
 class Ledger:
-    """``limits`` say what the disk is to do for an answer; what it is told is decided in ``storage/commit.py``."""
+    """Writes the ledger's records and delivers answers when their claims are stored.
+
+    ``limits`` say how far a claim must be stored before its answer is sent. When the log is synced, and when a segment
+    begins, is decided in ``storage/commit.py``.
+    """
 
     def __init__(
         self,
         folder: LedgerFolder,
         grace_ms: int,
         limits: CommitLimits,
-        refuse: bool,
+        reject_on_disk_failure: bool,
         retention_ms: float,
         sinks: list[str],
         clock: LedgerClock,
         wall_ms: Callable[[], float],
         steady_ms: Callable[[], float],
-        say: EventLogger,
+        log_event: EventLogger,
     ) -> None:
         self.folder, self.accounts = folder, folder.accounts
-        self.keeper = LedgerPolicy(folder.accounts, grace_ms)
+        self.policy = LedgerPolicy(folder.accounts, grace_ms)
         self.commit = Commit(limits, folder.log.following - 1)
-        self.refuse, self.retention_ms, self.sinks = refuse, retention_ms, sinks
-        self.clock, self.wall_ms, self.steady_ms, self.say = clock, wall_ms, steady_ms, say
-        self.claims: list[Waits] = []  # not written yet
+        self.reject_on_disk_failure, self.retention_ms, self.sinks = reject_on_disk_failure, retention_ms, sinks
+        self.clock, self.wall_ms, self.steady_ms, self.log_event = clock, wall_ms, steady_ms, log_event
+        self.claims: list[QueuedClaim] = []  # not written yet
         self.delivered: list[Ticket] = []  # not marked yet
         self.undelivered: list[Ticket] = []
-        self.late: list[LateRun] = []
-        self.row_lists: Lists = (folder.accounts.state.clubs, folder.accounts.state.classes)
-        self.listed: RowListsChanged | None = None  # not written yet
-        # Answers that wait until their claim stands on the disk and at other members, by sequence.
-        self.held: deque[tuple[int, Waits]] = deque()
-        self.synced: float = -1.0  # what the disk has told of that
+        self.late_runs: list[LateRun] = []
+        self.row_lists: RowLists = (folder.accounts.state.clubs, folder.accounts.state.classes)
+        self.new_row_lists: RowListsChanged | None = None  # not written yet
+        # Answers that wait until their claim is on the disk and on other members, by sequence.
+        self.pending_answers: deque[tuple[int, QueuedClaim]] = deque()
+        self.synced_through: float = -1.0  # claims up to this sequence are on the disk
         self.replication: Replication | None = None
-        self.marking = False  # a flush of marks is due
-        self.due = False  # a flush is due in this turn of the loop
-        self.backlog: list[tuple[int, bytes]] | None = None  # what came after the snapshot that closes a gap
-        self.operation: Operation | None = None  # the disk's next
-        self.changed_disk = anyio.Event()  # there is one, or one has ended
+        self.mark_flush_scheduled = False  # ``_flush_marks`` will be called
+        self.flush_scheduled = False  # ``_flush`` will be called in this iteration of the event loop
+        self.backlog: list[tuple[int, bytes]] | None = None  # records since the snapshot that ends a gap
+        self.disk_operation: Operation | None = None  # the next one
+        self.disk_changed = anyio.Event()  # an operation was set or has ended
         self.timer: asyncio.Handle | None = None
-        self.wakes_ms = math.inf  # when it is due
-        self.snapshot_due: tuple[int, bytes] | None = None  # of the segment that was begun last
-        self.turn_ms = 0  # the end of the period of now
-        self.steps: list[int] = []  # of the clock, not told yet
-        self.retired_ms = -math.inf
-        self.on_documents_published: Callable[[], object] = lambda: None  # documents stand that did not before
+        self.wake_at_ms = math.inf  # when the timer fires
+        self.pending_snapshot: tuple[int, bytes] | None = None  # sequence and data, of the segment that was begun last
+        self.period_end_ms = 0  # of the current period
+        self.unrecorded_steps_ms: list[int] = []  # steps of the clock that have no record yet
+        self.last_retired_ms = -math.inf
+        self.on_documents_published: Callable[[], object] = lambda: None
         self.on_folder_switched: Callable[[], object] = lambda: None
 
     @property
     def rejects_work(self) -> bool:
-        """New work is not to be taken: it could not be booked."""
-        return self.refuse and (
+        """New work must be rejected, because it could not be recorded."""
+        return self.reject_on_disk_failure and (
             self.commit.gap is not None or (self.replication is not None and self.replication.in_gap)
         )
 
-    # What the node tells.
+    # Calls of the node.
 
     def claim(
         self,
@@ -186,70 +192,75 @@
         deliver: Callable[[], object] | None,
         due_ms: float = math.inf,
     ) -> Ticket:
-        """UsageAccounts a final answer, and deliver it once that is written."""
+        """Record a final answer, and deliver it once the record is stored. ``due_ms`` is the answer's deadline."""
         ticket = Ticket(row, self.row_lists, due_ms)
         self.claims.append((ticket, Claim(id_, row, flags, run_us, calls, bytes_in, bytes_out), deliver))
-        if not self.due:
+        if not self.flush_scheduled:
             self._flush_soon()
         return ticket
 
     def mark_delivery(self, ticket: Ticket, arrived: bool) -> None:
-        """The answer has left, or its caller went before it had."""
+        """Record that the answer was sent (``arrived``), or that its caller disconnected before."""
         if not ticket.marked:
             ticket.marked = True
             if ticket.book is not None and ticket.book is not self.accounts:
-                return  # another member goes on with that ledger: there the claim is in doubt
+                return  # another member continues that ledger, where the claim is in doubt
             (self.delivered if arrived else self.undelivered).append(ticket)
-            if not self.due and not self.marking:  # no hurry: the next claim takes it along
-                self.marking = True
-                asyncio.get_running_loop().call_later(MARK_S, self._flush_marks)
+            if not self.flush_scheduled and not self.mark_flush_scheduled:  # it may be written with the next claim
+                self.mark_flush_scheduled = True
+                asyncio.get_running_loop().call_later(MARK_DELAY_S, self._flush_marks)
 
     def add_late_run(self, ticket: Ticket, run_us: int, calls: int) -> None:
+        """Record a run that ended after its request's final answer."""
         row = ticket.row if ticket.lists is self.row_lists else renumber_row(ticket.row, ticket.lists, self.row_lists)
-        self.late.append(LateRun(ticket.period or self.accounts.state.current or 0, row, run_us, calls))
-        if not self.due:
+        self.late_runs.append(LateRun(ticket.period or self.accounts.state.current or 0, row, run_us, calls))
+        if not self.flush_scheduled:
             self._flush_soon()
 
     def _flush_soon(self) -> None:
-        self.due = True
+        self.flush_scheduled = True
         asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush_marks(self) -> None:
-        self.marking = False
-        if not self.due and (self.delivered or self.undelivered):
+        self.mark_flush_scheduled = False
+        if not self.flush_scheduled and (self.delivered or self.undelivered):
             self._flush()
 
     def set_row_lists(self, clubs: list[str], classes: list[str]) -> None:
-        """Number rows by these lists from now on. What is booked and not written yet goes over to them; tickets that
-        are out are known by the lists of their claim."""
+        """Number rows by these lists from now on.
+
+        Claims that are not written yet are renumbered; each ticket remembers the lists of its claim.
+        """
         before, self.row_lists = self.row_lists, (clubs, classes)
         self.claims = [
             (ticket, structs.replace(claim, row=renumber_row(claim.row, before, self.row_lists)), deliver)
             for ticket, claim, deliver in self.claims
         ]
-        self.late = [structs.replace(late, row=renumber_row(late.row, before, self.row_lists)) for late in self.late]
-        self.listed = RowListsChanged(clubs, classes)
-        if not self.due:
+        self.late_runs = [
+            structs.replace(late, row=renumber_row(late.row, before, self.row_lists)) for late in self.late_runs
+        ]
+        self.new_row_lists = RowListsChanged(clubs, classes)
+        if not self.flush_scheduled:
             self._flush_soon()
 
     # Writing.
 
     def _flush(self) -> None:
-        self.due = False
+        self.flush_scheduled = False
         if self.commit.stalls:
-            self._do(self.commit.handle(self.steady_ms(), Stalled()))
+            self._perform(self.commit.handle(self.steady_ms(), Stalled()))
             return
-        if self._now() >= self.turn_ms:
-            self._tell(Tick())
+        if self._ledger_time() >= self.period_end_ms:
+            self._handle_event(Tick())
         claims, self.claims = self.claims, []
         delivered, self.delivered = self.delivered, []
         undelivered, self.undelivered = self.undelivered, []
-        late, self.late = self.late, []
+        late_runs, self.late_runs = self.late_runs, []
         sequence, period = self.folder.log.following, self.accounts.state.current or 0
         entries: list[Entry] = []
-        if self.listed is not None:  # before all that is numbered by it
-            entries.append(self.listed)
-            sequence, self.listed = sequence + 1, None
+        if self.new_row_lists is not None:  # before the records that are numbered by it
+            entries.append(self.new_row_lists)
+            sequence, self.new_row_lists = sequence + 1, None
         for ticket, claim, _ in claims:
             ticket.sequence, ticket.period, ticket.book = sequence, period, self.accounts
             sequence += 1
@@ -263,13 +274,13 @@
                     [ticket.sequence - base for ticket in undelivered],
                 )
             )
-        entries += late
-        holds = self.commit.limits.holds or self.replication is not None
-        if holds:  # before the write, which may tell that they are not to wait
-            self.held += [(one[0].sequence, one) for one in claims if one[2] is not None]
+        entries += late_runs
+        wait_for_storage = self.commit.limits.holds or self.replication is not None
+        if wait_for_storage:  # before the write, which may already release them
+            self.pending_answers += [(queued[0].sequence, queued) for queued in claims if queued[2] is not None]
         if entries:
             self._write(entries, len(claims))
-        if holds:
+        if wait_for_storage:
             self.release_answers()
             return
         for _, _, deliver in claims:
@@ -277,7 +288,7 @@
                 deliver()
 
     def _write(self, entries: list[Entry], requests: int = 0) -> None:
-        """Write and apply; where the disk refuses, apply alone."""
+        """Write records and apply them; during a gap, only apply them."""
         log, items = self.folder.log, [pack(entry) for entry in entries]
         first = log.following
         actions: list[CommitAction] = []
@@ -290,80 +301,83 @@
             log.following = first + len(items)
             if self.backlog is not None:
                 self.backlog += items
-                if len(self.backlog) > BACKLOG_MOST:  # the next try begins with a snapshot of all again
+                if len(self.backlog) > MAX_BACKLOG_RECORDS:  # the next attempt begins with a new snapshot
                     self.backlog = None
         self.folder.apply(first, entries)
         if self.replication is not None:
             self.replication.on_written(first, items, requests > 0)
         actions += self.commit.wrote(self.steady_ms(), first + len(items) - 1, log.size, requests)
         if actions:
-            self._do(actions)
+            self._perform(actions)
 
-    def _do(self, actions: list[CommitAction]) -> None:
-        """What the commit says; an operation of the disk is left to ``work``."""
+    def _perform(self, actions: list[CommitAction]) -> None:
+        """Perform actions of the group commit; disk operations are left to ``run_disk_operation``."""
         for action in actions:
             match action:
                 case Sync() | BeginSegment() | Reopen():
-                    self.operation = action
-                    self._disk_changed()
+                    self.disk_operation = action
+                    self._notify_disk_changed()
                 case Release(upto):
-                    self.synced = self.synced if upto == math.inf else upto
+                    self.synced_through = self.synced_through if upto == math.inf else upto
                     self.release_answers()
                 case Write():
-                    if not self.due:
+                    if not self.flush_scheduled:
                         self._flush_soon()
                 case WakeAt(at_ms):
                     self._wake_at(at_ms)
                 case GapBegan(cause):
-                    self.say(
+                    self.log_event(
                         "error",
                         "usage.disk_refused",
                         cause=cause,
-                        then="new work is refused" if self.refuse else "booked in memory",
+                        then="new work is rejected" if self.reject_on_disk_failure else "use is recorded in memory",
                     )
-                    self._disk_changed()
+                    self._notify_disk_changed()
                 case GapEnded(since_ms, requests, cause):
-                    ago_ms = self.steady_ms() - since_ms
-                    self._tell(DiskRecovered(int(self._now() - ago_ms), requests, cause))
-                    self.say("info", "usage.disk_back", requests_in_memory=requests)
+                    elapsed_ms = self.steady_ms() - since_ms
+                    self._handle_event(DiskRecovered(int(self._ledger_time() - elapsed_ms), requests, cause))
+                    self.log_event("info", "usage.disk_back", requests_in_memory=requests)
                 case StillRefused(cause):
-                    self.say("warning", "usage.disk_still_refuses", cause=cause)
+                    self.log_event("warning", "usage.disk_still_refuses", cause=cause)
 
     def earliest_deadline_ms(self) -> float:
-        """When the first of the answers that wait must leave."""
-        return min((one[0].due_ms for _, one in self.held), default=math.inf)
+        """Return the earliest deadline of the answers that wait."""
+        return min((queued[0].due_ms for _, queued in self.pending_answers), default=math.inf)
 
     def release_answers(self) -> None:
-        """Let go of answers whose claims stand where they must."""
-        held, upto = self.held, self.replication.replicated_through if self.replication is not None else math.inf
+        """Deliver the answers whose claims are stored as far as the limits require."""
+        waiting, upto = (
+            self.pending_answers,
+            self.replication.replicated_through if self.replication is not None else math.inf,
+        )
         if self.commit.limits.holds and self.commit.gap is None:
-            upto = min(upto, self.synced)
-        while held and held[0][0] <= upto:
-            deliver = held.popleft()[1][2]
+            upto = min(upto, self.synced_through)
+        while waiting and waiting[0][0] <= upto:
+            deliver = waiting.popleft()[1][2]
             if deliver is not None:
                 deliver()
 
     def _wake_at(self, at_ms: float) -> None:
         if self.timer is not None:
-            if self.wakes_ms <= at_ms:
+            if self.wake_at_ms <= at_ms:
                 return
             self.timer.cancel()
-        # The time is kept here: what uvloop gives for under 0.5 ms is no timer, and knows none.
-        self.wakes_ms = at_ms
-        delay = max(0.0, at_ms - self.steady_ms()) / 1000
-        self.timer = asyncio.get_running_loop().call_later(delay, self._woken)
+        # The time is stored here: for less than 0.5 ms uvloop returns no timer, and that handle has no time.
+        self.wake_at_ms = at_ms
+        delay_s = max(0.0, at_ms - self.steady_ms()) / 1000
+        self.timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
 
-    def _woken(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
-        self._do(self.commit.handle(self.steady_ms(), Woken()))
+        self._perform(self.commit.handle(self.steady_ms(), Woken()))
 
-    def _disk_changed(self) -> None:
-        changed, self.changed_disk = self.changed_disk, anyio.Event()
+    def _notify_disk_changed(self) -> None:
+        changed, self.disk_changed = self.disk_changed, anyio.Event()
         changed.set()
 
-    async def work(self) -> None:
-        """Do the disk's next operation, if there is one."""
-        operation, self.operation = self.operation, None
+    async def run_disk_operation(self) -> None:
+        """Run the next disk operation, if there is one."""
+        operation, self.disk_operation = self.disk_operation, None
         if operation is None:
             return
         event: Done | Refused = Done()
@@ -378,70 +392,73 @@
                     await self._reopen()
         except (OSError, BrokenError) as error:
             event = Refused(str(error))
-        except BaseException:  # cancelled by the exit: what it was to do is still owed, and done again by `close`
+        except BaseException:  # cancelled by the exit: the operation is still pending, and ``close`` repeats it
             if commit is self.commit:
-                self.operation = operation
+                self.disk_operation = operation
             raise
         if commit is not self.commit:
-            return  # of a ledger that another member has
+            return  # the operation belonged to a ledger that another member has taken over
         self.backlog = None
-        self._do(self.commit.handle(self.steady_ms(), event))
-        self._disk_changed()
+        self._perform(self.commit.handle(self.steady_ms(), event))
+        self._notify_disk_changed()
 
     async def _begin_segment(self) -> None:
-        """Keep the book as it stands now: recovery will begin there."""
+        """Begin a segment, and remember the current accounts as the snapshot from which recovery begins."""
         folder, sequence, data = self.folder, self.accounts.state.sequence, self.folder.snapshot_now()
         await anyio.to_thread.run_sync(folder.log.begin, sequence + 1)
         if folder is self.folder:
-            self.snapshot_due = sequence, data
+            self.pending_snapshot = sequence, data
 
     async def _reopen(self) -> None:
+        """End a gap: write a snapshot, begin a segment, and append the records since the snapshot."""
         log, sequence, data = self.folder.log, self.accounts.state.sequence, self.folder.snapshot_now()
         self.backlog, log.broken = [], True
         await anyio.to_thread.run_sync(self.folder.write_snapshot, sequence, data)
         await anyio.to_thread.run_sync(log.begin, sequence + 1)
         if self.backlog is None:
-            raise TimeoutError(f"over {BACKLOG_MOST:,} records came while it was tried")
-        after, log.following = log.following, sequence + 1
+            raise TimeoutError(f"over {MAX_BACKLOG_RECORDS:,} records arrived during the attempt")
+        following, log.following = log.following, sequence + 1
         try:
             if self.backlog:
                 log.append(self.backlog)
         finally:
-            log.following = after
+            log.following = following
 
-    async def _operation_ends(self) -> None:
-        changed = self.changed_disk
-        if self.operation is not None:
-            await self.work()
+    async def _wait_for_disk_operation(self) -> None:
+        """Run the next disk operation, or wait until one was set or has ended."""
+        changed = self.disk_changed
+        if self.disk_operation is not None:
+            await self.run_disk_operation()
         else:
             await changed.wait()
 
-    async def _writable(self) -> None:
-        """Nothing is written while a segment is begun."""
+    async def _wait_until_writable(self) -> None:
+        """Wait while a segment is begun, during which nothing may be written."""
         while self.commit.stalls:
-            await self._operation_ends()
-
-    async def _synced(self) -> bool:
-        """All that is written is synced; False in a gap, and where another ledger has begun meanwhile."""
-        wanted, commit = self.accounts.state.sequence, self.commit
-        self._do(commit.handle(self.steady_ms(), SyncWanted(wanted)))
-        while commit is self.commit and commit.gap is None and commit.synced < wanted:
-            await self._operation_ends()
+            await self._wait_for_disk_operation()
+
+    async def _sync_all(self) -> bool:
+        """Sync all records; return False during a gap, and if another ledger has begun meanwhile."""
+        last_sequence, commit = self.accounts.state.sequence, self.commit
+        self._perform(commit.handle(self.steady_ms(), SyncWanted(last_sequence)))
+        while commit is self.commit and commit.gap is None and commit.synced < last_sequence:
+            await self._wait_for_disk_operation()
         return commit is self.commit and commit.gap is None
 
-    def _now(self) -> float:
+    def _ledger_time(self) -> float:
+        """Return the ledger's time; report and record steps of the system's clock."""
         now, step = self.clock.read(self.wall_ms(), self.steady_ms())
         if step is not None:
-            self.say("warning", "usage.clock_stepped", by_ms=step.by_ms)
-            self.steps.append(step.by_ms)
-        while self.steps and not self.commit.stalls:
-            self._tell(ClockAdjusted(self.steps.pop(0)), now)
+            self.log_event("warning", "usage.clock_stepped", by_ms=step.by_ms)
+            self.unrecorded_steps_ms.append(step.by_ms)
+        while self.unrecorded_steps_ms and not self.commit.stalls:
+            self._handle_event(ClockAdjusted(self.unrecorded_steps_ms.pop(0)), now)
         return now
 
-    def _tell(self, event: PolicyEvent, now: float | None = None) -> Reply | None:
-        """Have the keeper decide, and do what it says."""
+    def _handle_event(self, event: PolicyEvent, now: float | None = None) -> Reply | None:
+        """Pass an event to the policy and perform its actions; return its reply, if there is one."""
         reply = None
-        for action in self.keeper.handle(self._now() if now is None else now, event):
+        for action in self.policy.handle(self._ledger_time() if now is None else now, event):
             match action:
                 case Append(entry):
                     self._write([entry])
@@ -449,138 +466,146 @@
                     reply = action
         state = self.accounts.state
         if state.current is not None:
-            self.turn_ms = state.current + state.periods[state.current].length
+            self.period_end_ms = state.current + state.periods[state.current].length
         return reply
 
-    # Its tasks.
+    # Tasks.
 
     async def run(self) -> None:
-        """Until cancelled."""
-        self._tell(Tick())
+        """Run the ledger's tasks until cancelled."""
+        self._handle_event(Tick())
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._work_on)
+            tasks.start_soon(self._run_disk_operations)
             while True:
                 await self.tick()
-                await anyio.sleep(TICK_S)
+                await anyio.sleep(TICK_INTERVAL_S)
 
-    async def _work_on(self) -> None:
+    async def _run_disk_operations(self) -> None:
         while True:
-            changed = self.changed_disk
-            if self.operation is None:
+            changed = self.disk_changed
+            if self.disk_operation is None:
                 await changed.wait()
-            await self.work()
+            await self.run_disk_operation()
 
     async def tick(self) -> None:
-        """Turn and close periods, publish documents, take corrections, keep snapshots, remove what is past."""
-        await self._writable()
-        self._tell(Tick())
+        """Rotate and close periods, publish documents, process corrections, write snapshots, remove expired files."""
+        await self._wait_until_writable()
+        self._handle_event(Tick())
         if self.commit.gap is not None:
-            self._do(self.commit.handle(self.steady_ms(), Woken()))
-        await self._documents()
-        await self._inbox()
-        await self._snapshot()
-        now = self._now()
-        if now - self.retired_ms >= RETIRE_INTERVAL_MS:
-            self.retired_ms = now
-            await self._retire()
-
-    async def _snapshot(self) -> None:
-        due, self.snapshot_due = self.snapshot_due, None
-        if due is None:
+            self._perform(self.commit.handle(self.steady_ms(), Woken()))
+        await self._publish_documents()
+        await self._process_inbox()
+        await self._write_pending_snapshot()
+        now = self._ledger_time()
+        if now - self.last_retired_ms >= RETIRE_INTERVAL_MS:
+            self.last_retired_ms = now
+            await self._retire_files()
+
+    async def _write_pending_snapshot(self) -> None:
+        pending, self.pending_snapshot = self.pending_snapshot, None
+        if pending is None:
             return
         try:
-            await anyio.to_thread.run_sync(self.folder.write_snapshot, *due)
-        except OSError as error:  # the log alone holds all: the next one is tried with the next segment
-            self.say("warning", "usage.snapshot_failed", cause=str(error))
-
-    async def _documents(self) -> None:
-        made, book, wanted = list(self.accounts.state.documents), self.accounts, self.accounts.state.sequence
-        # The record that made a document must not be lost where the document stands.
-        if not made or not await self._synced() or book is not self.accounts:
+            await anyio.to_thread.run_sync(self.folder.write_snapshot, *pending)
+        except OSError as error:  # the log has all records; the next segment brings a new snapshot
+            self.log_event("warning", "usage.snapshot_failed", cause=str(error))
+
+    async def _publish_documents(self) -> None:
+        unpublished, accounts, last_sequence = (
+            list(self.accounts.state.documents),
+            self.accounts,
+            self.accounts.state.sequence,
+        )
+        # A published document must not outlive the record that made it.
+        if not unpublished or not await self._sync_all() or accounts is not self.accounts:
             return
-        if self.replication is not None and not self.replication.is_replicated(wanted):
-            return  # nobody exports what another may close in another way
+        if self.replication is not None and not self.replication.is_replicated(last_sequence):
+            return  # not exported while another member may still close the period differently
         try:
-            number = await anyio.to_thread.run_sync(self.folder.write_documents, made)
+            number = await anyio.to_thread.run_sync(self.folder.write_documents, unpublished)
         except OSError as error:
-            self.say("error", "usage.document_failed", cause=str(error))
+            self.log_event("error", "usage.document_failed", cause=str(error))
             return
-        await self._writable()
-        if book is not self.accounts:
+        await self._wait_until_writable()
+        if accounts is not self.accounts:
             return
-        self._tell(DocumentsPublished(number))
-        for document in made:
-            self.say("info", "usage.document", name=document.name, bytes=len(document.data))
+        self._handle_event(DocumentsPublished(number))
+        for document in unpublished:
+            self.log_event("info", "usage.document", name=document.name, bytes=len(document.data))
         self.on_documents_published()
 
-    async def _inbox(self) -> None:
+    async def _process_inbox(self) -> None:
         files, folder = self.folder.files, self.folder.folder
         try:
-            handed_in = [name for name in files.names(folder / "inbox") if name.endswith(".json")]
+            submitted = [name for name in files.names(folder / "inbox") if name.endswith(".json")]
         except OSError as error:
-            self.say("error", "usage.inbox_failed", name="", cause=str(error))
+            self.log_event("error", "usage.inbox_failed", name="", cause=str(error))
             return
-        for name in handed_in[:INBOX_MOST]:
+        for name in submitted[:MAX_CORRECTIONS_PER_TICK]:
             path = folder / "inbox" / name
             try:
-                await self._writable()
+                await self._wait_until_writable()
                 reply = self.correct(files.read(path))
-                told = {"taken": reply.taken, "text": reply.text}
-                await self._synced()
+                result = {"taken": reply.taken, "text": reply.text}
+                await self._sync_all()
                 await anyio.to_thread.run_sync(
-                    partial(snapshot.publish, files, folder / "replies" / name, json.dumps(told).encode())
+                    partial(snapshot.publish, files, folder / "replies" / name, json.dumps(result).encode())
                 )
                 files.remove(path)
             except OSError as error:
-                self.say("error", "usage.inbox_failed", name=name, cause=str(error))
+                self.log_event("error", "usage.inbox_failed", name=name, cause=str(error))
 
     def correct(self, data: bytes) -> Reply:
-        """Take a correction as it was handed in."""
+        """Process a submitted correction."""
         try:
-            asked = from_json(data)
-            base = with_closed_totals(self.folder.files, self.folder.folder, self.accounts, asked)
+            request = from_json(data)
+            completed = with_closed_totals(self.folder.files, self.folder.folder, self.accounts, request)
         except (ValueError, snapshot.DamagedError) as error:
             return Reply(False, str(error))
-        reply = self._tell(base)
+        reply = self._handle_event(completed)
         assert reply is not None
-        self.say("info", "usage.correction", id=asked.id, taken=reply.taken, text=reply.text, author=asked.author)
+        self.log_event(
+            "info", "usage.correction", id=request.id, taken=reply.taken, text=reply.text, author=request.author
+        )
         return reply
 
     def write_empty_record(self) -> None:
-        """A record that changes nothing: the first under an epoch that was raised."""
+        """Write a record that changes nothing, as the first one under a raised epoch."""
         self._write([Published(0)])
 
     def switch_folder(self, folder: LedgerFolder) -> None:
-        """Another member goes on with the ledger so far: from now on this one is written, whose rows are numbered by
-        ``lists``. Claims whose answers have not left are booked here; those that have, and bear no mark, are in doubt
-        there."""
-        again = [one for _, one in self.held]
-        for ticket, _, _ in again:
+        """Continue in a new ledger, because another member continues the present one.
+
+        Rows of the new ledger are numbered by ``row_lists``. Claims whose answers have not been sent are recorded in
+        the new ledger. Claims whose answers were sent, and that have no mark, are in doubt in the old one.
+        """
+        unsent = [queued for _, queued in self.pending_answers]
+        for ticket, _, _ in unsent:
             ticket.book = None
-        self.held.clear()
-        self.claims = again + self.claims
+        self.pending_answers.clear()
+        self.claims = unsent + self.claims
         self.delivered = [ticket for ticket in self.delivered if ticket.book is None]
         self.undelivered = [ticket for ticket in self.undelivered if ticket.book is None]
-        self.folder, self.accounts, self.listed = folder, folder.accounts, None
-        self.keeper = LedgerPolicy(folder.accounts, self.keeper.grace_ms)
+        self.folder, self.accounts, self.new_row_lists = folder, folder.accounts, None
+        self.policy = LedgerPolicy(folder.accounts, self.policy.grace_ms)
         self.commit = Commit(self.commit.limits, folder.log.following - 1)
-        self.snapshot_due = self.backlog = self.operation = None
-        self.turn_ms, self.synced = 0, -1.0
-        self._tell(Tick())
-        self._disk_changed()
+        self.pending_snapshot = self.backlog = self.disk_operation = None
+        self.period_end_ms, self.synced_through = 0, -1.0
+        self._handle_event(Tick())
+        self._notify_disk_changed()
         self._flush_soon()
         self.on_folder_switched()
 
     async def _end_gap(self) -> None:
-        """Have what was booked in memory stand on the disk, however often that refuses."""
+        """Try until the use that was recorded in memory is on the disk."""
         while self.commit.gap is not None:
-            self._do(self.commit.handle(self.steady_ms(), Leaving()))
-            await self._operation_ends()
-            await anyio.sleep(CLOSE_AGAIN_S)
+            self._perform(self.commit.handle(self.steady_ms(), Leaving()))
+            await self._wait_for_disk_operation()
+            await anyio.sleep(CLOSE_RETRY_S)
 
-    async def _retire(self) -> None:
+    async def _retire_files(self) -> None:
         try:
-            gone = await anyio.to_thread.run_sync(
+            removal = await anyio.to_thread.run_sync(
                 retire,
                 self.folder.files,
                 self.folder.folder,
@@ -590,27 +615,27 @@
                 self.accounts.state.closed_to,
             )
         except (OSError, snapshot.DamagedError) as error:
-            self.say("warning", "usage.retire_failed", cause=str(error))
+            self.log_event("warning", "usage.retire_failed", cause=str(error))
             return
-        if gone.documents or gone.segments:
-            self.say("info", "usage.retired", documents=len(gone.documents), segments=len(gone.segments))
-        if gone.retired_before_ms is not None:
-            await self._writable()
-            self._tell(DocumentsRetired(gone.retired_before_ms))
+        if removal.documents or removal.segments:
+            self.log_event("info", "usage.retired", documents=len(removal.documents), segments=len(removal.segments))
+        if removal.retired_before_ms is not None:
+            await self._wait_until_writable()
+            self._handle_event(DocumentsRetired(removal.retired_before_ms))
 
     async def close(self) -> None:
-        """The node leaves in good order: all is written, nothing is in doubt."""
-        with anyio.move_on_after(CLOSE_S):
+        """Stop cleanly: write all records, so that nothing is in doubt."""
+        with anyio.move_on_after(CLOSE_TIMEOUT_S):
             while self.commit.under_way is not None:
-                await self._operation_ends()
+                await self._wait_for_disk_operation()
         self._flush()
-        with anyio.move_on_after(CLOSE_S):
+        with anyio.move_on_after(CLOSE_TIMEOUT_S):
             await self._end_gap()
         if self.commit.gap is None:
-            self._write([Ended(int(self._now()))])
-        with anyio.move_on_after(CLOSE_S):  # the disk may have refused that record: the snapshot that follows holds it
+            self._write([Ended(int(self._ledger_time()))])
+        with anyio.move_on_after(CLOSE_TIMEOUT_S):  # if the disk refused that record, the next snapshot has it
             await self._end_gap()
         if self.timer is not None:
             self.timer.cancel()
-        with anyio.move_on_after(CLOSE_S):
+        with anyio.move_on_after(CLOSE_TIMEOUT_S):
             await anyio.to_thread.run_sync(self.folder.close, abandon_on_cancel=True)
--- a/tests/usage/test_ledger_leaves.py
+++ b/tests/usage/test_ledger_leaves.py
@@ -1,16 +1,9 @@
-"""A ledger that is closed in the middle of an operation of its disk ends whole, and soon.
+"""A ledger that is closed during a disk operation must close quickly and lose nothing.
 
-What happened: found by reading, while a start on a refusing disk was traced; then by these tests. A node that leaves
-cancels the task that works on the disk, and closes the ledger.
-
-Sequence: a sync, or the snapshot that ends a gap, is under way in a thread. The cancellation comes; the thread's
-result is thrown away. Closing waits 2 s for an operation that nobody does any more, three times in a gap, and what was
-booked in memory meanwhile is lost, though the disk takes it again.
-
-Cause: `Ledger.work` took the operation as its own and forgot it when it was cancelled, while `Commit` went on to take
-it for under way.
-
-What settled it: 2.0 s and 6.0 s for `close`, and a life without its end, with a disk that takes all.
+A node that stops cancels the task that runs disk operations, and closes the ledger. If a sync, or the snapshot that
+ends a gap, was running in a thread, its result was dropped: `Ledger.run_disk_operation` forgot the cancelled operation
+while `Commit` still took it for running. `close` then waited 2 s for it, three times in a gap (2.0 s and 6.0 s in all),
+wrote no clean end, and lost the use that was recorded in memory, although the disk accepted writes again.
 """
 
 from __future__ import annotations
@@ -30,69 +23,69 @@
 
 pytestmark = pytest.mark.anyio
 
-SOON_S = 1.0  # the drain ends 0.25 s before the kill; a disk that takes all must not be what costs the rest
+MAX_CLOSE_S = 1.0  # the drain ends 0.25 s before the kill, and a working disk must not use up the rest
 
 
 class SlowSync:
-    """Syncs of the log wait until they are let go."""
+    """Makes syncs of the log wait until ``may_continue`` is set."""
 
     def __init__(self, monkeypatch):
-        self.begun, self.go_on = threading.Event(), threading.Event()
-        sync = SimFile.sync
+        self.sync_began, self.may_continue = threading.Event(), threading.Event()
+        original_sync = SimFile.sync
 
-        def slow(file):
-            self.begun.set()
-            self.go_on.wait(5)
-            sync(file)
+        def slow_sync(file):
+            self.sync_began.set()
+            self.may_continue.wait(5)
+            original_sync(file)
 
-        monkeypatch.setattr(SimFile, "sync", slow)
+        monkeypatch.setattr(SimFile, "sync", slow_sync)
 
 
-async def cancelled_in_the_middle(ledger, slow):
-    task = asyncio.create_task(ledger.work())
-    await asyncio.to_thread(slow.begun.wait, 5)
+async def cancel_disk_operation(ledger, slow_sync):
+    task = asyncio.create_task(ledger.run_disk_operation())
+    await asyncio.to_thread(slow_sync.sync_began.wait, 5)
     task.cancel()
-    slow.go_on.set()
+    slow_sync.may_continue.set()
     with contextlib.suppress(asyncio.CancelledError):
         await task
 
 
-async def closed_in(ledger):
-    ledger.due = False
-    began = time.monotonic()
+async def close_and_time(ledger):
+    ledger.flush_scheduled = False
+    began_s = time.monotonic()
     await ledger.close()
-    return time.monotonic() - began
+    return time.monotonic() - began_s
 
 
-async def test_a_sync_that_the_exit_cancelled_is_made_again(monkeypatch):
+async def test_a_sync_that_was_cancelled_at_exit_is_repeated(monkeypatch):
     files = SimFiles()
-    life = SimulatedLedger(files, START_MS)
-    await life.tick()
-    slow = SlowSync(monkeypatch)
-    life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
-    life.ledger._flush()
-    assert life.ledger.operation is not None
-    await cancelled_in_the_middle(life.ledger, slow)
-    assert await closed_in(life.ledger) < SOON_S
-    book, _, _ = load(files, FOLDER)
-    assert book.state.ended
-
-
-async def test_what_was_booked_in_a_gap_is_written_though_the_exit_cancelled_its_snapshot(monkeypatch):
+    simulated = SimulatedLedger(files, START_MS)
+    await simulated.tick()
+    slow_sync = SlowSync(monkeypatch)
+    simulated.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
+    simulated.ledger._flush()
+    assert simulated.ledger.disk_operation is not None
+    await cancel_disk_operation(simulated.ledger, slow_sync)
+    assert await close_and_time(simulated.ledger) < MAX_CLOSE_S
+    accounts, _, _ = load(files, FOLDER)
+    assert accounts.state.ended
+
+
+async def test_use_recorded_in_a_gap_is_written_although_its_snapshot_was_cancelled_at_exit(monkeypatch):
     files = SimFiles()
-    life = SimulatedLedger(files, START_MS, reopen_ms=10.0)
-    await life.tick()
-    files.refuse = {files.count + place: errno.ENOSPC for place in range(1, 1000)}
-    life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
-    life.ledger._flush()
-    assert life.ledger.commit.gap is not None
+    simulated = SimulatedLedger(files, START_MS, reopen_ms=10.0)
+    await simulated.tick()
+    files.refuse = {files.count + offset: errno.ENOSPC for offset in range(1, 1000)}
+    simulated.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
+    simulated.ledger._flush()
+    assert simulated.ledger.commit.gap is not None
     files.refuse = {}
-    life.at_ms += 100
-    slow = SlowSync(monkeypatch)
-    life.ledger._woken()
-    assert life.ledger.operation is not None
-    await cancelled_in_the_middle(life.ledger, slow)
-    assert await closed_in(life.ledger) < SOON_S
-    book, _, _ = load(files, FOLDER)
-    assert book.state.ended
-    assert sum(row[0] for period in book.state.periods.values() for row in period.rows.values()) == 1
+    simulated.at_ms += 100
+    slow_sync = SlowSync(monkeypatch)
+    simulated.ledger._on_timer()
+    assert simulated.ledger.disk_operation is not None
+    await cancel_disk_operation(simulated.ledger, slow_sync)
+    assert await close_and_time(simulated.ledger) < MAX_CLOSE_S
+    accounts, _, _ = load(files, FOLDER)
+    assert accounts.state.ended
+    assert sum(row[0] for period in accounts.state.periods.values() for row in period.rows.values()) == 1
--- a/tests/usage/test_ledger_refusals.py
+++ b/tests/usage/test_ledger_refusals.py
@@ -1,10 +1,9 @@
-"""A ledger goes on while its disk refuses single writes.
+"""A ledger must continue while its disk refuses single writes.
 
-What happened: with 5 of 1,000 writes refused, `usage.disk_refused` came 16 times in three rounds of a fleet of five.
-Each begins a gap of a second, in which use stands in memory alone, and new work is refused where `on-disk-failure`
-says so.
-
-Cause: one refused write was taken for a disk that refuses, as by the copies' store; the next write would go well.
+With 5 of 1,000 writes refused, `usage.disk_refused` was logged 16 times in three rounds of a cluster of five. Each
+begins a gap of a second, during which use is only in memory, and new work is rejected where `on-disk-failure` says so.
+The cause was that one refused write counted as a failed disk, as in the replicas' store, although the next write would
+have succeeded.
 """
 
 from __future__ import annotations
@@ -22,26 +21,26 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
-async def test_a_single_refused_write_is_no_gap_and_refuses_no_work(error):
+async def test_a_single_refused_write_makes_no_gap_and_rejects_no_work(error):
     files = SimFiles()
-    life = SimulatedLedger(files, START_MS, durability="process-death", refuse=True)
-    await life.tick()
+    simulated = SimulatedLedger(files, START_MS, durability="process-death", reject_on_disk_failure=True)
+    await simulated.tick()
     files.refuse = {files.count + 1: error}
-    life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
-    life.ledger._flush()
-    assert not life.ledger.rejects_work
-    assert "usage.disk_refused" not in [event for event, _ in life.told]
-    book, reach, _ = load(files, FOLDER)
+    simulated.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
+    simulated.ledger._flush()
+    assert not simulated.ledger.rejects_work
+    assert "usage.disk_refused" not in [event for event, _ in simulated.events]
+    accounts, reach, _ = load(files, FOLDER)
     assert reach.torn == 0
-    assert sum(row[0] for period in book.state.periods.values() for row in period.rows.values()) == 1
+    assert sum(row[0] for period in accounts.state.periods.values() for row in period.rows.values()) == 1
 
 
-async def test_a_disk_that_refuses_twice_is_a_gap_and_refuses_work():
+async def test_repeatedly_refused_writes_make_a_gap_and_reject_work():
     files = SimFiles()
-    life = SimulatedLedger(files, START_MS, durability="process-death", refuse=True)
-    await life.tick()
-    files.refuse = {files.count + place: errno.ENOSPC for place in (1, 2, 3)}
-    life.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
-    life.ledger._flush()
-    assert life.ledger.rejects_work
-    assert "usage.disk_refused" in [event for event, _ in life.told]
+    simulated = SimulatedLedger(files, START_MS, durability="process-death", reject_on_disk_failure=True)
+    await simulated.tick()
+    files.refuse = {files.count + offset: errno.ENOSPC for offset in (1, 2, 3)}
+    simulated.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
+    simulated.ledger._flush()
+    assert simulated.ledger.rejects_work
+    assert "usage.disk_refused" in [event for event, _ in simulated.events]
