--- a/flintshift/usage/export_driver.py
+++ b/flintshift/usage/export_driver.py
@@ -1,8 +1,9 @@
-"""Drives the exporter: finds documents without an acknowledgement, delivers them, keeps the acknowledgements.
+"""Runs the exporter: finds documents without an acknowledgement, delivers them, and stores the acknowledgements.
 
-An acknowledgement is a file of its own, published whole and durable, so that a death at any point costs at most
-one more delivery under the same name. One exporter works on a folder at a time (a lock, which goes with the
-process), and each has an epoch above all before it, which a billing system can hold against one that was cut off.
+Each acknowledgement is a file of its own, written completely and durably, so that a crash at any point costs at most
+one more delivery under the same name. One exporter works on a folder at a time: it holds a lock that ends with its
+process. Each exporter has an epoch above all earlier ones, by which a billing system can reject an exporter that was
+replaced without knowing it.
 """
 
 from __future__ import annotations
@@ -36,41 +37,50 @@
 from flintshift.usage.sinks import Sink
 
 EPOCH_KIND = 33
-LOOK_MS = 5000.0  # between two looks for new documents, if nobody tells of one
+POLL_INTERVAL_MS = 5000.0  # between two searches for new documents, if nothing requests one
 
 
 class ExportDriver:
-    """``run`` returns once nothing is left where ``until_done``; else it goes on until cancelled."""
+    """The task of an exporter on one folder.
+
+    With ``until_done``, ``run`` returns once nothing is left to deliver; else it runs until it is cancelled.
+    """
 
     def __init__(
         self,
         files: Files,
         folder: Path,
         sinks: Mapping[str, Sink],
-        pace: DeliveryConfig,
+        config: DeliveryConfig,
         draw: Callable[[], float],
         now_ms: Callable[[], float],
-        say: EventLogger,
+        log_event: EventLogger,
         until_done: bool = False,
         epoch: int | None = None,
-        noted: Callable[[str, str, bytes], object] = lambda sink, name, digest: None,
+        on_acknowledged: Callable[[str, str, bytes], object] = lambda sink, name, digest: None,
     ) -> None:
-        """``epoch`` None: counted in the folder, from 1. ``noted`` is told of each acknowledgement."""
-        self.files, self.folder, self.sinks, self.say = files, folder, sinks, say
-        self.now_ms, self.until_done, self.given_epoch, self.noted = now_ms, until_done, epoch, noted
-        self.heart = Exporter(list(sinks), pace, draw, now_ms())
+        """Without ``epoch``, epochs are counted in the folder, from 1. ``on_acknowledged`` gets acknowledgements."""
+        self.files, self.folder, self.sinks, self.log_event = files, folder, sinks, log_event
+        self.now_ms, self.until_done, self.given_epoch, self.on_acknowledged = (
+            now_ms,
+            until_done,
+            epoch,
+            on_acknowledged,
+        )
+        self.exporter = Exporter(list(sinks), config, draw, now_ms())
         self.epoch = 0
-        self.wake_ms = math.inf
+        self.wake_at_ms = math.inf
         self.changed = anyio.Event()
 
     def request_check(self) -> None:
-        """There may be new documents."""
+        """Search for new documents now."""
         self.changed.set()
 
     def next_epoch(self) -> int:
-        """
+        """Count the folder's epoch up, durably, and return it.
+
         Raises:
-            DamagedError: the file that holds it can't be read.
+            DamagedError: the file that contains it can't be read.
         """
         path, last = self.folder / "EXPORT", 0
         if path.name in self.files.names(self.folder):
@@ -79,9 +89,10 @@
         return last + 1
 
     async def run(self) -> None:
-        """
+        """Export documents.
+
         Raises:
-            LockedError: another exporter works on the folder, and this one is not to wait for it.
+            LockedError: another exporter works on the folder, and ``until_done`` is set, so this one doesn't wait.
         """
         while True:
             try:
@@ -90,88 +101,95 @@
             except LockedError:
                 if self.until_done:
                     raise
-                await anyio.sleep(LOOK_MS / 1000)
+                await anyio.sleep(POLL_INTERVAL_MS / 1000)
         try:
             for sink in self.sinks:
                 self.files.make_folder(self.folder / "acks" / sink)
                 snapshot.sweep(self.files, self.folder / "acks" / sink)
             self.epoch = self.next_epoch() if self.given_epoch is None else self.given_epoch
-            self.say("info", "export.begins", epoch=self.epoch, sinks=list(self.sinks))
+            self.log_event("info", "export.begins", epoch=self.epoch, sinks=list(self.sinks))
             async with anyio.create_task_group() as tasks:
-                while await self._turn(tasks):
+                while await self._run_cycle(tasks):
                     pass
         finally:
             lock.close()
             with anyio.CancelScope(shield=True):
-                for used in self.sinks.values():
-                    await used.close()
+                for opened_sink in self.sinks.values():
+                    await opened_sink.close()
 
-    async def _turn(self, tasks: TaskGroup) -> bool:
-        """Find, deliver, wait; False when all is done and that was the task."""
+    async def _run_cycle(self, tasks: TaskGroup) -> bool:
+        """Find documents, start deliveries, and wait; return False when ``until_done`` is set and all is delivered."""
         self.changed = anyio.Event()
-        left = await anyio.to_thread.run_sync(unacknowledged, self.files, self.folder, list(self.sinks))
-        for sink, names in left.items():
-            for name in order(names):
-                self._tell(tasks, DocumentFound(sink, name))
-        self._tell(tasks, Tick())
-        if self.until_done and self.heart.done:
+        missing = await anyio.to_thread.run_sync(unacknowledged, self.files, self.folder, list(self.sinks))
+        for sink, names in missing.items():
+            for name in delivery_order(names):
+                self._handle(tasks, DocumentFound(sink, name))
+        self._handle(tasks, Tick())
+        if self.until_done and self.exporter.done:
             return False
-        wait_ms = min(max(self.wake_ms - self.now_ms(), 1.0), LOOK_MS)
-        self.wake_ms = math.inf
+        wait_ms = min(max(self.wake_at_ms - self.now_ms(), 1.0), POLL_INTERVAL_MS)
+        self.wake_at_ms = math.inf
         with anyio.move_on_after(wait_ms / 1000):
             await self.changed.wait()
         return True
 
-    def _tell(self, tasks: TaskGroup, event: ExportEvent) -> None:
-        for action in self.heart.handle(self.now_ms(), event):
+    def _handle(self, tasks: TaskGroup, event: ExportEvent) -> None:
+        """Pass an event to the exporter and perform its actions."""
+        for action in self.exporter.handle(self.now_ms(), event):
             match action:
                 case Deliver(sink, name, attempt):
                     tasks.start_soon(self._deliver, tasks, sink, name, attempt)
                 case Acknowledge(sink, name):
-                    self.say("info", "export.delivered", sink=sink, name=name)
+                    self.log_event("info", "export.delivered", sink=sink, name=name)
                     self.changed.set()
                 case Alarm(sink, name, text):
-                    self.say("error", "export.alarm", sink=sink, name=name, text=text)
+                    self.log_event("error", "export.alarm", sink=sink, name=name, text=text)
                 case WakeAt(at_ms):
-                    self.wake_ms = min(self.wake_ms, at_ms)
+                    self.wake_at_ms = min(self.wake_at_ms, at_ms)
                 case StopDelivery(sink):
-                    self.say("error", "export.stands", sink=sink)
+                    self.log_event("error", "export.stands", sink=sink)
 
     async def _deliver(self, tasks: TaskGroup, sink: str, name: str, attempt: int) -> None:
         path = self.folder / "documents" / name
         try:
             data = await anyio.to_thread.run_sync(self.files.read, path)
             documents.parse(data)
-            told: ExportEvent = await self.sinks[sink].deliver(name, data, self.epoch)
+            outcome: ExportEvent = await self.sinks[sink].deliver(name, data, self.epoch)
         except documents.DocumentError as error:
-            told = Rejected(sink, name, f"{path}: {error}")
+            outcome = Rejected(sink, name, f"{path}: {error}")
         except OSError as error:
-            told = NotDelivered(sink, name, str(error))
-        if isinstance(told, NotDelivered):
-            self.say("warning", "export.not_delivered", sink=sink, name=name, attempt=attempt, text=told.text)
-        elif isinstance(told, Delivered):
-            told = await self._acknowledge(told, data)
-        self._tell(tasks, told)
+            outcome = NotDelivered(sink, name, str(error))
+        if isinstance(outcome, NotDelivered):
+            self.log_event("warning", "export.not_delivered", sink=sink, name=name, attempt=attempt, text=outcome.text)
+        elif isinstance(outcome, Delivered):
+            outcome = await self._store_acknowledgement(outcome, data)
+        self._handle(tasks, outcome)
         self.changed.set()
 
-    async def _acknowledge(self, told: Delivered, data: bytes) -> Delivered | NotDelivered:
-        """Keep that the sink has it, before anything else is done for that; the disk may refuse."""
-        sink, name = told.sink, told.name
+    async def _store_acknowledgement(self, delivered: Delivered, data: bytes) -> Delivered | NotDelivered:
+        """Store durably that the sink has the document, before anything else is done about it.
+
+        Where the disk refuses, the document counts as not delivered.
+        """
+        sink, name = delivered.sink, delivered.name
         text = documents.compute_digest(data).hex().encode() + b"\n"
         try:
             await anyio.to_thread.run_sync(snapshot.publish, self.files, self.folder / "acks" / sink / name, text)
         except OSError as error:
-            return NotDelivered(sink, name, f"the acknowledgement can't be kept: {error}")
-        self.noted(sink, name, text)
-        return told
+            return NotDelivered(sink, name, f"the acknowledgement can't be stored: {error}")
+        self.on_acknowledged(sink, name, text)
+        return delivered
+
 
+def delivery_order(names: list[str]) -> list[str]:
+    """Sort document names by period and revision.
 
-def order(names: list[str]) -> list[str]:
-    """By period and revision, which is the order in which they were made but for corrections of older periods."""
+    This is the order in which they were made, except for corrections of older periods.
+    """
 
-    def key(name: str) -> tuple[str, int]:
-        found = documents.NAME_PATTERN.fullmatch(name)
-        assert found is not None
-        return found["period"], int(found["revision"])
+    def sort_key(name: str) -> tuple[str, int]:
+        match = documents.NAME_PATTERN.fullmatch(name)
+        assert match is not None
+        return match["period"], int(match["revision"])
 
-    return sorted(names, key=key)
+    return sorted(names, key=sort_key)
