--- a/flintshift/usage/reconcile.py
+++ b/flintshift/usage/reconcile.py
@@ -1,8 +1,8 @@
-"""Reconciliation: what is wrong among the documents of many nodes, and against a count of the callers' side. No I/O.
+"""Reconciliation: checks the documents of any number of nodes, and compares them with counts of the callers. No I/O.
 
-It finds documents that are missing or stand twice with other contents, chains that are broken, records that no
-document or two of them cover, periods that overlap, two lives of a node that share an epoch, and totals that
-differ. Each finding names the node, the period and the club it is about, and by how much.
+It finds documents that are missing or occur twice with different contents, broken chains of digests, records that no
+document or more than one covers, periods that overlap, two ledgers of a node that share an epoch, and totals that
+differ. Each finding names the node, the period and the club, and the size of a difference.
 """
 
 from __future__ import annotations
@@ -21,26 +21,28 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Finding:
+    """One inconsistency."""
+
     kind: str  # gap, overlap, chain, epoch, conflict, total
     node: str
-    period: str  # as documents are named by; empty where it is about more than one
+    period: str  # its begin, as in document names; empty if it concerns more than one
     club: str
     text: str
-    by: int = 0  # requests, where it is about a total: documents minus count
+    by: int = 0  # of a total: requests in documents minus requests counted
 
     def __str__(self) -> str:
         where = " ".join(filter(None, (self.node, self.period, self.club)))
         return f"{self.kind}: {where}: {self.text}"
 
 
-def check_documents(found: Iterable[tuple[str, bytes, pb.UsageDocument]]) -> list[Finding]:
-    """Findings among documents, each given as (where it was read, its bytes, itself)."""
+def check_documents(sources: Iterable[tuple[str, bytes, pb.UsageDocument]]) -> list[Finding]:
+    """Check documents against each other. Each is given as (where it was read, its bytes, the decoded document)."""
     findings: list[Finding] = []
-    folders: dict[tuple[str, bytes], dict[int, tuple[bytes, pb.UsageDocument]]] = defaultdict(dict)
+    ledgers: dict[tuple[str, bytes], dict[int, tuple[bytes, pb.UsageDocument]]] = defaultdict(dict)
     epochs: dict[tuple[str, int], set[bytes]] = defaultdict(set)
-    for where, data, document in found:
+    for where, data, document in sources:
         digest = documents.compute_digest(data)
-        known = folders[document.node, document.life].setdefault(document.number, (digest, document))
+        known = ledgers[document.node, document.life].setdefault(document.number, (digest, document))
         if known[0] != digest:
             findings.append(
                 Finding(
@@ -64,15 +66,16 @@
                     + ", ".join(sorted(life.hex()[:8] for life in lives)),
                 )
             )
-    for (node, _), by_number in folders.items():
+    for (node, _), by_number in ledgers.items():
         ordered = [by_number[number] for number in sorted(by_number)]
-        findings += _chain(node, ordered)
-        findings += _cover(node, [document for _, document in ordered if document.revision == 0])
-        findings += _below_zero(node, [document for _, document in ordered])
+        findings += _check_chain(node, ordered)
+        findings += _check_coverage(node, [document for _, document in ordered if document.revision == 0])
+        findings += _find_negative_totals(node, [document for _, document in ordered])
     return sorted(set(findings))
 
 
-def _chain(node: str, ordered: list[tuple[bytes, pb.UsageDocument]]) -> list[Finding]:
+def _check_chain(node: str, ordered: list[tuple[bytes, pb.UsageDocument]]) -> list[Finding]:
+    """Check that a ledger's documents, in their order, are numbered without gaps and chained by their digests."""
     findings = []
     first = ordered[0][1]
     if first.number > 1:
@@ -121,7 +124,8 @@
     return findings
 
 
-def _cover(node: str, closed: list[pb.UsageDocument]) -> list[Finding]:
+def _check_coverage(node: str, closed: list[pb.UsageDocument]) -> list[Finding]:
+    """Check that a ledger's closed periods neither overlap nor leave records out."""
     findings = []
     for before, document in pairwise(closed):
         end, begin = before.period_ms + before.length_ms, document.period_ms
@@ -159,39 +163,42 @@
     return findings
 
 
-def _below_zero(node: str, all_: list[pb.UsageDocument]) -> list[Finding]:
+def _find_negative_totals(node: str, all_documents: list[pb.UsageDocument]) -> list[Finding]:
+    """Find rows of closed periods that add up, with all revisions, to less than zero."""
     by_period: dict[int, list[pb.UsageDocument]] = defaultdict(list)
-    for document in all_:
+    for document in all_documents:
         by_period[document.period_ms].append(document)
     return [
-        Finding("total", node, utc(period), names[0], f"{'/'.join(names[1:])} is below zero: {min(row)}", min(row))
-        for period, found in by_period.items()
-        if any(document.revision == 0 for document in found)
-        for names, row in documents.totals(found).items()
+        Finding("total", node, utc(period), key[0], f"{'/'.join(key[1:])} is below zero: {min(row)}", min(row))
+        for period, revisions in by_period.items()
+        if any(document.revision == 0 for document in revisions)
+        for key, row in documents.totals(revisions).items()
         if min(row) < 0
     ]
 
 
-Counted = Mapping[tuple[str, str, str], int]  # requests by node, period and club; an empty name stands for all
+CallerCounts = Mapping[tuple[str, str, str], int]  # requests by node, period and club; an empty name means all
+
 
+def compare_totals(sources: Iterable[pb.UsageDocument], counted: CallerCounts) -> list[Finding]:
+    """Compare the documents' totals with counts of the callers.
 
-def compare_totals(found: Iterable[pb.UsageDocument], counted: Counted) -> list[Finding]:
-    """Findings between the documents' totals and what callers counted. Callers that went and requests in doubt are
-    told beside a difference: they are what may explain it."""
-    kept = list(found)
+    A finding also gives the callers that disconnected and the requests in doubt, which may explain the difference.
+    """
+    all_documents = list(sources)
     findings = []
     for (node, period, club), count in sorted(counted.items()):
-        total = gone = doubt = 0
-        for document in kept:
+        total = disconnected = in_doubt = 0
+        for document in all_documents:
             if (node and document.node != node) or (period and utc(document.period_ms) != period):
                 continue
             for row in document.rows:
                 if not club or row.club == club:
                     if row.outcome == "gone":
-                        gone += row.amounts.requests
+                        disconnected += row.amounts.requests
                     else:
                         total += row.amounts.requests
-            doubt += sum(1 for entry in document.in_doubt if not club or entry.row.club == club)
+            in_doubt += sum(1 for entry in document.in_doubt if not club or entry.row.club == club)
         if total != count:
             findings.append(
                 Finding(
@@ -200,8 +207,8 @@
                     period,
                     club or "(all)",
                     (
-                        f"{total:,} booked, {count:,} counted: {total - count:+,} "
-                        f"({gone:,} callers went, {doubt:,} in doubt)"
+                        f"{total:,} recorded, {count:,} counted: {total - count:+,} "
+                        f"({disconnected:,} callers disconnected, {in_doubt:,} in doubt)"
                     ),
                     total - count,
                 )
@@ -210,14 +217,14 @@
 
 
 def parse_caller_counts(text: str) -> dict[tuple[str, str, str], int]:
-    """A caller-side count: CSV with the columns requests and any of node, period, club.
+    """Parse counts of the callers: CSV with the columns requests and any of node, period, club.
 
     Raises:
         ValueError: a line can't be used; the text names it.
     """
     reader = csv.DictReader(io.StringIO(text))
-    known = {"node", "period", "club", "requests"}
-    if not reader.fieldnames or "requests" not in reader.fieldnames or set(reader.fieldnames) - known:
+    allowed = {"node", "period", "club", "requests"}
+    if not reader.fieldnames or "requests" not in reader.fieldnames or set(reader.fieldnames) - allowed:
         raise ValueError(
             f"line 1: expected the columns requests and any of node, period, club; "
             f"found {', '.join(reader.fieldnames or ()) or 'nothing'}"
