--- a/flintshift/usage/documents.py
+++ b/flintshift/usage/documents.py
@@ -33,7 +33,7 @@
 
 
 def utc(ms: int) -> str:
-    """Format a time in milliseconds, as it stands in document names.
+    """Format a time in milliseconds, as in document names.
 
     >>> utc(0)
     '19700101T000000.000Z'
--- a/flintshift/usage/export_driver.py
+++ b/flintshift/usage/export_driver.py
@@ -1,7 +1,7 @@
 """Runs the exporter: finds documents without an acknowledgement, delivers them, and stores the acknowledgements.
 
 Each acknowledgement is a file of its own, written completely and durably, so that a crash at any point costs at most
-one more delivery under the same name. One exporter works on a folder at a time: it holds a lock that ends with its
+one more delivery under the same name. One exporter works on a folder at a time, under a lock that ends with its
 process. Each exporter has an epoch above all earlier ones, by which a billing system can reject an exporter that was
 replaced without knowing it.
 """
--- a/flintshift/usage/ledger.py
+++ b/flintshift/usage/ledger.py
@@ -73,7 +73,7 @@
 )
 
 TICK_INTERVAL_S = 0.25
-# An answer waits no longer than this for a disk that hangs: it has a deadline, and its run has been done.
+# An answer waits no longer than this for a disk that hangs: it has a deadline, and what was run must be answered.
 MAX_ANSWER_WAIT_MS = 250.0
 # A mark waits so long for claims to be written together with. A crash before that leaves its request in doubt.
 MARK_DELAY_S = 0.01
--- a/flintshift/usage/reconcile.py
+++ b/flintshift/usage/reconcile.py
@@ -54,16 +54,16 @@
                 )
             )
         epochs[document.node, document.epoch].add(document.life)
-    for (node, epoch), lives in epochs.items():
-        if len(lives) > 1:
+    for (node, epoch), ledger_ids in epochs.items():
+        if len(ledger_ids) > 1:
             findings.append(
                 Finding(
                     "epoch",
                     node,
                     "",
                     "",
-                    f"{len(lives)} ledgers share the epoch {epoch}: "
-                    + ", ".join(sorted(life.hex()[:8] for life in lives)),
+                    f"{len(ledger_ids)} ledgers share the epoch {epoch}: "
+                    + ", ".join(sorted(ledger_id.hex()[:8] for ledger_id in ledger_ids)),
                 )
             )
     for (node, _), by_number in ledgers.items():
--- a/flintshift/usage/records.py
+++ b/flintshift/usage/records.py
@@ -25,7 +25,7 @@
     """The node started. Earlier claims that have no mark are in doubt from here on."""
 
     node: str
-    life: bytes
+    life: bytes  # id of the ledger
     period_ms: int
     clubs: list[str]
     classes: list[str]
--- a/flintshift/usage/sinks.py
+++ b/flintshift/usage/sinks.py
@@ -94,7 +94,7 @@
                     async for chunk in response.aiter_bytes():
                         body += chunk
                         if len(body) > MAX_RESPONSE_BYTES:
-                            return NotDelivered("http", name, "the answer does not end")
+                            return NotDelivered("http", name, "the response does not end")
             return interpret_response(
                 name, digest.hex(), response.status_code, body, response.headers.get("retry-after", "")
             )
