--- a/benchmarks/kill_exporter.py
+++ b/benchmarks/kill_exporter.py
@@ -27,9 +27,9 @@
 from flintshift.storage.files import DiskFiles  # noqa: E402
 from flintshift.usage import documents  # noqa: E402
 from flintshift.usage.folder import LedgerFolder, unacknowledged  # noqa: E402
-from flintshift.usage.keeper import Keeper  # noqa: E402
-from flintshift.usage.messages import Append, CorrectionAsked, Tick  # noqa: E402
-from flintshift.usage.reconcile import check  # noqa: E402
+from flintshift.usage.messages import Append, CorrectionRequested, Tick  # noqa: E402
+from flintshift.usage.policy import LedgerPolicy  # noqa: E402
+from flintshift.usage.reconcile import check_documents  # noqa: E402
 from flintshift.usage.records import Claim, Ended, Marked, row_number  # noqa: E402
 
 CLUBS, CLASSES = ["muscat-striders", "sur-pacers"], ["standings", "submit-time"]
@@ -41,9 +41,9 @@
     holder = LedgerFolder(DiskFiles(), folder)
     now, served = 1_000_000, 0
     holder.open("n1", draw.randbytes(16), 1000, CLUBS, CLASSES, now)
-    keeper = Keeper(holder.book, 0)
+    keeper = LedgerPolicy(holder.accounts, 0)
 
-    def tell(event: Tick | CorrectionAsked) -> None:
+    def tell(event: Tick | CorrectionRequested) -> None:
         for action in keeper.handle(now, event):
             if isinstance(action, Append):
                 holder.append([action.entry])
@@ -53,20 +53,20 @@
         for _ in range(draw.randint(1, 20)):
             row = row_number(draw.randrange(2), draw.randrange(2), 2, 0, 0)
             holder.append([Claim(draw.randbytes(8), row, 0, draw.randrange(10_000), 1, 7, 20)])
-            holder.append([Marked(holder.book.state.sequence, [0], [])])
+            holder.append([Marked(holder.accounts.state.sequence, [0], [])])
             served += 1
         now += 1000
         tell(Tick())
     if draw.random() < 0.5:  # a late correction of a period that has closed
-        begin = documents.read(holder.book.state.documents[0].data).period_ms
-        before = holder.book.state.number
+        begin = documents.parse(holder.accounts.state.documents[0].data).period_ms
+        before = holder.accounts.state.number
         tell(
-            CorrectionAsked(
+            CorrectionRequested(
                 "c1", "op", "late", begin, CLUBS[0], CLASSES[0], "http", "served", (3, 0, 0, 0, 0, 0, 0), (0,) * 7, 1000
             )
         )
-        served += 3 * (holder.book.state.number - before)
-    holder.write_documents(holder.book.state.documents)
+        served += 3 * (holder.accounts.state.number - before)
+    holder.write_documents(holder.accounts.state.documents)
     holder.append([Ended(now)])
     holder.close()
     return served
@@ -137,8 +137,8 @@
         raise RuntimeError(f"seed {seed}: the last export ended with {last.returncode}")
     billing.stop()
     found = [(path.name, path.read_bytes()) for path in sorted(held.iterdir())]
-    read = [(name, data, documents.read(data)) for name, data in found]
-    assert check(read) == [] and billing.conflicts == 0, f"seed {seed}: {check(read)}"
+    read = [(name, data, documents.parse(data)) for name, data in found]
+    assert check_documents(read) == [] and billing.conflicts == 0, f"seed {seed}: {check_documents(read)}"
     return served, sum(row.amounts.requests for _, _, document in read for row in document.rows)
 
 
--- a/flintshift/cli/usage.py
+++ b/flintshift/cli/usage.py
@@ -17,7 +17,7 @@
 from flintshift.storage.files import DiskFiles, LockedError
 from flintshift.storage.snapshot import DamagedError, publish
 from flintshift.usage import documents
-from flintshift.usage.book import parted
+from flintshift.usage.accounts import split_row_key
 from flintshift.usage.documents import utc
 from flintshift.usage.folder import LedgerFolder, load, read_documents, unacknowledged
 from flintshift.usage.records import AMOUNTS, FRONTS, OUTCOMES
@@ -89,7 +89,7 @@
     book, _, found = load(FILES, folder)
     standing = {document.number: document for document in read_documents(FILES, folder).values()}
     for made in book.state.documents:
-        standing.setdefault(made.number, documents.read(made.data))
+        standing.setdefault(made.number, documents.parse(made.data))
     rows: list[dict[str, Any]] = []
     by_period: dict[int, list[Any]] = {}
     for document in standing.values():
@@ -112,12 +112,12 @@
         for entry in document.in_doubt
     ]
     doubt += [
-        {"id": id_.hex(), "period": utc(begin), "club": parted(key)[0]}
+        {"id": id_.hex(), "period": utc(begin), "club": split_row_key(key)[0]}
         for begin, part in sorted(book.state.periods.items())
         for id_, key, _ in part.doubted
     ]
     on_way = [
-        {"id": waiting.claim.id.hex(), "period": utc(waiting.period), "club": book.names_of(waiting.claim.row)[0]}
+        {"id": waiting.claim.id.hex(), "period": utc(waiting.period), "club": book.row_key(waiting.claim.row)[0]}
         for waiting in book.state.waiting.values()
     ]
     if as_json or form == "json":
@@ -188,7 +188,7 @@
         click.echo(f"warning: {warning}", err=True)
 
 
-def _rows(begin: int, state: str, totals: dict[documents.Names, list[int]]) -> list[dict[str, Any]]:
+def _rows(begin: int, state: str, totals: dict[documents.RowKey, list[int]]) -> list[dict[str, Any]]:
     return [
         {
             "period": utc(begin),
@@ -263,7 +263,7 @@
     import anyio
 
     from flintshift.usage.corrections import to_json
-    from flintshift.usage.messages import CorrectionAsked
+    from flintshift.usage.messages import CorrectionRequested
 
     amounts = [0] * len(AMOUNTS)
     for text in by:
@@ -271,7 +271,7 @@
         if name not in AMOUNTS or not found or not re.fullmatch(r"[+-]?\d{1,19}", value):
             raise click.UsageError(f"--by {text}: expected one of {', '.join(AMOUNTS)}, = and a whole number")
         amounts[AMOUNTS.index(name)] += int(value)
-    asked = to_json(CorrectionAsked(id_, author, reason, period, club, class_name, front, outcome, tuple(amounts)))
+    asked = to_json(CorrectionRequested(id_, author, reason, period, club, class_name, front, outcome, tuple(amounts)))
     if not re.fullmatch(r"[A-Za-z0-9._-]{1,64}", id_):
         raise click.UsageError("--id is 1 to 64 of A-Z a-z 0-9 . _ -")
     try:
@@ -297,7 +297,7 @@
             False,
             0.0,
             [],
-            LedgerClock(wall, 0.0, holder.book.state.last_ms),
+            LedgerClock(wall, 0.0, holder.accounts.state.last_ms),
             lambda: wall,
             lambda: 0.0,
             lambda *_, **__: None,
@@ -306,8 +306,8 @@
         if ledger.commit.gap is not None:
             return False, f"could not be written: {ledger.commit.gap.cause}"
         holder.log.sync()
-        if holder.book.state.documents:
-            holder.write_documents(holder.book.state.documents)
+        if holder.accounts.state.documents:
+            holder.write_documents(holder.accounts.state.documents)
         return reply.taken, reply.text
     finally:
         holder.close()
@@ -417,10 +417,10 @@
     """
     from dataclasses import asdict
 
-    from flintshift.usage.reconcile import check, compare, read_counted
+    from flintshift.usage.reconcile import check_documents, compare_totals, parse_caller_counts
 
     paths = [
-        inner for path in files for inner in (sorted(path.rglob(f"*{documents.ENDING}")) if path.is_dir() else [path])
+        inner for path in files for inner in (sorted(path.rglob(f"*{documents.SUFFIX}")) if path.is_dir() else [path])
     ]
     if not paths:
         fail("no documents there", 1)
@@ -429,16 +429,16 @@
         for path in progress:
             try:
                 data = path.read_bytes()
-                found.append((str(path), data, documents.read(data)))
+                found.append((str(path), data, documents.parse(data)))
             except (OSError, documents.DocumentError) as error:
                 faults.append(f"{path}: {error}")
     for fault in faults:
         click.echo(f"flintshift: {fault}", err=True)
-    findings = check(found)
+    findings = check_documents(found)
     if counted is not None:
-        once = {documents.digest_of(data): document for _, data, document in found}
+        once = {documents.compute_digest(data): document for _, data, document in found}
         try:
-            findings += compare(once.values(), read_counted(counted.read_text(encoding="utf-8")))
+            findings += compare_totals(once.values(), parse_caller_counts(counted.read_text(encoding="utf-8")))
         except (OSError, ValueError) as error:
             fail(f"{counted}: {error}", 2)
     if as_json:
--- a/flintshift/lifecycle/books.py
+++ b/flintshift/lifecycle/books.py
@@ -14,9 +14,17 @@
 from flintshift.storage.commit import CommitLimits
 from flintshift.storage.files import DiskFiles, Files
 from flintshift.usage.folder import LedgerFolder
-from flintshift.usage.ledger import HELD_MS, REOPEN_MS, Ledger
+from flintshift.usage.ledger import MAX_ANSWER_WAIT_MS, REOPEN_RETRY_MS, Ledger
 from flintshift.usage.periods import LedgerClock
-from flintshift.usage.records import AGAIN, FINAL, FRONTS, GONE, KEPT, OUTCOMES, row_number
+from flintshift.usage.records import (
+    FLAG_FURTHER_TRY,
+    FLAG_KEPT_RESULT,
+    FLAG_NO_ANSWER,
+    FRONTS,
+    GONE,
+    OUTCOMES,
+    row_number,
+)
 
 SERVED, POORER, REFUSED, FAILED = (OUTCOMES.index(word) for word in ("served", "poorer", "refused", "failed"))
 WORDS = {Verdict.SERVED: SERVED, Verdict.REFUSED: REFUSED, Verdict.FAILED: FAILED, Verdict.CONFLICT: FAILED}
@@ -73,11 +81,11 @@
         if lists != self.lists:
             self.lists = lists
             self._number()
-            self.ledger.list_as(*lists)
+            self.ledger.set_row_lists(*lists)
 
     @property
     def refusing(self) -> bool:
-        return self.ledger.refusing
+        return self.ledger.rejects_work
 
     def _row(self, attempt: Attempt, front: str) -> int:
         base = self.bases.get((attempt.tenant, attempt.class_name, front))
@@ -92,7 +100,7 @@
         attempt.ticket = self.ledger.claim(
             bytes.fromhex(attempt.id),
             self._row(attempt, front) + outcome,
-            (AGAIN if attempt.marked_repeat else 0) | (KEPT if attempt.reuses_result else 0),
+            (FLAG_FURTHER_TRY if attempt.marked_repeat else 0) | (FLAG_KEPT_RESULT if attempt.reuses_result else 0),
             int(attempt.run_ms * 1000),
             attempt.call_count,
             len(attempt.body),
@@ -103,17 +111,17 @@
 
     def record_delivery(self, attempt: Attempt, arrived: bool) -> None:
         if attempt.ticket is not None:
-            self.ledger.mark(attempt.ticket, arrived)
+            self.ledger.mark_delivery(attempt.ticket, arrived)
 
     def record_disconnect(self, attempt: Attempt, front: str) -> None:
         attempt.on_answer = nobody  # guards against a second claim, where it is answered all the same
         if attempt.ticket is not None:  # its answer was on its way
-            self.ledger.mark(attempt.ticket, False)
+            self.ledger.mark_delivery(attempt.ticket, False)
             return
         attempt.ticket = self.ledger.claim(
             bytes.fromhex(attempt.id),
             self._row(attempt, front) + GONE,
-            FINAL | (AGAIN if attempt.marked_repeat else 0) | (KEPT if attempt.reuses_result else 0),
+            FLAG_NO_ANSWER | (FLAG_FURTHER_TRY if attempt.marked_repeat else 0) | (FLAG_KEPT_RESULT if attempt.reuses_result else 0),
             int(attempt.run_ms * 1000),
             attempt.call_count,
             len(attempt.body),
@@ -123,7 +131,7 @@
 
     def record_late_run(self, attempt: Attempt, took_ms: float) -> None:
         if attempt.ticket is not None and took_ms > 0:
-            self.ledger.add_late(attempt.ticket, int(took_ms * 1000), 0)
+            self.ledger.add_late_run(attempt.ticket, int(took_ms * 1000), 0)
 
 
 def open_folder(
@@ -143,15 +151,17 @@
     """
     folder = LedgerFolder(files, options.folder)
     try:
-        found, last_ms = folder.found, folder.book.state.last_ms
+        found, last_ms = folder.recovery, folder.accounts.state.last_ms
         now = time.time() * 1000
         clock = LedgerClock(now, time.monotonic() * 1000, last_ms)
-        life = folder.book.state.life or os.urandom(16)
+        life = folder.accounts.state.life or os.urandom(16)
         if copied:
-            from flintshift.usage.replica import stood_before
+            from flintshift.usage.replica import position_before_grant
 
             reach = folder.reach
-            folder.before = stood_before(files, options.folder, life, (reach.epoch, reach.following - 1))
+            folder.granted_position = position_before_grant(
+                files, options.folder, life, (reach.epoch, reach.following - 1)
+            )
             if not reach.epoch:
                 folder.log.epoch = max(int(now / 1000), above + 1)
         folder.open(name, life, options.period_ms, *lists, int(max(now, last_ms)))
@@ -167,7 +177,7 @@
         epoch=folder.log.epoch,
         records=found.records,
         from_snapshot=found.from_snapshot,
-        torn_bytes=found.torn,
+        torn_bytes=found.truncated_bytes,
         in_doubt=found.in_doubt,
     )
     return folder, clock
@@ -196,8 +206,8 @@
         options.durability != "none",
         options.durability == "power-cut",
         options.sync_ms,
-        HELD_MS,
-        REOPEN_MS,
+        MAX_ANSWER_WAIT_MS,
+        REOPEN_RETRY_MS,
         options.segment_bytes,
     )
     return Ledger(
--- a/flintshift/lifecycle/exports.py
+++ b/flintshift/lifecycle/exports.py
@@ -14,9 +14,9 @@
 from flintshift.settings.options import ExportOptions, UsageOptions
 from flintshift.storage.files import DiskFiles, Files
 from flintshift.storage.snapshot import DamagedError
-from flintshift.usage.book import State
-from flintshift.usage.export import Pace
-from flintshift.usage.exporting import ExportRun
+from flintshift.usage.accounts import AccountsState
+from flintshift.usage.export_driver import ExportDriver
+from flintshift.usage.exporter import DeliveryConfig
 from flintshift.usage.ledger import Ledger
 from flintshift.usage.sinks import FolderSink, HttpSink, Sink
 
@@ -38,14 +38,14 @@
     log: Log,
     until_done: bool,
     files: Files | None = None,
-    copied: State | None = None,
+    copied: AccountsState | None = None,
     noted: Callable[[str, str, bytes], object] = lambda sink, name, digest: None,
-) -> ExportRun:
+) -> ExportDriver:
     """``copied``: the ledger's state, where further members hold it: whoever writes it exports under its epoch."""
     files = files or DiskFiles()
-    pace = Pace(options.backoff_ms, options.backoff_most_ms, options.attempts_per_hour)
+    pace = DeliveryConfig(options.backoff_ms, options.backoff_most_ms, options.attempts_per_hour)
     ledger = f"{copied.node}.{copied.life.hex()}" if copied is not None else ""
-    return ExportRun(
+    return ExportDriver(
         files,
         folder,
         sinks_of(options, files, ledger),
@@ -66,19 +66,19 @@
 
     async def run() -> None:
         while True:
-            copies = ledger.copies
+            copies = ledger.replication
             export = export_run(
                 usage.folder,
                 options,
                 log,
                 False,
                 ledger.folder.files,
-                ledger.book.state if copies is not None else None,
-                copies.exported if copies is not None else lambda sink, name, digest: None,
+                ledger.accounts.state if copies is not None else None,
+                copies.on_exported if copies is not None else lambda sink, name, digest: None,
             )
-            ledger.changed = export.look
+            ledger.on_documents_published = export.request_check
             with anyio.CancelScope() as turn:
-                ledger.began_anew = turn.cancel
+                ledger.on_folder_switched = turn.cancel
                 try:
                     await export.run()
                 except* (OSError, DamagedError) as errors:
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -21,14 +21,14 @@
 from flintshift.replication.placement import Placement
 from flintshift.settings.options import UsageOptions
 from flintshift.usage import replica as on_disk
-from flintshift.usage.ledger import HELD_MS, RETIRE_MS, Ledger
+from flintshift.usage.ledger import MAX_ANSWER_WAIT_MS, RETIRE_INTERVAL_MS, Ledger
 
 AGAIN_MS = 2000.0  # between two looks for members that are in reach and do not follow
 SPARE_MS = 100.0  # before its due time, an answer waits for copies no longer: a tick may be late
 
 
 class UseCopies:
-    """``usage.ledger.Copies`` of this member's ledger. ``holder`` has the copies of the others' here."""
+    """``usage.ledger.Replication`` of this member's ledger. ``holder`` has the copies of the others' here."""
 
     def __init__(self, name: str, placement: Placement, usage: UsageOptions, holder: HeldCopies) -> None:
         self.name, self.placement, self.usage, self.holder = name, placement, usage, holder
@@ -52,26 +52,26 @@
 
     def write(self, ledger: Ledger) -> None:
         """Copy this ledger from now on."""
-        self.ledger, ledger.copies = ledger, self
+        self.ledger, ledger.replication = ledger, self
         self._begin(ledger.folder.log.epoch)
 
     def _begin(self, epoch: int) -> None:
         assert self.ledger is not None
         folder = self.ledger.folder
-        own = self.holder.held_logs.own_log = self.name, folder.book.state.life
-        self.writer = self._writer_of(own, epoch, (epoch, folder.log.following - 1), folder.before)
+        own = self.holder.held_logs.own_log = self.name, folder.accounts.state.life
+        self.writer = self._writer_of(own, epoch, (epoch, folder.log.following - 1), folder.granted_position)
 
     def _writer_of(
         self, log: LogId, epoch: int, last: logs.LogPosition, before: logs.LogPosition | None = None
     ) -> LogWriter:
         holders = self.placement.log_holders(log[0])
         others = tuple(name for name in holders if name != self.name)
-        return LogWriter(log, epoch, last, others, len(holders) // 2, HELD_MS, before)
+        return LogWriter(log, epoch, last, others, len(holders) // 2, MAX_ANSWER_WAIT_MS, before)
 
     # The ledger's port.
 
     @property
-    def held(self) -> float:
+    def replicated_through(self) -> float:
         assert self.writer is not None
         return math.inf if self.writer.in_gap or not self.writer.needed_acks else self.writer.replicated_sequence
 
@@ -79,16 +79,16 @@
     def in_gap(self) -> bool:
         return self.writer is not None and self.writer.in_gap
 
-    def stands(self, sequence: int) -> bool:
+    def is_replicated(self, sequence: int) -> bool:
         assert self.writer is not None
         return not self.writer.fenced and (self.writer.replicated_sequence >= sequence or not self.writer.needed_acks)
 
-    def wrote(self, first: int, items: list[tuple[int, bytes]], answers: bool) -> None:
+    def on_written(self, first: int, items: list[tuple[int, bytes]], answers: bool) -> None:
         assert self.writer is not None
         if not self.writer.fenced:
             self._write(self.writer, self.writer.handle_written(self.now_ms(), first, tuple(items), answers))
 
-    def exported(self, sink: str, name: str, digest: bytes) -> None:
+    def on_exported(self, sink: str, name: str, digest: bytes) -> None:
         if self.writer is not None:
             self._tell_exported(self.writer, sink, name, digest)
 
@@ -136,16 +136,16 @@
             self.holder.read_again()
         own, ledger = self.writer, self.ledger
         if own is not None and ledger is not None and own.last[0] != own.epoch and not ledger.commit.stalls:
-            ledger.write_nothing()
+            ledger.write_empty_record()
         self.taken.go_on()
-        if now >= self.retired_ms + RETIRE_MS:
+        if now >= self.retired_ms + RETIRE_INTERVAL_MS:
             self.retired_ms = now
             self.holder.retire(self.sinks, self.usage.retention_ms)
 
     def _due_ms(self) -> float:
         """When an answer that waits must leave, by the steady clock."""
         assert self.ledger is not None
-        return self.ledger.due_ms() - SPARE_MS
+        return self.ledger.earliest_deadline_ms() - SPARE_MS
 
     # What the writers answer.
 
@@ -163,7 +163,7 @@
                         self.log("error", "usage.copy_not_filled", name=member, cause=str(error))
                 case logs.Replicated():
                     if own and self.ledger is not None:
-                        self.ledger.release()
+                        self.ledger.release_answers()
                 case logs.GapBegan(cause):
                     self.counters.add("usage.copy_gaps")
                     self.log(
@@ -208,17 +208,17 @@
         """Keep whether the ledger's epoch is granted. Where the disk refuses, the ledger seems to lack something at its
         next start and is taken over: no harm is done."""
         try:
-            on_disk.keep_standing(
-                self.files, self.usage.folder, on_disk.Standing(writer.log[1], *writer.elected_position, elected)
+            on_disk.write_epoch_grant(
+                self.files, self.usage.folder, on_disk.EpochGrant(writer.log[1], *writer.elected_position, elected)
             )
         except OSError as error:
             self.log("error", "usage.copy_refused", ledger=self.name, cause=str(error))
 
     def _whole(self, writer: LogWriter) -> bytes:
         if writer is self.writer and self.ledger is not None:
-            return on_disk.whole_of(self.files, self.usage.folder, self.ledger.book, self.sinks)
+            return on_disk.snapshot_ledger(self.files, self.usage.folder, self.ledger.accounts, self.sinks)
         replica = self.holder.replicas[writer.log]
-        return on_disk.whole_of(self.files, replica.folder, replica.ledger.book, self.sinks)
+        return on_disk.snapshot_ledger(self.files, replica.folder, replica.ledger.accounts, self.sinks)
 
     def _begin_anew(self, cause: str) -> None:
         """Another member goes on with this member's ledger: one of its own begins. Tried again at each look while the
@@ -230,7 +230,7 @@
             if self.aside is None:
                 self.aside = before.set_aside()
             folder, ledger.clock = open_folder(
-                self.name, ledger.lists, self.usage, self.log, self.files, True, max(before.log.epoch, writer.epoch)
+                self.name, ledger.row_lists, self.usage, self.log, self.files, True, max(before.log.epoch, writer.epoch)
             )
         except REFUSED as error:
             self._not_begun(str(error))
@@ -241,13 +241,13 @@
             "usage.fenced",
             cause=cause,
             folder=str(self.aside),
-            records_not_held=max(0, before.book.state.sequence - writer.replicated_sequence),
+            records_not_held=max(0, before.accounts.state.sequence - writer.replicated_sequence),
             then="a ledger of its own begins; what stands in that folder is for people to look at",
         )
         self.fence, self.aside, self.not_begun = None, None, ""
         ledger.folder = folder
         self._begin(folder.log.epoch)
-        ledger.begin_anew(folder)
+        ledger.switch_folder(folder)
         for member in self.up:
             assert self.writer is not None
             self._write(self.writer, self.writer.set_reachable(member, True))
--- a/tests/replication/test_usage_replica_refusals.py
+++ b/tests/replication/test_usage_replica_refusals.py
@@ -20,7 +20,7 @@
 import msgspec
 import pytest
 from storage.sim_files import SimFiles
-from usage.test_ledger_stops import BEGIN, FOLDER, Life
+from usage.test_ledger_stops import FOLDER, START_MS, SimulatedLedger
 
 from flintshift.core.counters import Counters
 from flintshift.lifecycle.held_copies import HeldCopies
@@ -31,23 +31,23 @@
 from flintshift.replication.placement import Placement
 from flintshift.settings.options import CopiesOptions, UsageOptions
 from flintshift.usage import replica as on_disk
-from flintshift.usage.book import Book
+from flintshift.usage.accounts import UsageAccounts
 from flintshift.usage.folder import load
-from flintshift.usage.records import Opened, Turned, pack
+from flintshift.usage.records import Opened, Rotated, pack
 
 LOG = "n1", b"l" * 16
 WRITER = "n1#1"
 EPOCH = 5
 OPENED = pack(Opened("n1", LOG[1], 1000, ["a"], ["look"], 1_000_000))
-TURNED = pack(Turned(1_000_000, 1000))
+TURNED = pack(Rotated(1_000_000, 1000))
 
 
 def snapshot_of_first_record():
     """A snapshot of a ledger that has its first record only."""
-    book = Book()
+    book = UsageAccounts()
     book.apply(1, EPOCH, Opened("n1", LOG[1], 1000, ["a"], ["look"], 1_000_000))
     book.state.sequence = 1
-    return msgspec.msgpack.encode(on_disk.Whole(book.dump(), [], []))
+    return msgspec.msgpack.encode(on_disk.LedgerSnapshot(book.dump(), [], []))
 
 
 class Holder:
@@ -157,7 +157,7 @@
     assert holder.send(higher_join) is None  # nothing of it was persisted
     holder.files.refuse = {}
     assert holder.send(higher_join).verdict is logs.ReplicaVerdict.GRANTED
-    state = dict(on_disk.stands(holder.files, holder.copies.holder.folder)).popitem()[1]
+    state = dict(on_disk.list_replicas(holder.files, holder.copies.holder.folder)).popitem()[1]
     assert (state.promised, state.by) == (EPOCH + 1, WRITER)
 
 
@@ -245,8 +245,8 @@
     taken = holder.copies.taken.table[LOG]
     assert taken.writer.last == taken.replica.last
     assert taken.writer.last[0] == takeover_joins[0].epoch
-    assert not taken.replica.ledger.book.state.periods  # the open ones were closed
-    assert taken.replica.ledger.book.state.epoch == takeover_joins[0].epoch
+    assert not taken.replica.ledger.accounts.state.periods  # the open ones were closed
+    assert taken.replica.ledger.accounts.state.epoch == takeover_joins[0].epoch
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 1000])
@@ -286,11 +286,11 @@
 @pytest.mark.parametrize("count", [1, 3, 6, 1000])
 async def test_a_fenced_ledger_begins_anew_once_the_disk_works(count):
     """The disk's error was raised to the link on which the message had come, and the ledger was never written again."""
-    life = Life(SimFiles(), BEGIN)
+    life = SimulatedLedger(SimFiles(), START_MS)
     ledger = life.ledger
     holder = Holder(life.files, name="n1", folder=FOLDER)
     holder.copies.write(ledger)
-    former_life = ledger.book.state.life
+    former_life = ledger.accounts.state.life
     life.files.refuse = {life.files.count + operation: errno.ENOSPC for operation in range(1, count + 1)}
     writer = holder.copies.writer
     holder.copies.reach("n2", True)
@@ -301,9 +301,9 @@
     for _ in range(3):
         holder.now += 50.0
         holder.copies.tick()
-    assert ledger.book.state.life not in (b"", former_life)
-    assert holder.copies.writer.log == ("n1", ledger.book.state.life)
-    assert load(life.files, FOLDER)[0].state.life == ledger.book.state.life
+    assert ledger.accounts.state.life not in (b"", former_life)
+    assert holder.copies.writer.log == ("n1", ledger.accounts.state.life)
+    assert load(life.files, FOLDER)[0].state.life == ledger.accounts.state.life
 
 
 @pytest.mark.anyio
