--- a/flintshift/cli/usage.py
+++ b/flintshift/cli/usage.py
@@ -293,7 +293,7 @@
         ledger = Ledger(
             holder,
             0,
-            CommitLimits(syncs=False),
+            CommitLimits(sync_enabled=False),
             False,
             0.0,
             [],
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -133,7 +133,7 @@
             self.again_ms = now
             self.holder.read_again()
         own, ledger = self.writer, self.ledger
-        if own is not None and ledger is not None and own.last[0] != own.epoch and not ledger.commit.stalls:
+        if own is not None and ledger is not None and own.last[0] != own.epoch and not ledger.commit.writes_blocked:
             ledger.write_nothing()
         self.taken.go_on()
         if now >= self.retired_ms + RETIRE_MS:
--- a/flintshift/storage/commit.py
+++ b/flintshift/storage/commit.py
@@ -2,9 +2,9 @@
 
 The owner writes records by itself (one call of the system for all that came in one turn) and tells it here; it is
 told when to sync, to begin a segment, to release answers, and to take the disk for one that refuses. One operation
-is under way at a time. An answer waits for the disk no longer than ``held_ms``, whatever the disk does: what was run
-is answered. From then on, as after a refusal, there is a gap: records stand in memory alone until a snapshot of all is
-written and a new segment begun behind it.
+is under way at a time. An answer waits for the disk no longer than ``max_wait_ms``, whatever the disk does: what was
+run is answered. From then on, as after a refusal, there is a gap: records stand in memory alone until a snapshot of all
+is written and a new segment begun behind it.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitLimits:
-    syncs: bool = True  # records are synced within ``sync_ms``; else only where it is asked for
-    holds: bool = False  # answers wait for that sync
+    sync_enabled: bool = True  # records are synced within ``sync_ms``; else only where it is asked for
+    hold_answers: bool = False  # answers wait for that sync
     sync_ms: float = 50.0
-    held_ms: float = 250.0
-    reopen_ms: float = 1000.0  # between two tries to end a gap
+    max_wait_ms: float = 250.0
+    reopen_interval_ms: float = 1000.0  # between two tries to end a gap
     segment_bytes: int = 16 << 20
 
 
@@ -28,24 +28,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Woken:
+class TimerFired:
     """Time has passed."""
 
 
 @dataclass(frozen=True, slots=True)
-class Stalled:
+class WriteBlocked:
     """Something waits to be written while a segment is begun."""
 
 
 @dataclass(frozen=True, slots=True)
-class SyncWanted:
+class SyncRequested:
     """This sequence must be synced before its owner goes on."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class OperationFailed:
     """A write, or the operation that was under way, failed."""
 
     cause: str
@@ -53,16 +53,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class OperationCompleted:
     """The operation that was under way has ended well."""
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
+class ShuttingDown:
     """The process is about to end: a gap is to be ended now, not after the usual wait."""
 
 
-CommitEvent = Woken | Stalled | SyncWanted | Refused | Done | Leaving
+CommitEvent = TimerFired | WriteBlocked | SyncRequested | OperationFailed | OperationCompleted | ShuttingDown
 
 
 # Answered.
@@ -84,14 +84,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Release:
+class ReleaseAnswers:
     """Answers up to this sequence may leave."""
 
     upto: float
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
+class ResumeWrites:
     """What was stalled may be written now, or booked in memory where there is a gap."""
 
 
@@ -108,7 +108,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StillRefused:
+class ReopenFailed:
     cause: str
 
 
@@ -118,77 +118,77 @@
 
 
 Operation = Sync | BeginSegment | Reopen
-CommitAction = Operation | Release | Write | GapBegan | GapEnded | StillRefused | WakeAt
+CommitAction = Operation | ReleaseAnswers | ResumeWrites | GapBegan | GapEnded | ReopenFailed | WakeAt
 
 
 @dataclass(slots=True)
-class GapNow:
+class Gap:
     since_ms: float
     requests: int
     cause: str
 
 
-class Commit:
+class GroupCommit:
     """All times are of one steady clock."""
 
     def __init__(self, limits: CommitLimits, synced: int) -> None:
         self.limits = limits
         self.written = self.synced = synced  # sequences
         self.size = 0  # of the segment
-        self.under_way: Operation | None = None
+        self.operation_in_progress: Operation | None = None
         self.upto = 0  # what the sync under way covers
-        self.wanted = 0  # a sequence that somebody waits to see synced
+        self.requested = 0  # a sequence that somebody waits to see synced
         self.due_ms = math.inf  # of the next sync
-        self.holding: deque[tuple[int, float]] = deque()  # since when answers up to a sequence wait
+        self.waiting_answers: deque[tuple[int, float]] = deque()  # since when answers up to a sequence wait
         self.stalled_ms = math.inf  # since when something waits for a segment
         self.tried_ms = -math.inf
-        self.gap: GapNow | None = None
+        self.gap: Gap | None = None
 
     @property
-    def stalls(self) -> bool:
+    def writes_blocked(self) -> bool:
         """Nothing may be written now."""
-        return self.gap is None and isinstance(self.under_way, BeginSegment)
+        return self.gap is None and isinstance(self.operation_in_progress, BeginSegment)
 
-    def wrote(self, now_ms: float, sequence: int, size: int, requests: int) -> list[CommitAction]:
+    def on_write(self, now_ms: float, sequence: int, size: int, requests: int) -> list[CommitAction]:
         """Records up to this sequence stand in the segment, which has this size; or in memory, in a gap. Of them so
-        many are requests, whose answers wait where ``holds``. (No event: it comes with each write.)"""
+        many are requests, whose answers wait where ``hold_answers``. (No event: it comes with each write.)"""
         self.written, self.size = sequence, size
         if self.gap is not None:
             self.gap.requests += requests
             return []
-        if requests and self.limits.holds:
-            self.holding.append((sequence, now_ms))
+        if requests and self.limits.hold_answers:
+            self.waiting_answers.append((sequence, now_ms))
         if self.due_ms != math.inf and size < self.limits.segment_bytes:
             return []  # the wake-up for that sync is set, and comes before any answer has waited too long
-        if self.limits.syncs:
+        if self.limits.sync_enabled:
             self.due_ms = min(self.due_ms, now_ms + self.limits.sync_ms)
         return self._next(now_ms)
 
     def handle(self, now_ms: float, event: CommitEvent) -> list[CommitAction]:
         match event:
-            case Woken():
-                if self._waited_ms(now_ms) >= self.limits.held_ms:
-                    return self._begin_gap(now_ms, f"the disk hangs for {self.limits.held_ms:g} ms")
+            case TimerFired():
+                if self._waited_ms(now_ms) >= self.limits.max_wait_ms:
+                    return self._begin_gap(now_ms, f"the disk hangs for {self.limits.max_wait_ms:g} ms")
                 return self._next(now_ms)
-            case Stalled():
+            case WriteBlocked():
                 self.stalled_ms = min(self.stalled_ms, now_ms)
-                return [WakeAt(self.stalled_ms + self.limits.held_ms)]
-            case SyncWanted(sequence):
-                self.wanted = max(self.wanted, sequence)
+                return [WakeAt(self.stalled_ms + self.limits.max_wait_ms)]
+            case SyncRequested(sequence):
+                self.requested = max(self.requested, sequence)
                 return self._next(now_ms)
-            case Refused(cause, write):
+            case OperationFailed(cause, write):
                 over = None if write else self._over()
                 if isinstance(over, Reopen):
-                    return [StillRefused(cause), *self._next(now_ms)]
+                    return [ReopenFailed(cause), *self._next(now_ms)]
                 return self._begin_gap(now_ms, cause)
-            case Done():
+            case OperationCompleted():
                 return self._done(now_ms, self._over())
-            case Leaving():
+            case ShuttingDown():
                 self.tried_ms = -math.inf
                 return self._next(now_ms)
 
     def _over(self) -> Operation | None:
-        over, self.under_way = self.under_way, None
+        over, self.operation_in_progress = self.operation_in_progress, None
         return over
 
     def _done(self, now_ms: float, over: Operation | None) -> list[CommitAction]:
@@ -199,50 +199,50 @@
             actions.append(GapEnded(gap.since_ms, gap.requests, gap.cause))
         elif isinstance(over, Sync) and self.gap is None:
             self.synced = self.upto
-            while self.holding and self.holding[0][0] <= self.synced:
-                self.holding.popleft()
-            actions.append(Release(self.synced))
-            if self.written > self.synced and self.limits.syncs:
+            while self.waiting_answers and self.waiting_answers[0][0] <= self.synced:
+                self.waiting_answers.popleft()
+            actions.append(ReleaseAnswers(self.synced))
+            if self.written > self.synced and self.limits.sync_enabled:
                 self.due_ms = min(self.due_ms, now_ms + self.limits.sync_ms)
         elif isinstance(over, BeginSegment) and self.gap is None:
             self.stalled_ms, self.size = math.inf, 0
-            actions.append(Write())
+            actions.append(ResumeWrites())
         return actions + self._next(now_ms)
 
     def _begin_gap(self, now_ms: float, cause: str) -> list[CommitAction]:
         actions: list[CommitAction] = []
         if self.gap is None:
-            self.gap, self.tried_ms = GapNow(now_ms, 0, cause), now_ms
-            self.holding.clear()
+            self.gap, self.tried_ms = Gap(now_ms, 0, cause), now_ms
+            self.waiting_answers.clear()
             self.due_ms = self.stalled_ms = math.inf
-            actions = [GapBegan(cause), Release(math.inf), Write()]
+            actions = [GapBegan(cause), ReleaseAnswers(math.inf), ResumeWrites()]
         return actions + self._next(now_ms)
 
     def _waited_ms(self, now_ms: float) -> float:
-        since = min(self.holding[0][1] if self.holding else math.inf, self.stalled_ms)
+        since = min(self.waiting_answers[0][1] if self.waiting_answers else math.inf, self.stalled_ms)
         return now_ms - since if self.gap is None else -math.inf
 
     def _next(self, now_ms: float) -> list[CommitAction]:
         """The operation that is due, or when one will be."""
-        wakes = [one[1] + self.limits.held_ms for one in list(self.holding)[:1]]
-        if self.under_way is None:
+        wakes = [one[1] + self.limits.max_wait_ms for one in list(self.waiting_answers)[:1]]
+        if self.operation_in_progress is None:
             operation, at_ms = self._due(now_ms)
             if operation is not None:
-                self.under_way = operation
+                self.operation_in_progress = operation
                 return [operation, *map(WakeAt, wakes)]
             wakes.append(at_ms)
         return [WakeAt(at_ms) for at_ms in wakes if at_ms != math.inf]
 
     def _due(self, now_ms: float) -> tuple[Operation | None, float]:
         if self.gap is not None:
-            at_ms = self.tried_ms + self.limits.reopen_ms
+            at_ms = self.tried_ms + self.limits.reopen_interval_ms
             if now_ms < at_ms:
                 return None, at_ms
             self.tried_ms = now_ms
             return Reopen(), now_ms
         if self.size >= self.limits.segment_bytes:
             return BeginSegment(), now_ms
-        if self.wanted > self.synced or now_ms >= self.due_ms:
+        if self.requested > self.synced or now_ms >= self.due_ms:
             self.upto, self.due_ms = self.written, math.inf
             return Sync(), now_ms
         return None, self.due_ms
--- a/flintshift/usage/ledger.py
+++ b/flintshift/usage/ledger.py
@@ -2,8 +2,8 @@
 
 A claim is written before the answer leaves, and a mark once it has left; a death between them leaves the request
 in doubt, listed by its id, never silently either way. Claims and marks that come in one turn of the event loop are
-written by one call of the system (group commit). Where ``holds`` is set (durability power-cut) the answers also wait
-for the sync that follows within ``sync_ms``; else that sync runs behind them.
+written by one call of the system (group commit). Where ``hold_answers`` is set (durability power-cut) the answers also
+wait for the sync that follows within ``sync_ms``; else that sync runs behind them.
 
 Where the disk refuses, the book goes on in memory and the gap is told; what it holds is written as a snapshot as
 soon as the disk takes it again, so nothing is lost but by a death in between.
@@ -25,24 +25,24 @@
 from flintshift.storage import snapshot
 from flintshift.storage.commit import (
     BeginSegment,
-    Commit,
     CommitAction,
     CommitLimits,
-    Done,
     GapBegan,
     GapEnded,
-    Leaving,
+    GroupCommit,
     Operation,
-    Refused,
-    Release,
+    OperationCompleted,
+    OperationFailed,
+    ReleaseAnswers,
     Reopen,
-    Stalled,
-    StillRefused,
+    ReopenFailed,
+    ResumeWrites,
+    ShuttingDown,
     Sync,
-    SyncWanted,
+    SyncRequested,
+    TimerFired,
     WakeAt,
-    Woken,
-    Write,
+    WriteBlocked,
 )
 from flintshift.storage.log import BrokenError
 from flintshift.usage.book import Book
@@ -126,7 +126,7 @@
     ) -> None:
         self.folder, self.book = folder, folder.book
         self.keeper = Keeper(folder.book, grace_ms)
-        self.commit = Commit(limits, folder.log.following - 1)
+        self.commit = GroupCommit(limits, folder.log.following - 1)
         self.refuse, self.retention_ms, self.sinks = refuse, retention_ms, sinks
         self.clock, self.wall_ms, self.steady_ms, self.say = clock, wall_ms, steady_ms, say
         self.claims: list[Waits] = []  # not written yet
@@ -222,8 +222,8 @@
 
     def _flush(self) -> None:
         self.due = False
-        if self.commit.stalls:
-            self._do(self.commit.handle(self.steady_ms(), Stalled()))
+        if self.commit.writes_blocked:
+            self._do(self.commit.handle(self.steady_ms(), WriteBlocked()))
             return
         if self._now() >= self.turn_ms:
             self._tell(Tick())
@@ -250,7 +250,7 @@
                 )
             )
         entries += late
-        holds = self.commit.limits.holds or self.copies is not None
+        holds = self.commit.limits.hold_answers or self.copies is not None
         if holds:  # before the write, which may tell that they are not to wait
             self.held += [(one[0].sequence, one) for one in claims if one[2] is not None]
         if entries:
@@ -271,7 +271,7 @@
             try:
                 log.append_with_retry(items)
             except (OSError, BrokenError) as error:
-                actions = self.commit.handle(self.steady_ms(), Refused(str(error), write=True))
+                actions = self.commit.handle(self.steady_ms(), OperationFailed(str(error), write=True))
         if self.commit.gap is not None:
             log.following = first + len(items)
             if self.backlog is not None:
@@ -281,7 +281,7 @@
         self.folder.apply(first, entries)
         if self.copies is not None:
             self.copies.wrote(first, items, requests > 0)
-        actions += self.commit.wrote(self.steady_ms(), first + len(items) - 1, log.size, requests)
+        actions += self.commit.on_write(self.steady_ms(), first + len(items) - 1, log.size, requests)
         if actions:
             self._do(actions)
 
@@ -292,10 +292,10 @@
                 case Sync() | BeginSegment() | Reopen():
                     self.operation = action
                     self._disk_changed()
-                case Release(upto):
+                case ReleaseAnswers(upto):
                     self.synced = self.synced if upto == math.inf else upto
                     self.release()
-                case Write():
+                case ResumeWrites():
                     if not self.due:
                         self._flush_soon()
                 case WakeAt(at_ms):
@@ -312,7 +312,7 @@
                     ago_ms = self.steady_ms() - since_ms
                     self._tell(DiskBack(int(self._now() - ago_ms), requests, cause))
                     self.say("info", "usage.disk_back", requests_in_memory=requests)
-                case StillRefused(cause):
+                case ReopenFailed(cause):
                     self.say("warning", "usage.disk_still_refuses", cause=cause)
 
     def due_ms(self) -> float:
@@ -322,7 +322,7 @@
     def release(self) -> None:
         """Let go of answers whose claims stand where they must."""
         held, upto = self.held, self.copies.held if self.copies is not None else math.inf
-        if self.commit.limits.holds and self.commit.gap is None:
+        if self.commit.limits.hold_answers and self.commit.gap is None:
             upto = min(upto, self.synced)
         while held and held[0][0] <= upto:
             deliver = held.popleft()[1][2]
@@ -341,7 +341,7 @@
 
     def _woken(self) -> None:
         self.timer = None
-        self._do(self.commit.handle(self.steady_ms(), Woken()))
+        self._do(self.commit.handle(self.steady_ms(), TimerFired()))
 
     def _disk_changed(self) -> None:
         changed, self.changed_disk = self.changed_disk, anyio.Event()
@@ -352,7 +352,7 @@
         operation, self.operation = self.operation, None
         if operation is None:
             return
-        event: Done | Refused = Done()
+        event: OperationCompleted | OperationFailed = OperationCompleted()
         commit = self.commit
         try:
             match operation:
@@ -363,7 +363,7 @@
                 case Reopen():
                     await self._reopen()
         except (OSError, BrokenError) as error:
-            event = Refused(str(error))
+            event = OperationFailed(str(error))
         except BaseException:  # cancelled by the exit: what it was to do is still owed, and done again by `close`
             if commit is self.commit:
                 self.operation = operation
@@ -404,13 +404,13 @@
 
     async def _writable(self) -> None:
         """Nothing is written while a segment is begun."""
-        while self.commit.stalls:
+        while self.commit.writes_blocked:
             await self._operation_ends()
 
     async def _synced(self) -> bool:
         """All that is written is synced; False in a gap, and where another ledger has begun meanwhile."""
         wanted, commit = self.book.state.sequence, self.commit
-        self._do(commit.handle(self.steady_ms(), SyncWanted(wanted)))
+        self._do(commit.handle(self.steady_ms(), SyncRequested(wanted)))
         while commit is self.commit and commit.gap is None and commit.synced < wanted:
             await self._operation_ends()
         return commit is self.commit and commit.gap is None
@@ -420,7 +420,7 @@
         if step is not None:
             self.say("warning", "usage.clock_stepped", by_ms=step.by_ms)
             self.steps.append(step.by_ms)
-        while self.steps and not self.commit.stalls:
+        while self.steps and not self.commit.writes_blocked:
             self._tell(ClockMoved(self.steps.pop(0)), now)
         return now
 
@@ -461,7 +461,7 @@
         await self._writable()
         self._tell(Tick())
         if self.commit.gap is not None:
-            self._do(self.commit.handle(self.steady_ms(), Woken()))
+            self._do(self.commit.handle(self.steady_ms(), TimerFired()))
         await self._documents()
         await self._inbox()
         await self._snapshot()
@@ -549,7 +549,7 @@
         self.undelivered = [ticket for ticket in self.undelivered if ticket.book is None]
         self.folder, self.book, self.listed = folder, folder.book, None
         self.keeper = Keeper(folder.book, self.keeper.grace_ms)
-        self.commit = Commit(self.commit.limits, folder.log.following - 1)
+        self.commit = GroupCommit(self.commit.limits, folder.log.following - 1)
         self.snapshot_due = self.backlog = self.operation = None
         self.turn_ms, self.synced = 0, -1.0
         self._tell(Tick())
@@ -560,7 +560,7 @@
     async def _end_gap(self) -> None:
         """Have what was booked in memory stand on the disk, however often that refuses."""
         while self.commit.gap is not None:
-            self._do(self.commit.handle(self.steady_ms(), Leaving()))
+            self._do(self.commit.handle(self.steady_ms(), ShuttingDown()))
             await self._operation_ends()
             await anyio.sleep(CLOSE_AGAIN_S)
 
@@ -587,7 +587,7 @@
     async def close(self) -> None:
         """The node leaves in good order: all is written, nothing is in doubt."""
         with anyio.move_on_after(CLOSE_S):
-            while self.commit.under_way is not None:
+            while self.commit.operation_in_progress is not None:
                 await self._operation_ends()
         self._flush()
         with anyio.move_on_after(CLOSE_S):
--- a/tests/storage/test_commit.py
+++ b/tests/storage/test_commit.py
@@ -12,24 +12,24 @@
 
 from flintshift.storage.commit import (
     BeginSegment,
-    Commit,
     CommitLimits,
-    Done,
     GapBegan,
     GapEnded,
-    Refused,
-    Release,
+    GroupCommit,
+    OperationCompleted,
+    OperationFailed,
+    ReleaseAnswers,
     Reopen,
-    Stalled,
-    StillRefused,
+    ReopenFailed,
+    ResumeWrites,
     Sync,
-    SyncWanted,
+    SyncRequested,
+    TimerFired,
     WakeAt,
-    Woken,
-    Write,
+    WriteBlocked,
 )
 
-LIMITS = CommitLimits(holds=True, sync_ms=10.0, held_ms=50.0, reopen_ms=100.0, segment_bytes=30)
+LIMITS = CommitLimits(hold_answers=True, sync_ms=10.0, max_wait_ms=50.0, reopen_interval_ms=100.0, segment_bytes=30)
 OPERATIONS = (Sync, BeginSegment, Reopen)
 
 
@@ -37,7 +37,7 @@
     """What an owner does with the answers, and the rules that hold at each step."""
 
     def __init__(self, limits=LIMITS):
-        self.commit, self.limits, self.now = Commit(limits, 0), limits, 0.0
+        self.commit, self.limits, self.now = GroupCommit(limits, 0), limits, 0.0
         self.sequence = self.size = 0
         self.waiting = {}  # since when an answer waits, by sequence
         self.stalled = []  # since when what can't be written waits
@@ -53,11 +53,11 @@
                 case Sync() | BeginSegment() | Reopen():
                     assert self.operation is None, "one operation at a time"
                     self.operation, self.covers = action, self.sequence
-                case Release(upto):
+                case ReleaseAnswers(upto):
                     for sequence in [one for one in self.waiting if one <= upto]:
                         assert sequence <= self.durable or self.commit.gap is not None, "released before its sync"
                         del self.waiting[sequence]
-                case Write():
+                case ResumeWrites():
                     held, self.stalled = self.stalled, []
                     for _ in held:
                         self.write()
@@ -68,20 +68,20 @@
                     assert since_ms <= self.now and requests >= 0
 
     def write(self):
-        if self.commit.stalls:
+        if self.commit.writes_blocked:
             self.stalled.append(self.now)
-            self.do(self.commit.handle(self.now, Stalled()))
+            self.do(self.commit.handle(self.now, WriteBlocked()))
             return
         self.sequence += 1
         self.size += 7
-        if self.limits.holds:
+        if self.limits.hold_answers:
             self.waiting[self.sequence] = self.now
         actions = []
         if self.commit.gap is None and not self.disk:
-            actions = self.commit.handle(self.now, Refused("refused", write=True))
-        self.do(actions + self.commit.wrote(self.now, self.sequence, self.size, 1))
+            actions = self.commit.handle(self.now, OperationFailed("refused", write=True))
+        self.do(actions + self.commit.on_write(self.now, self.sequence, self.size, 1))
         if self.commit.gap is not None:
-            self.do([Release(math.inf)])
+            self.do([ReleaseAnswers(math.inf)])
 
     def ends(self, well):
         operation, self.operation = self.operation, None
@@ -89,7 +89,7 @@
             self.durable = max(self.durable, self.covers)
         if well and isinstance(operation, BeginSegment | Reopen):
             self.size = 0
-        self.do(self.commit.handle(self.now, Done() if well else Refused("refused")))
+        self.do(self.commit.handle(self.now, OperationCompleted() if well else OperationFailed("refused")))
 
     def passes(self, ms):
         """Time passes, with each wake-up on its minute."""
@@ -97,17 +97,17 @@
         while due := [at for at in self.wakes if at <= until]:
             self.now = max(self.now, min(due))
             self.wakes = [at for at in self.wakes if at > self.now]
-            self.do(self.commit.handle(self.now, Woken()))
+            self.do(self.commit.handle(self.now, TimerFired()))
             self.check()
         self.now = until
 
     def check(self):
         oldest = min([*self.waiting.values(), *self.stalled], default=math.inf)
-        assert self.now - oldest <= self.limits.held_ms, "an answer waits without an end"
-        assert (self.operation is None) == (self.commit.under_way is None)
+        assert self.now - oldest <= self.limits.max_wait_ms, "an answer waits without an end"
+        assert (self.operation is None) == (self.commit.operation_in_progress is None)
         if self.waiting or self.stalled or self.commit.gap is not None:
             assert self.wakes or self.operation is not None, "something waits and nothing will come"
-        assert len(self.commit.holding) <= len(self.waiting) + 1
+        assert len(self.commit.waiting_answers) <= len(self.waiting) + 1
 
 
 steps = st.lists(
@@ -136,20 +136,20 @@
             case ("ends", well) if run.operation is not None:
                 run.ends(well)
             case ("want",):
-                run.do(run.commit.handle(run.now, SyncWanted(run.sequence)))
+                run.do(run.commit.handle(run.now, SyncRequested(run.sequence)))
             case ("disk", works):
                 run.disk = works
         run.check()
     # Whatever came before: a disk that works again ends the gap, and all is synced that anyone waits for.
     run.disk = True
-    run.do(run.commit.handle(run.now, SyncWanted(run.sequence)))
+    run.do(run.commit.handle(run.now, SyncRequested(run.sequence)))
     for _ in range(12):
         if run.operation is not None:
             run.ends(True)
         run.passes(100.0)
         run.check()
     assert run.commit.gap is None and not run.waiting and not run.stalled
-    assert run.durable >= run.sequence or not (syncs or holds) or run.commit.synced >= run.commit.wanted
+    assert run.durable >= run.sequence or not (syncs or holds) or run.commit.synced >= run.commit.requested
 
 
 def test_every_short_run_keeps_the_rules():
@@ -208,29 +208,29 @@
 
 
 def test_a_refusal_begins_a_gap_that_ends_with_a_reopening_and_tells_its_requests():
-    commit = Commit(LIMITS, 0)
-    assert commit.handle(5.0, Refused("full", write=True)) == [
+    commit = GroupCommit(LIMITS, 0)
+    assert commit.handle(5.0, OperationFailed("full", write=True)) == [
         GapBegan("full"),
-        Release(math.inf),
-        Write(),
+        ReleaseAnswers(math.inf),
+        ResumeWrites(),
         WakeAt(105.0),
     ]
     for sequence in (1, 2, 3):
-        assert commit.wrote(6.0, sequence, 10, 1) == []
-    assert commit.handle(104.0, Woken()) == [WakeAt(105.0)]
-    assert commit.handle(105.0, Woken()) == [Reopen()]
-    assert commit.handle(106.0, Refused("full")) == [StillRefused("full"), WakeAt(205.0)]
-    assert commit.handle(205.0, Woken()) == [Reopen()]
-    actions = commit.handle(206.0, Done())
+        assert commit.on_write(6.0, sequence, 10, 1) == []
+    assert commit.handle(104.0, TimerFired()) == [WakeAt(105.0)]
+    assert commit.handle(105.0, TimerFired()) == [Reopen()]
+    assert commit.handle(106.0, OperationFailed("full")) == [ReopenFailed("full"), WakeAt(205.0)]
+    assert commit.handle(205.0, TimerFired()) == [Reopen()]
+    actions = commit.handle(206.0, OperationCompleted())
     assert actions[0] == GapEnded(5.0, 3, "full") and commit.gap is None
 
 
 def test_without_syncs_only_what_is_wanted_is_synced():
-    commit = Commit(CommitLimits(syncs=False), 0)
-    assert list(itertools.chain(*(commit.wrote(0.0, number, 10, 1) for number in range(1, 5)))) == []
-    assert commit.handle(0.0, SyncWanted(2)) == [Sync()]
-    commit.handle(1.0, Done())
-    assert commit.synced == 4 and commit.handle(2.0, SyncWanted(3)) == []
+    commit = GroupCommit(CommitLimits(sync_enabled=False), 0)
+    assert list(itertools.chain(*(commit.on_write(0.0, number, 10, 1) for number in range(1, 5)))) == []
+    assert commit.handle(0.0, SyncRequested(2)) == [Sync()]
+    commit.handle(1.0, OperationCompleted())
+    assert commit.synced == 4 and commit.handle(2.0, SyncRequested(3)) == []
 
 
 @pytest.mark.parametrize("stall", [False, True])
--- a/tests/usage/test_ledger_leaves.py
+++ b/tests/usage/test_ledger_leaves.py
@@ -7,8 +7,8 @@
 result is thrown away. Closing waits 2 s for an operation that nobody does any more, three times in a gap, and what was
 booked in memory meanwhile is lost, though the disk takes it again.
 
-Cause: `Ledger.work` took the operation as its own and forgot it when it was cancelled, while `Commit` went on to take
-it for under way.
+Cause: `Ledger.work` took the operation as its own and forgot it when it was cancelled, while `GroupCommit` went on to
+take it for under way.
 
 What settled it: 2.0 s and 6.0 s for `close`, and a life without its end, with a disk that takes all.
 """
@@ -80,7 +80,7 @@
 
 async def test_what_was_booked_in_a_gap_is_written_though_the_exit_cancelled_its_snapshot(monkeypatch):
     files = SimFiles()
-    life = Life(files, BEGIN, reopen_ms=10.0)
+    life = Life(files, BEGIN, reopen_interval_ms=10.0)
     await life.tick()
     files.refuse = {files.count + place: errno.ENOSPC for place in range(1, 1000)}
     life.ledger.claim(b"a" * 8, ROW + GONE, FINAL, 10, 1, 2, 5, None)
--- a/tests/usage/test_ledger_stops.py
+++ b/tests/usage/test_ledger_stops.py
@@ -19,7 +19,7 @@
 from storage.sim_files import SimFiles, StoppedError
 
 from flintshift.proto import usage_pb2 as pb
-from flintshift.storage.commit import CommitLimits, Refused
+from flintshift.storage.commit import CommitLimits, OperationFailed
 from flintshift.storage.snapshot import DamagedError, publish
 from flintshift.usage import documents
 from flintshift.usage.corrections import to_json
@@ -47,7 +47,9 @@
         steady_ms = steady_ms or (lambda: self.at_ms)
         clock = LedgerClock(at_ms, steady_ms(), holder.book.state.last_ms)
         self.told = []
-        told = CommitLimits(**{"holds": durability == "power-cut", "sync_ms": 0.0, "segment_bytes": 300, **limits})
+        told = CommitLimits(
+            **{"hold_answers": durability == "power-cut", "sync_ms": 0.0, "segment_bytes": 300, **limits}
+        )
         self.ledger = Ledger(
             holder,
             100,
@@ -64,7 +66,7 @@
         self.delivered = set()
 
     async def flush(self):
-        while self.ledger.commit.stalls:
+        while self.ledger.commit.writes_blocked:
             await self.ledger.work()
         self.ledger._flush()
         self.ledger.due = True
@@ -86,7 +88,7 @@
             deliver = None if final else partial(self.delivered.add, number)
             tickets[number] = self.ledger.claim(number.to_bytes(8, "big"), row, flags, 10, 1, 1 << number, 5, deliver)
         await self.flush()
-        if self.ledger.commit.limits.holds:
+        if self.ledger.commit.limits.hold_answers:
             await self.ledger._synced()
         for number, ticket in tickets.items():
             if not final and number in self.delivered:
@@ -380,8 +382,8 @@
             files,
             BEGIN,
             steady_ms=lambda: (time.monotonic() - began) * 1000,
-            held_ms=50.0,
-            reopen_ms=50.0,
+            max_wait_ms=50.0,
+            reopen_interval_ms=50.0,
             segment_bytes=1 << 30,
         )
         ledger = life.ledger
@@ -405,7 +407,7 @@
             claim(1)
             await answered(1)
             if at == "reopen":
-                ledger._do(ledger.commit.handle(ledger.steady_ms(), Refused("refused here", write=True)))
+                ledger._do(ledger.commit.handle(ledger.steady_ms(), OperationFailed("refused here", write=True)))
             files.gate.clear()
             if at == "segment":
                 ledger.commit.limits = replace(ledger.commit.limits, segment_bytes=1)  # the next write begins one
@@ -449,8 +451,8 @@
         ledger._synced = slowly
         ledger.commit.limits = replace(ledger.commit.limits, segment_bytes=1)
         await life.ledger.work()
-        ledger._do(ledger.commit.wrote(life.at_ms, ledger.book.state.sequence, ledger.folder.log.size, 0))
-        assert ledger.commit.stalls
+        ledger._do(ledger.commit.on_write(life.at_ms, ledger.book.state.sequence, ledger.folder.log.size, 0))
+        assert ledger.commit.writes_blocked
         files.gate.clear()
         beginning = asyncio.create_task(ledger.work())
         await asyncio.sleep(0.05)  # it hangs
