--- a/benchmarks/ledger_store.py
+++ b/benchmarks/ledger_store.py
@@ -56,14 +56,14 @@
         ]
         if before:
             entries.append(Marked(before[0], [one - before[0] for one in before], []))
-        first = holder.log.following
+        first = holder.log.next_sequence
         holder.append(entries)
         before = list(range(first, first + commit))
         if sync:
             holder.log.sync()
         if snapshots and holder.log.size >= SEGMENT:
             sequence, data = holder.book.state.sequence, holder.snapshot_now()
-            holder.log.begin()
+            holder.log.begin_segment()
             holder.write_snapshot(sequence, data)
     holder.append([Marked(before[0], [one - before[0] for one in before], [])])
 
--- a/flintshift/copies/store.py
+++ b/flintshift/copies/store.py
@@ -20,7 +20,7 @@
 from flintshift.copies.registers import Entry
 from flintshift.storage import snapshot
 from flintshift.storage.files import Files
-from flintshift.storage.log import Log, Reach, records, segment_name, segments
+from flintshift.storage.log import Log, LogPosition, list_segments, read_records, segment_name
 from flintshift.storage.snapshot import DamagedError
 
 ENTRY_KIND, STORE_KIND = 1, 2
@@ -120,27 +120,27 @@
     def _recover(self, now_ms: float, same_boot: bool) -> list[Entry]:
         """``same_boot``: the steady clock goes on since these were written; else how long ago that was is not known,
         and each counts for the whole of its time: for longer than told, never for shorter."""
-        found = segments(self.files, self.folder / "log")
+        found = list_segments(self.files, self.folder / "log")
         first = found[0][0] if found else 1
-        reach, latest = Reach(first, 0), dict[tuple[str, str], Entry]()
-        for record in records(self.files, self.folder / "log", first, reach):
+        reach, latest = LogPosition(first, 0), dict[tuple[str, str], Entry]()
+        for record in read_records(self.files, self.folder / "log", first, reach):
             if record.kind == ENTRY_KIND:
                 entry, at_ms = self.unpacked(record.payload)
                 passed_ms = max(0.0, now_ms - at_ms) if same_boot else 0.0
                 latest[entry.key] = msgspec.structs.replace(entry, for_ms=entry.for_ms - passed_ms)
-        self.log = Log(self.files, self.folder / "log", reach.epoch + 1, reach.following)
+        self.log = Log(self.files, self.folder / "log", reach.epoch + 1, reach.next_sequence)
         self.log.resume(reach)
         kept = [entry for entry in latest.values() if entry.for_ms > 0]
         until = now_ms + max((entry.for_ms for entry in kept), default=0.0)
-        self.lasting = {start: until for start, _ in segments(self.files, self.folder / "log")}
+        self.lasting = {start: until for start, _ in list_segments(self.files, self.folder / "log")}
         return kept
 
     def _empty(self) -> None:
         """Nothing here counts; what stands in the log would be taken for this store's own."""
-        for _, name in segments(self.files, self.folder / "log"):
+        for _, name in list_segments(self.files, self.folder / "log"):
             self.files.remove(self.folder / "log" / name)
         self.log = Log(self.files, self.folder / "log", 1, 1)
-        self.log.begin()
+        self.log.begin_segment()
         self.lasting = {1: 0.0}
 
     def write_state(self, state: StoreState) -> None:
@@ -154,7 +154,7 @@
         ``sync``.
 
         Raises:
-            OSError, BrokenError: the disk refused, until ``reopen``.
+            OSError, BrokenLogError: the disk refused, until ``reopen``.
         """
         listed = list(entries)
         self.log.append_with_retry([(ENTRY_KIND, self.packed(entry, now_ms)) for entry in listed])
@@ -163,9 +163,9 @@
 
     def turn(self, now_ms: float) -> int:
         """Begin a new segment, and remove those of which nothing counts any more; returns how many went."""
-        self.log.begin()
-        self.lasting[self.log.following] = 0.0
-        past = [start for start, until in self.lasting.items() if until <= now_ms and start != self.log.following]
+        self.log.begin_segment()
+        self.lasting[self.log.next_sequence] = 0.0
+        past = [start for start, until in self.lasting.items() if until <= now_ms and start != self.log.next_sequence]
         gone = 0
         for start in sorted(past):
             if start != min(self.lasting):
@@ -201,10 +201,10 @@
     """
     record = snapshot.opened(folder / STORE, files.read(folder / STORE), STORE_KIND)
     state = msgspec.msgpack.decode(record.payload, type=StoreState)
-    found = segments(files, folder / "log")
+    found = list_segments(files, folder / "log")
     first = found[0][0] if found else 1
     count, keys = 0, set()
-    for one in records(files, folder / "log", first, Reach(first, 0)):
+    for one in read_records(files, folder / "log", first, LogPosition(first, 0)):
         count += 1
         try:
             keys.add(unpacked(one.payload)[0].key)
--- a/flintshift/lifecycle/books.py
+++ b/flintshift/lifecycle/books.py
@@ -151,7 +151,7 @@
             from flintshift.usage.replica import stood_before
 
             reach = folder.reach
-            folder.before = stood_before(files, options.folder, life, (reach.epoch, reach.following - 1))
+            folder.before = stood_before(files, options.folder, life, (reach.epoch, reach.next_sequence - 1))
             if not reach.epoch:
                 folder.log.epoch = max(int(now / 1000), above + 1)
         folder.open(name, life, options.period_ms, *lists, int(max(now, last_ms)))
--- a/flintshift/lifecycle/held_copies.py
+++ b/flintshift/lifecycle/held_copies.py
@@ -20,13 +20,13 @@
 from flintshift.lifecycle.taken_ledgers import TakenLedgers
 from flintshift.settings.options import CopiesOptions
 from flintshift.storage.files import Files
-from flintshift.storage.log import BrokenError
+from flintshift.storage.log import BrokenLogError
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage import replica as on_disk
 from flintshift.usage.replica import CopyState, Replica
 
 TELL_REFUSED_MS = 500.0  # from a refusal until a writer hears of it: not at once, as it answers with all that it has
-REFUSED = (OSError, BrokenError, DamagedError)
+REFUSED = (OSError, BrokenLogError, DamagedError)
 FOLDER = "use"  # below the copies' folder
 
 
--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -25,7 +25,7 @@
 from flintshift.core.ports import Log
 from flintshift.settings.options import CopiesOptions
 from flintshift.storage.files import Files
-from flintshift.storage.log import BrokenError
+from flintshift.storage.log import BrokenLogError
 from flintshift.wire.peer_codec import entry_bytes, entry_from
 
 PURGE_MS = 1000.0
@@ -217,7 +217,7 @@
         assert self.folder is not None
         try:
             self.folder.write(entries, self.now_ms())
-        except (OSError, BrokenError) as error:
+        except (OSError, BrokenLogError) as error:
             return self._outlasted(error)
         return True
 
@@ -231,7 +231,7 @@
             return False
         try:
             self.folder.reopen(self.registers.entries(self.now_ms()), self.now_ms())
-        except (OSError, BrokenError):
+        except (OSError, BrokenLogError):
             self._refuses(error)
             return False
         return True
@@ -259,7 +259,7 @@
             try:
                 assert self.folder is not None
                 await anyio.to_thread.run_sync(self.folder.log.sync)
-            except (OSError, BrokenError) as error:
+            except (OSError, BrokenLogError) as error:
                 if not self._outlasted(error):
                     votes = [(identity, absent(vote), key) for identity, vote, key in votes]
             self._let_go(votes)
@@ -284,7 +284,7 @@
             if state.votes:  # it must not be believed without what it was filled with
                 self.folder.log.sync()
             self.folder.write_state(state)
-        except (OSError, BrokenError) as error:
+        except (OSError, BrokenLogError) as error:
             self.counters.add("copies.state_refused")
             if self.folder.log.broken:
                 self._outlasted(error)
@@ -293,7 +293,7 @@
         assert self.folder is not None and self.refusing_ms is not None
         try:
             self.folder.reopen(self.registers.entries(now), self.now_ms())
-        except (OSError, BrokenError) as error:
+        except (OSError, BrokenLogError) as error:
             self.reopen_after_ms = min(self.reopen_after_ms * 2, MOST_REOPEN_MS)
             self.reopen_ms = now + self.reopen_after_ms
             self.log("error", "copies.disk_still_refuses", cause=str(error), again_in_ms=round(self.reopen_after_ms))
@@ -313,7 +313,7 @@
         self.turned_ms = now
         try:
             self.folder.turn(self.now_ms())
-        except (OSError, BrokenError) as error:
+        except (OSError, BrokenLogError) as error:
             self._outlasted(error)
 
     # Its refill, and that of others.
--- a/flintshift/lifecycle/taken_ledgers.py
+++ b/flintshift/lifecycle/taken_ledgers.py
@@ -20,7 +20,7 @@
 from flintshift.lifecycle.exports import AGAIN_S, export_run
 from flintshift.settings.options import UsageOptions
 from flintshift.storage.files import Files
-from flintshift.storage.log import BrokenError
+from flintshift.storage.log import BrokenLogError
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage.folder import unacknowledged
 from flintshift.usage.keeper import Keeper
@@ -28,7 +28,7 @@
 from flintshift.usage.records import Entry, Opened, Published
 from flintshift.usage.replica import Replica
 
-REFUSED = (OSError, BrokenError, DamagedError)
+REFUSED = (OSError, BrokenLogError, DamagedError)
 
 
 class TakenLedger:
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -59,7 +59,7 @@
         assert self.ledger is not None
         folder = self.ledger.folder
         own = self.holder.held_logs.own = self.name, folder.book.state.life
-        self.writer = self._writer_of(own, epoch, (epoch, folder.log.following - 1), folder.before)
+        self.writer = self._writer_of(own, epoch, (epoch, folder.log.next_sequence - 1), folder.before)
 
     def _writer_of(self, log: LogId, epoch: int, last: logs.Place, before: logs.Place | None = None) -> LogWriter:
         holders = self.placement.of_log(log[0])
--- a/flintshift/storage/log.py
+++ b/flintshift/storage/log.py
@@ -27,7 +27,7 @@
 ENDING = ".log"
 
 
-class BrokenError(Exception):
+class BrokenLogError(Exception):
     """A write or a sync failed before: what stands in the segment is unknown until a new one is begun."""
 
 
@@ -40,7 +40,7 @@
     return told + int(crc32c(told)).to_bytes(4, "little")
 
 
-def segments(files: Files, folder: Path) -> list[tuple[int, str]]:
+def list_segments(files: Files, folder: Path) -> list[tuple[int, str]]:
     """First sequence and name of each, in order; other names in the folder are not touched."""
     found = []
     for name in files.names(folder):
@@ -72,36 +72,36 @@
 
 
 @dataclass(slots=True)
-class Reach:
+class LogPosition:
     """How far a log was read."""
 
-    following: int  # the sequence after the last record
+    next_sequence: int  # the sequence after the last record
     epoch: int
     segment: int | None = None  # the first sequence of the last segment
     size: int = 0  # of that segment, as far as it is whole
-    torn: int = 0  # bytes after that
+    truncated_bytes: int = 0  # bytes after that
 
 
-def records(files: Files, folder: Path, first: int, reach: Reach) -> Iterator[Record]:
-    """``batches``, one by one."""
-    for found in batches(files, folder, first, reach):
+def read_records(files: Files, folder: Path, first: int, reach: LogPosition) -> Iterator[Record]:
+    """``read_batches``, one by one."""
+    for found in read_batches(files, folder, first, reach):
         yield from map(Record._make, found)
 
 
-def batches(files: Files, folder: Path, first: int, reach: Reach) -> Iterator[list[Record]]:
+def read_batches(files: Files, folder: Path, first: int, reach: LogPosition) -> Iterator[list[Record]]:
     """Lists of records (plain tuples in that shape) from a sequence on which a segment begins; ``reach`` tells at the
     end how far they went. The files are not changed, so a log that another process writes can be read too.
 
     Raises:
         DamagedError: something is not as it was written, or is missing.
     """
-    listed = [(start, name) for start, name in segments(files, folder) if start >= first]
+    listed = [(start, name) for start, name in list_segments(files, folder) if start >= first]
     for place, (start, name) in enumerate(listed):
         path, last = folder / name, place == len(listed) - 1
-        if start != reach.following:
-            raise DamagedError(f"{folder}: records {reach.following} to {start - 1} are missing before {name}")
+        if start != reach.next_sequence:
+            raise DamagedError(f"{folder}: records {reach.next_sequence} to {start - 1} are missing before {name}")
         data = files.read(path)
-        reach.segment, reach.size, reach.torn = start, 0, len(data)
+        reach.segment, reach.size, reach.truncated_bytes = start, 0, len(data)
         if len(data) < SEGMENT.size and not last:
             raise DamagedError(f"{path}: is damaged: cut at offset {len(data)}, yet more segments follow")
         try:
@@ -120,47 +120,47 @@
                 raise DamagedError(f"{path}: is damaged: offset {found.offset}: {found.text}")
             elif not last:
                 raise DamagedError(f"{path}: is damaged: cut at offset {found.offset}, yet more segments follow")
-        reach.torn = len(data) - reach.size
+        reach.truncated_bytes = len(data) - reach.size
 
 
-def _check_order(path: Path, found: list[Record], reach: Reach) -> None:
-    following, last, size, overhead = reach.following, reach.epoch, reach.size, frames.OVERHEAD
+def _check_order(path: Path, found: list[Record], reach: LogPosition) -> None:
+    following, last, size, overhead = reach.next_sequence, reach.epoch, reach.size, frames.OVERHEAD
     for sequence, epoch, _, payload in found:
         if sequence != following or epoch < last:
             raise DamagedError(
                 f"{path}: is damaged: record {sequence} of epoch {epoch} stands where {following} is due, offset {size}"
             )
         following, last, size = following + 1, epoch, size + overhead + len(payload)
-    reach.following, reach.epoch, reach.size = following, last, size
+    reach.next_sequence, reach.epoch, reach.size = following, last, size
 
 
 class Log:
-    """The end of a log that this process writes; made by ``recover`` or ``begin``."""
+    """The end of a log that this process writes; made by ``recover`` or ``begin_segment``."""
 
     def __init__(self, files: Files, folder: Path, epoch: int, following: int) -> None:
-        self.files, self.folder, self.epoch, self.following = files, folder, epoch, following
+        self.files, self.folder, self.epoch, self.next_sequence = files, folder, epoch, following
         self.size = 0  # of the segment in use
         self.file: File | None = None
         self.broken = False
-        self.torn = False  # by an append: a part of it may stand behind ``size``, and nothing else is unknown
+        self.append_failed = False  # by an append: a part of it may stand behind ``size``, and nothing else is unknown
 
-    def resume(self, reach: Reach) -> None:
+    def resume(self, reach: LogPosition) -> None:
         """Go on at the end of what was read, with its torn tail cut; a new segment where there is none."""
         if reach.segment is None or reach.size == 0:
             if reach.segment is not None:  # its head was never written whole: nothing is in it
                 self.files.remove(self.folder / segment_name(reach.segment))
-            self.begin()
+            self.begin_segment()
             return
         path = self.folder / segment_name(reach.segment)
-        if reach.torn:
+        if reach.truncated_bytes:
             self.files.truncate(path, reach.size)
-        self.file, self.size, self.broken, self.torn = self.files.extend(path), reach.size, False, False
+        self.file, self.size, self.broken, self.append_failed = self.files.extend(path), reach.size, False, False
 
-    def begin(self, first: int | None = None) -> None:
+    def begin_segment(self, first: int | None = None) -> None:
         """Begin a new segment. The one before is synced first, unless it is broken: then all of it must stand in a
-        snapshot that is durable. ``first`` is the sequence that it begins with, where ``following`` may
+        snapshot that is durable. ``first`` is the sequence that it begins with, where ``next_sequence`` may
         move on meanwhile."""
-        path = self.folder / segment_name(self.following if first is None else first)
+        path = self.folder / segment_name(self.next_sequence if first is None else first)
         if self.file is not None:
             old, self.file = self.file, None
             try:
@@ -171,7 +171,7 @@
         if path.name in self.files.names(self.folder):  # nothing that counts can be in it: it would be in use
             self.files.remove(path)
         file = self.files.create(path)
-        self.broken, self.torn = True, False  # until its head and its name stand
+        self.broken, self.append_failed = True, False  # until its head and its name stand
         try:
             file.append(segment_head())
             file.sync()
@@ -186,19 +186,19 @@
         survive the death of the process from then on.
 
         Raises:
-            OSError: the disk refused; a part may stand there, and nothing more can be written until ``begin``.
-            BrokenError: that happened before.
+            OSError: the disk refused; a part may stand there, and nothing more can be written until ``begin_segment``.
+            BrokenLogError: that happened before.
         """
         if self.broken or self.file is None:
-            raise BrokenError(f"{self.folder}: a write or a sync failed before")
-        first, epoch, pack = self.following, self.epoch, frames.pack
+            raise BrokenLogError(f"{self.folder}: a write or a sync failed before")
+        first, epoch, pack = self.next_sequence, self.epoch, frames.pack
         data = b"".join([pack(first + place, epoch, kind, payload) for place, (kind, payload) in enumerate(items)])
         try:
             self.file.append(data)
         except OSError:
-            self.broken = self.torn = True
+            self.broken = self.append_failed = True
             raise
-        self.following += len(items)
+        self.next_sequence += len(items)
         self.size += len(data)
         return first
 
@@ -207,7 +207,7 @@
 
         Raises:
             OSError: it refused again; nothing of these counts, and the next call cuts off what is left of them.
-            BrokenError: a sync failed before, or a segment could not be begun: only ``begin`` helps.
+            BrokenLogError: a sync failed before, or a segment could not be begun: only ``begin_segment`` helps.
         """
         try:
             self.repair()
@@ -222,14 +222,14 @@
 
         Raises:
             OSError: the disk refuses that too.
-            BrokenError: more than an append failed.
+            BrokenLogError: more than an append failed.
         """
         if not self.broken:
             return
-        if not self.torn or self.file is None:
-            raise BrokenError(f"{self.folder}: a sync or the begin of a segment failed before")
+        if not self.append_failed or self.file is None:
+            raise BrokenLogError(f"{self.folder}: a sync or the begin of a segment failed before")
         self.file.cut(self.size)
-        self.broken = self.torn = False
+        self.broken = self.append_failed = False
 
     def sync(self) -> None:
         """All that was appended before the call survives the death of the system. May be called by another
@@ -240,11 +240,11 @@
         """
         file = self.file
         if self.broken or file is None:
-            raise BrokenError(f"{self.folder}: a write or a sync failed before")
+            raise BrokenLogError(f"{self.folder}: a write or a sync failed before")
         try:
             file.sync()
         except OSError:
-            self.broken, self.torn = True, False  # the system may have thrown away what it could not write
+            self.broken, self.append_failed = True, False  # the system may have thrown away what it could not write
             raise
 
     def close(self) -> None:
--- a/flintshift/usage/folder.py
+++ b/flintshift/usage/folder.py
@@ -21,7 +21,7 @@
 from flintshift.proto import usage_pb2 as pb
 from flintshift.storage import snapshot
 from flintshift.storage.files import Files, Lock
-from flintshift.storage.log import BrokenError, Log, Reach, batches, segments
+from flintshift.storage.log import BrokenLogError, Log, LogPosition, list_segments, read_batches
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage import documents
 from flintshift.usage.book import Book, Bounds, Document
@@ -58,7 +58,7 @@
     )
 
 
-def load(files: Files, folder: Path, bounds: Bounds | None = None) -> tuple[Book, Reach, Recovered]:
+def load(files: Files, folder: Path, bounds: Bounds | None = None) -> tuple[Book, LogPosition, Recovered]:
     """The book as the folder holds it. Nothing is changed, so a folder in use can be read too.
 
     Raises:
@@ -73,7 +73,7 @@
             gc.enable()
 
 
-def _load(files: Files, folder: Path, bounds: Bounds | None) -> tuple[Book, Reach, Recovered]:
+def _load(files: Files, folder: Path, bounds: Bounds | None) -> tuple[Book, LogPosition, Recovered]:
     book, found, epoch = Book(bounds or Bounds()), Recovered(), 0
     for sequence in snapshots(files, folder):
         path = folder / "snapshots" / snapshot_name(sequence)
@@ -88,9 +88,9 @@
     else:
         if found.warnings:
             raise DamagedError(f"{folder}: no snapshot can be used: {'; '.join(found.warnings)}")
-    reach = Reach(book.state.sequence + 1, max(book.state.epoch, epoch))
+    reach = LogPosition(book.state.sequence + 1, max(book.state.epoch, epoch))
     claimed, decode = book.claimed, unpack_claim
-    for batch in batches(files, folder / "log", reach.following, reach):
+    for batch in read_batches(files, folder / "log", reach.next_sequence, reach):
         try:
             for sequence, epoch, kind, payload in batch:
                 if kind == CLAIM_KIND:  # nearly all are, and the shortest way for them halves the time
@@ -101,9 +101,9 @@
             raise DamagedError(f"{folder}: record {sequence} can't be used: {error}") from error
         book.state.sequence = sequence
         found.records += len(batch)
-    if reach.following == 1 and any(name.endswith(documents.ENDING) for name in files.names(folder / "documents")):
+    if reach.next_sequence == 1 and any(name.endswith(documents.ENDING) for name in files.names(folder / "documents")):
         raise DamagedError(f"{folder}: documents stand, but the log and the snapshots are gone")
-    found.torn = reach.torn
+    found.torn = reach.truncated_bytes
     return book, reach, found
 
 
@@ -121,7 +121,7 @@
                 snapshot.sweep(files, folder / name)
             self.book, self.reach, self.found = load(files, folder, bounds)
             self.found.in_doubt = len(self.book.state.waiting)
-            self.log = Log(files, folder / "log", self.reach.epoch + 1, self.reach.following)
+            self.log = Log(files, folder / "log", self.reach.epoch + 1, self.reach.next_sequence)
             self.log.resume(self.reach)
         except BaseException:
             self.lock.close()
@@ -136,7 +136,7 @@
         """
         self.log.close()
         self.book, self.reach, self.found = load(self.files, self.folder, self.book.bounds)
-        self.log = Log(self.files, self.folder / "log", max(self.log.epoch, self.reach.epoch), self.reach.following)
+        self.log = Log(self.files, self.folder / "log", max(self.log.epoch, self.reach.epoch), self.reach.next_sequence)
         self.log.resume(self.reach)
 
     def open(self, node: str, drawn: bytes, period_ms: int, clubs: list[str], classes: list[str], now_ms: int) -> None:
@@ -163,7 +163,7 @@
         """Write records, then apply them.
 
         Raises:
-            OSError, BrokenError: the disk refused; nothing was applied.
+            OSError, BrokenLogError: the disk refused; nothing was applied.
         """
         first = self.log.append([pack(entry) for entry in entries])
         self.apply(first, entries)
@@ -189,7 +189,7 @@
         try:
             if not self.log.broken and self.log.file is not None:
                 self.log.sync()
-        except (OSError, BrokenError):
+        except (OSError, BrokenLogError):
             pass  # what is lost by it is in doubt at the next start
         finally:
             self.log.close()
@@ -240,7 +240,7 @@
     ]
     listed = [
         StandingSegment(name, first, files.age_ms(folder / "log" / name, now_ms))
-        for first, name in segments(files, folder / "log")
+        for first, name in list_segments(files, folder / "log")
     ]
     gone = removal(standing, listed, snapshots(files, folder), retention_ms, bool(sinks), closed_to_ms)
     for name in gone.documents:  # before its acknowledgements: a death between leaves these alone, and they go below
--- a/flintshift/usage/ledger.py
+++ b/flintshift/usage/ledger.py
@@ -44,7 +44,7 @@
     WakeAt,
     WriteBlocked,
 )
-from flintshift.storage.log import BrokenError
+from flintshift.storage.log import BrokenLogError
 from flintshift.usage.book import Book
 from flintshift.usage.corrections import base_of, from_json
 from flintshift.usage.folder import LedgerFolder, retire
@@ -126,7 +126,7 @@
     ) -> None:
         self.folder, self.book = folder, folder.book
         self.keeper = Keeper(folder.book, grace_ms)
-        self.commit = GroupCommit(limits, folder.log.following - 1)
+        self.commit = GroupCommit(limits, folder.log.next_sequence - 1)
         self.refuse, self.retention_ms, self.sinks = refuse, retention_ms, sinks
         self.clock, self.wall_ms, self.steady_ms, self.say = clock, wall_ms, steady_ms, say
         self.claims: list[Waits] = []  # not written yet
@@ -231,7 +231,7 @@
         delivered, self.delivered = self.delivered, []
         undelivered, self.undelivered = self.undelivered, []
         late, self.late = self.late, []
-        sequence, period = self.folder.log.following, self.book.state.current or 0
+        sequence, period = self.folder.log.next_sequence, self.book.state.current or 0
         entries: list[Entry] = []
         if self.listed is not None:  # before all that is numbered by it
             entries.append(self.listed)
@@ -265,15 +265,15 @@
     def _write(self, entries: list[Entry], requests: int = 0) -> None:
         """Write and apply; where the disk refuses, apply alone."""
         log, items = self.folder.log, [pack(entry) for entry in entries]
-        first = log.following
+        first = log.next_sequence
         actions: list[CommitAction] = []
         if self.commit.gap is None:
             try:
                 log.append_with_retry(items)
-            except (OSError, BrokenError) as error:
+            except (OSError, BrokenLogError) as error:
                 actions = self.commit.handle(self.steady_ms(), OperationFailed(str(error), write=True))
         if self.commit.gap is not None:
-            log.following = first + len(items)
+            log.next_sequence = first + len(items)
             if self.backlog is not None:
                 self.backlog += items
                 if len(self.backlog) > BACKLOG_MOST:  # the next try begins with a snapshot of all again
@@ -362,7 +362,7 @@
                     await self._begin_segment()
                 case Reopen():
                     await self._reopen()
-        except (OSError, BrokenError) as error:
+        except (OSError, BrokenLogError) as error:
             event = OperationFailed(str(error))
         except BaseException:  # cancelled by the exit: what it was to do is still owed, and done again by `close`
             if commit is self.commit:
@@ -377,7 +377,7 @@
     async def _begin_segment(self) -> None:
         """Keep the book as it stands now: recovery will begin there."""
         folder, sequence, data = self.folder, self.book.state.sequence, self.folder.snapshot_now()
-        await anyio.to_thread.run_sync(folder.log.begin, sequence + 1)
+        await anyio.to_thread.run_sync(folder.log.begin_segment, sequence + 1)
         if folder is self.folder:
             self.snapshot_due = sequence, data
 
@@ -385,15 +385,15 @@
         log, sequence, data = self.folder.log, self.book.state.sequence, self.folder.snapshot_now()
         self.backlog, log.broken = [], True
         await anyio.to_thread.run_sync(self.folder.write_snapshot, sequence, data)
-        await anyio.to_thread.run_sync(log.begin, sequence + 1)
+        await anyio.to_thread.run_sync(log.begin_segment, sequence + 1)
         if self.backlog is None:
             raise TimeoutError(f"over {BACKLOG_MOST:,} records came while it was tried")
-        after, log.following = log.following, sequence + 1
+        after, log.next_sequence = log.next_sequence, sequence + 1
         try:
             if self.backlog:
                 log.append(self.backlog)
         finally:
-            log.following = after
+            log.next_sequence = after
 
     async def _operation_ends(self) -> None:
         changed = self.changed_disk
@@ -549,7 +549,7 @@
         self.undelivered = [ticket for ticket in self.undelivered if ticket.book is None]
         self.folder, self.book, self.listed = folder, folder.book, None
         self.keeper = Keeper(folder.book, self.keeper.grace_ms)
-        self.commit = GroupCommit(self.commit.limits, folder.log.following - 1)
+        self.commit = GroupCommit(self.commit.limits, folder.log.next_sequence - 1)
         self.snapshot_due = self.backlog = self.operation = None
         self.turn_ms, self.synced = 0, -1.0
         self._tell(Tick())
--- a/flintshift/usage/replica.py
+++ b/flintshift/usage/replica.py
@@ -19,7 +19,7 @@
 
 from flintshift.storage import snapshot
 from flintshift.storage.files import Files
-from flintshift.storage.log import Log, segments
+from flintshift.storage.log import Log, list_segments
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage import documents
 from flintshift.usage.book import Book
@@ -133,7 +133,7 @@
 
     @property
     def last(self) -> tuple[int, int]:
-        return self.ledger.reach.epoch, self.ledger.log.following - 1
+        return self.ledger.reach.epoch, self.ledger.log.next_sequence - 1
 
     def keep(self, **changes: object) -> None:
         """Change what stands of the copy, durably. ``state`` is what the disk has taken: where it refuses, nothing has
@@ -148,7 +148,7 @@
     def writable(self) -> bool:
         """It is known what stands in its log, and more can be written there."""
         log = self.ledger.log
-        return log.file is not None and (not log.broken or log.torn)
+        return log.file is not None and (not log.broken or log.append_failed)
 
     @property
     def whole(self) -> bool:
@@ -174,12 +174,12 @@
     def append(self, epoch: int, first: int, records: Iterable[tuple[int, bytes]]) -> None:
         """
         Raises:
-            OSError, BrokenError: the disk refused.
+            OSError, BrokenLogError: the disk refused.
             DamagedError: these are no records that follow.
         """
         items, log = list(records), self.ledger.log
-        if first != log.following:
-            raise DamagedError(f"{self.folder}: record {first} came where {log.following} is due")
+        if first != log.next_sequence:
+            raise DamagedError(f"{self.folder}: record {first} came where {log.next_sequence} is due")
         try:
             entries = [unpack(kind, payload) for kind, payload in items]
         except ValueError as error:
@@ -213,7 +213,7 @@
     def write(self, *entries: object) -> tuple[int, list[tuple[int, bytes]]]:
         """Records of whoever took the ledger over; returns the first one's sequence, and them for the other copies."""
         items = [pack(entry) for entry in entries]  # type: ignore[arg-type]
-        first = self.ledger.log.following
+        first = self.ledger.log.next_sequence
         self.append(self.ledger.log.epoch, first, items)
         return first, items
 
@@ -221,11 +221,11 @@
         """Begin a segment behind a snapshot; what came before goes."""
         sequence = self.ledger.book.state.sequence
         self.ledger.write_snapshot(sequence, self.ledger.snapshot_now())
-        self.ledger.log.begin()
+        self.ledger.log.begin_segment()
         self._only(sequence)
 
     def _only(self, sequence: int) -> None:
-        for first, name in segments(self.files, self.folder / "log"):
+        for first, name in list_segments(self.files, self.folder / "log"):
             if first <= sequence:
                 self.files.remove(self.folder / "log" / name)
         for one in snapshots(self.files, self.folder):
@@ -247,7 +247,7 @@
         self.keep(sure=False)
         ledger, files, folder = self.ledger, self.files, self.folder
         ledger.log.close()
-        for _, name in segments(files, folder / "log"):
+        for _, name in list_segments(files, folder / "log"):
             files.remove(folder / "log" / name)
         for name, document in told.documents:
             if documents.NAME.fullmatch(name):
@@ -257,7 +257,7 @@
         ledger.book, ledger.reach.epoch = book, epoch
         ledger.log = Log(files, folder / "log", epoch, sequence + 1)
         ledger.write_snapshot(sequence, ledger.snapshot_now())
-        ledger.log.begin()
+        ledger.log.begin_segment()
         self._only(sequence)
         self.sync_failed = False
 
--- a/tests/copies/test_store.py
+++ b/tests/copies/test_store.py
@@ -13,7 +13,7 @@
 from flintshift.copies.store import CopiesFolder, examined, found_store
 from flintshift.core.keys import Stage
 from flintshift.interface import Outcome
-from flintshift.storage.log import BrokenError
+from flintshift.storage.log import BrokenLogError
 from flintshift.storage.snapshot import DamagedError
 from flintshift.wire.peer_codec import entry_bytes, entry_from
 
@@ -146,7 +146,7 @@
     files.refuse = {files.count + 1: error}
     with pytest.raises(OSError, match="refused"):
         store.log.sync()
-    with pytest.raises(BrokenError):
+    with pytest.raises(BrokenLogError):
         store.write([entry(3)], NOW)
     store.reopen([entry(1), entry(3)], NOW)
     store.close()
--- a/tests/copies/test_use_copies_refusals.py
+++ b/tests/copies/test_use_copies_refusals.py
@@ -370,7 +370,7 @@
         raise OSError(errno.EIO, "refused here")
 
     replica.recover = unreadable
-    replica.ledger.log.broken, replica.ledger.log.torn = True, False
+    replica.ledger.log.broken, replica.ledger.log.append_failed = True, False
     holder.files.refuse |= {holder.files.count + step: errno.EIO for step in range(1, 9)}
     holder.asked(written)
     for _ in range(3):
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -15,7 +15,7 @@
 from flintshift.storage import frames, snapshot
 from flintshift.storage.files import DiskFiles, LockedError
 from flintshift.storage.frames import Damage, Record, Torn
-from flintshift.storage.log import BrokenError, Log, Reach, records, segment_head, segment_name
+from flintshift.storage.log import BrokenLogError, Log, LogPosition, read_records, segment_head, segment_name
 from flintshift.storage.snapshot import DamagedError
 
 FOLDER = Path("/l")
@@ -25,18 +25,18 @@
 def filled(files=None, segments=1):
     files = files or SimFiles()
     log = Log(files, FOLDER, 1, 1)
-    log.resume(Reach(1, 0))
+    log.resume(LogPosition(1, 0))
     for place in range(segments):
         if place:
-            log.begin()
+            log.begin_segment()
         log.append([(7, payload) for payload in PAYLOADS])
     log.sync()
     return files, log
 
 
 def recovered(files):
-    reach = Reach(1, 0)
-    found = list(records(files, FOLDER, 1, reach))
+    reach = LogPosition(1, 0)
+    found = list(read_records(files, FOLDER, 1, reach))
     return found, reach
 
 
@@ -52,7 +52,7 @@
     files, _ = filled(segments=3)
     found, reach = recovered(files)
     assert [record.payload for record in found] == PAYLOADS * 3
-    assert [record.sequence for record in found] == list(range(1, 13)) and reach.following == 13
+    assert [record.sequence for record in found] == list(range(1, 13)) and reach.next_sequence == 13
 
 
 def test_a_cut_at_every_offset_loses_only_what_was_cut():
@@ -66,7 +66,7 @@
         found, reach = recovered(cut)
         count = sum(end <= size for end in ends) - 1 if size >= ends[0] else 0
         assert [record.payload for record in found] == PAYLOADS[:count], size
-        log = Log(cut, FOLDER, reach.epoch + 1, reach.following)
+        log = Log(cut, FOLDER, reach.epoch + 1, reach.next_sequence)
         log.resume(reach)
         log.append([(7, b"next")])  # goes on behind the cut
         assert [record.payload for record in recovered(cut)[0]] == [*PAYLOADS[:count], b"next"], size
@@ -127,10 +127,10 @@
 def test_a_stop_at_every_operation_keeps_what_was_synced(how, after):
     def work(files, acknowledged):
         log = Log(files, FOLDER, 1, 1)
-        log.resume(Reach(1, 0))
+        log.resume(LogPosition(1, 0))
         for number in range(6):
             if number == 3:
-                log.begin()
+                log.begin_segment()
             log.append([(7, b"%d" % number), (7, b"x" * 30)])
             log.sync()
             acknowledged.append(number)
@@ -146,7 +146,7 @@
         numbers = [record.payload for record in found if record.payload != b"x" * 30]
         assert numbers[: len(acknowledged)] == [b"%d" % number for number in acknowledged], (stop_at, how)
         assert len(numbers) <= len(acknowledged) + 1
-        Log(left, FOLDER, 2, reach.following).resume(reach)
+        Log(left, FOLDER, 2, reach.next_sequence).resume(reach)
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
@@ -155,9 +155,9 @@
     files.refuse = {files.count + 1: error}
     with pytest.raises(OSError, match="refused here"):
         log.append([(7, b"refused")])
-    with pytest.raises(BrokenError):
+    with pytest.raises(BrokenLogError):
         log.append([(7, b"later")])
-    with pytest.raises(BrokenError):
+    with pytest.raises(BrokenLogError):
         log.sync()
 
 
@@ -170,7 +170,7 @@
     log.sync()
     found, reach = recovered(files)
     assert [record.payload for record in found] == [*PAYLOADS, b"refused once", b"later"]
-    assert reach.torn == 0 and reach.following == log.following
+    assert reach.truncated_bytes == 0 and reach.next_sequence == log.next_sequence
 
 
 @pytest.mark.parametrize("refused", [(1, 2), (1, 3)], ids=["its repair too", "its second try too"])
@@ -190,7 +190,7 @@
     files.refuse = {files.count + 1: errno.EIO}
     with pytest.raises(OSError, match="refused here"):
         log.sync()
-    with pytest.raises(BrokenError):
+    with pytest.raises(BrokenLogError):
         log.append_with_retry([(7, b"later")])
 
 
@@ -200,7 +200,7 @@
     files.refuse = {files.count + 1: errno.EIO}
     with pytest.raises(OSError, match="refused here"):
         log.sync()
-    with pytest.raises(BrokenError):
+    with pytest.raises(BrokenLogError):
         log.append([(7, b"later")])
 
 
@@ -218,22 +218,22 @@
 def test_the_real_disk_keeps_a_log(tmp_path):
     files = DiskFiles()
     log = Log(files, tmp_path, 1, 1)
-    log.resume(Reach(1, 0))
+    log.resume(LogPosition(1, 0))
     log.append([(7, b"a"), (7, b"b")])
-    log.begin()
+    log.begin_segment()
     log.append([(7, b"c")])
     log.sync()
     log.close()
     with open(tmp_path / segment_name(3), "ab") as torn:
         torn.write(b"half a fra")
-    reach = Reach(1, 0)
-    assert [record.payload for record in records(files, tmp_path, 1, reach)] == [b"a", b"b", b"c"]
-    assert reach.torn == 10
-    log = Log(files, tmp_path, 2, reach.following)
+    reach = LogPosition(1, 0)
+    assert [record.payload for record in read_records(files, tmp_path, 1, reach)] == [b"a", b"b", b"c"]
+    assert reach.truncated_bytes == 10
+    log = Log(files, tmp_path, 2, reach.next_sequence)
     log.resume(reach)
     log.append([(7, b"d")])
-    reach = Reach(1, 0)
-    assert [record.epoch for record in records(files, tmp_path, 1, reach)] == [1, 1, 1, 2]
+    reach = LogPosition(1, 0)
+    assert [record.epoch for record in read_records(files, tmp_path, 1, reach)] == [1, 1, 1, 2]
 
 
 def test_two_processes_on_one_folder_are_refused_and_a_death_frees_it(tmp_path):
--- a/tests/usage/test_folder.py
+++ b/tests/usage/test_folder.py
@@ -8,7 +8,7 @@
 from storage.sim_files import SimFiles
 
 from flintshift.storage.files import DiskFiles
-from flintshift.storage.log import segments
+from flintshift.storage.log import list_segments
 from flintshift.storage.snapshot import DamagedError, publish
 from flintshift.usage import documents
 from flintshift.usage.folder import LedgerFolder, load, read_documents, retire, snapshots
@@ -31,7 +31,7 @@
             holder.append([action.entry])
         holder.append([Claim(number.to_bytes(8, "big"), 0, FINAL, 1, 0, 1, 1)])
         sequence, data = holder.book.state.sequence, holder.snapshot_now()
-        holder.log.begin()
+        holder.log.begin_segment()
         holder.write_snapshot(sequence, data)
     holder.write_documents(holder.book.state.documents)
     return holder
@@ -44,7 +44,11 @@
 
 
 def standing(files):
-    return (len(read_documents(files, FOLDER)), len(segments(files, FOLDER / "log")), len(snapshots(files, FOLDER)))
+    return (
+        len(read_documents(files, FOLDER)),
+        len(list_segments(files, FOLDER / "log")),
+        len(snapshots(files, FOLDER)),
+    )
 
 
 def test_without_a_sink_nothing_goes():
@@ -65,7 +69,7 @@
     left = list(read_documents(files, FOLDER))
     assert left == names[2:] and gone.retired_before_ms == 2000
     first_needed = read_documents(files, FOLDER)[left[0]].first_sequence
-    assert segments(files, FOLDER / "log")[0][0] <= first_needed
+    assert list_segments(files, FOLDER / "log")[0][0] <= first_needed
     assert gone.segments and load(files, FOLDER)[0].state == state
 
 
--- a/tests/usage/test_ledger_refusals.py
+++ b/tests/usage/test_ledger_refusals.py
@@ -32,7 +32,7 @@
     assert not life.ledger.refusing
     assert "usage.disk_refused" not in [event for event, _ in life.told]
     book, reach, _ = load(files, FOLDER)
-    assert reach.torn == 0
+    assert reach.truncated_bytes == 0
     assert sum(row[0] for period in book.state.periods.values() for row in period.rows.values()) == 1
 
 
