--- a/benchmarks/kill_node.py
+++ b/benchmarks/kill_node.py
@@ -29,7 +29,7 @@
 from flintshift.lab.rig import Rig  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 from flintshift.storage.files import DiskFiles  # noqa: E402
-from flintshift.storage.snapshot import UNFINISHED  # noqa: E402
+from flintshift.storage.snapshot import UNFINISHED_SUFFIX  # noqa: E402
 from flintshift.usage import documents  # noqa: E402
 from flintshift.usage.folder import load  # noqa: E402
 from flintshift.usage.reconcile import check  # noqa: E402
@@ -72,7 +72,7 @@
     # What was closed and not yet written at the end stands in the log, and is written at the next start.
     found |= {one.name: documents.read(one.data) for one in book.state.documents}
     for path in (folder / "out").iterdir():
-        if path.name.endswith(UNFINISHED):  # of the death that is left for the next delivery to remove
+        if path.name.endswith(UNFINISHED_SUFFIX):  # of the death that is left for the next delivery to remove
             continue
         if path.read_bytes() != documents.packed(found[path.name]):
             wrong.append(f"{path.name} was exported with other bytes")
--- a/flintshift/copies/store.py
+++ b/flintshift/copies/store.py
@@ -80,7 +80,7 @@
         self.lock = files.lock(folder / "LOCK")
         self.lasting: dict[int, float] = {}  # by first sequence of a segment: until when something in it counts
         try:
-            snapshot.sweep(files, folder)
+            snapshot.remove_unfinished(files, folder)
             self.found = self._open(now_ms, unix_ms, synced)
         except BaseException:
             self.lock.close()
@@ -109,7 +109,7 @@
         if STORE not in self.files.names(self.folder):
             return empty, "its disk is empty"
         try:
-            record = snapshot.opened(self.folder / STORE, self.files.read(self.folder / STORE), STORE_KIND)
+            record = snapshot.unseal(self.folder / STORE, self.files.read(self.folder / STORE), STORE_KIND)
             state = msgspec.msgpack.decode(record.payload, type=StoreState)
         except (DamagedError, msgspec.DecodeError) as error:
             return empty, f"its disk is damaged: {error}"
@@ -146,7 +146,7 @@
     def write_state(self, state: StoreState) -> None:
         """``state`` of the folder is what the disk has taken: where it refuses, nothing has changed."""
         data = msgspec.msgpack.encode(state)
-        snapshot.publish(self.files, self.folder / STORE, snapshot.sealed(STORE_KIND, 1, 1, data))
+        snapshot.publish(self.files, self.folder / STORE, snapshot.seal(STORE_KIND, 1, 1, data))
         self.state = state
 
     def write(self, entries: Iterable[Entry], now_ms: float) -> None:
@@ -199,7 +199,7 @@
     Raises:
         OSError, DamagedError: it can't be read, or is not as it was written; the text says where.
     """
-    record = snapshot.opened(folder / STORE, files.read(folder / STORE), STORE_KIND)
+    record = snapshot.unseal(folder / STORE, files.read(folder / STORE), STORE_KIND)
     state = msgspec.msgpack.decode(record.payload, type=StoreState)
     found = list_segments(files, folder / "log")
     first = found[0][0] if found else 1
@@ -223,4 +223,4 @@
         raise FileExistsError(f"{folder}: is not empty: founding it again would forget what it promised")
     files.make_folder(folder / "log")
     data = msgspec.msgpack.encode(StoreState(int(now_ms), True, "", boot))
-    snapshot.publish(files, folder / STORE, snapshot.sealed(STORE_KIND, 1, 1, data))
+    snapshot.publish(files, folder / STORE, snapshot.seal(STORE_KIND, 1, 1, data))
--- a/flintshift/storage/snapshot.py
+++ b/flintshift/storage/snapshot.py
@@ -7,7 +7,9 @@
 from flintshift.storage import frames
 from flintshift.storage.files import Files
 
-UNFINISHED = ".new"  # the ending of a file that is being written; left by a death, it is removed at the next start
+UNFINISHED_SUFFIX = (
+    ".new"  # the ending of a file that is being written; left by a death, it is removed at the next start
+)
 
 
 class DamagedError(Exception):
@@ -36,18 +38,18 @@
     return True
 
 
-def unfinished(names: list[str], name: str, by: int) -> list[str]:
+def find_unfinished(names: list[str], name: str, by: int) -> list[str]:
     """Of the names in a folder, what writers of a lower number ``by`` left of the file ``name``."""
     ends = [
-        (one, one.removeprefix(f"{name}.").removesuffix(UNFINISHED))
+        (one, one.removeprefix(f"{name}.").removesuffix(UNFINISHED_SUFFIX))
         for one in names
-        if one.startswith(f"{name}.") and one.endswith(UNFINISHED)
+        if one.startswith(f"{name}.") and one.endswith(UNFINISHED_SUFFIX)
     ]
     return [one for one, writer in ends if writer.isdecimal() and int(writer) < by]
 
 
 def _written(files: Files, path: Path, data: bytes, durable: bool, by: str = "") -> Path:
-    made = path.with_name(f"{path.name}{by}{UNFINISHED}")
+    made = path.with_name(f"{path.name}{by}{UNFINISHED_SUFFIX}")
     if made.name in files.names(path.parent):
         files.remove(made)
     file = files.create(made)
@@ -60,12 +62,12 @@
     return made
 
 
-def sealed(kind: int, epoch: int, sequence: int, payload: bytes) -> bytes:
+def seal(kind: int, epoch: int, sequence: int, payload: bytes) -> bytes:
     """A file's content with checksum, epoch and sequence: one frame."""
     return frames.pack(sequence, epoch, kind, payload)
 
 
-def opened(path: Path, data: bytes, kind: int) -> frames.Record:
+def unseal(path: Path, data: bytes, kind: int) -> frames.Record:
     """The frame of a sealed file.
 
     Raises:
@@ -77,9 +79,9 @@
     raise DamagedError(f"{path}: is damaged: not one whole record of kind {kind}")
 
 
-def sweep(files: Files, folder: Path) -> list[str]:
+def remove_unfinished(files: Files, folder: Path) -> list[str]:
     """Remove what a death left unfinished; returns the names."""
-    left = [name for name in files.names(folder) if name.endswith(UNFINISHED)]
+    left = [name for name in files.names(folder) if name.endswith(UNFINISHED_SUFFIX)]
     for name in left:
         files.remove(folder / name)
     return left
--- a/flintshift/usage/exporting.py
+++ b/flintshift/usage/exporting.py
@@ -74,8 +74,8 @@
         """
         path, last = self.folder / "EXPORT", 0
         if path.name in self.files.names(self.folder):
-            last = snapshot.opened(path, self.files.read(path), EPOCH_KIND).epoch
-        snapshot.publish(self.files, path, snapshot.sealed(EPOCH_KIND, last + 1, 0, b""))
+            last = snapshot.unseal(path, self.files.read(path), EPOCH_KIND).epoch
+        snapshot.publish(self.files, path, snapshot.seal(EPOCH_KIND, last + 1, 0, b""))
         return last + 1
 
     async def run(self) -> None:
@@ -94,7 +94,7 @@
         try:
             for sink in self.sinks:
                 self.files.make_folder(self.folder / "acks" / sink)
-                snapshot.sweep(self.files, self.folder / "acks" / sink)
+                snapshot.remove_unfinished(self.files, self.folder / "acks" / sink)
             self.epoch = self.next_epoch() if self.given_epoch is None else self.given_epoch
             self.say("info", "export.begins", epoch=self.epoch, sinks=list(self.sinks))
             async with anyio.create_task_group() as tasks:
--- a/flintshift/usage/folder.py
+++ b/flintshift/usage/folder.py
@@ -78,7 +78,7 @@
     for sequence in snapshots(files, folder):
         path = folder / "snapshots" / snapshot_name(sequence)
         try:
-            record = snapshot.opened(path, files.read(path), SNAPSHOT_KIND)
+            record = snapshot.unseal(path, files.read(path), SNAPSHOT_KIND)
             book, epoch = Book.load(record.payload, bounds), record.epoch
         except (DamagedError, ValueError) as error:
             found.warnings.append(f"{error}; an older one is used")
@@ -118,7 +118,7 @@
         self.lock: Lock = files.lock(folder / "LOCK")
         try:
             for name in ("", "snapshots", "documents"):
-                snapshot.sweep(files, folder / name)
+                snapshot.remove_unfinished(files, folder / name)
             self.book, self.reach, self.found = load(files, folder, bounds)
             self.found.in_doubt = len(self.book.state.waiting)
             self.log = Log(files, folder / "log", self.reach.epoch + 1, self.reach.next_sequence)
@@ -174,7 +174,7 @@
 
     def snapshot_now(self) -> bytes:
         state = self.book.state
-        return snapshot.sealed(SNAPSHOT_KIND, self.log.epoch, state.sequence, self.book.dump())
+        return snapshot.seal(SNAPSHOT_KIND, self.log.epoch, state.sequence, self.book.dump())
 
     def write_snapshot(self, sequence: int, data: bytes) -> None:
         snapshot.publish(self.files, self.folder / "snapshots" / snapshot_name(sequence), data)
--- a/flintshift/usage/replica.py
+++ b/flintshift/usage/replica.py
@@ -51,7 +51,7 @@
 
 
 def keep_standing(files: Files, folder: Path, told: Standing) -> None:
-    snapshot.publish(files, folder / STANDING, snapshot.sealed(STANDING_KIND, 1, 1, msgspec.msgpack.encode(told)))
+    snapshot.publish(files, folder / STANDING, snapshot.seal(STANDING_KIND, 1, 1, msgspec.msgpack.encode(told)))
 
 
 def stood_before(files: Files, folder: Path, life: bytes, found: tuple[int, int]) -> tuple[int, int]:
@@ -59,7 +59,7 @@
     before = found
     if STANDING in files.names(folder):
         told = msgspec.msgpack.decode(
-            snapshot.opened(folder / STANDING, files.read(folder / STANDING), STANDING_KIND).payload, type=Standing
+            snapshot.unseal(folder / STANDING, files.read(folder / STANDING), STANDING_KIND).payload, type=Standing
         )
         if told.life == life and not told.elected:
             before = told.epoch, told.sequence
@@ -100,7 +100,7 @@
             found.append(
                 (
                     folder / name,
-                    msgspec.msgpack.decode(snapshot.opened(path, files.read(path), COPY_KIND).payload, type=CopyState),
+                    msgspec.msgpack.decode(snapshot.unseal(path, files.read(path), COPY_KIND).payload, type=CopyState),
                 )
             )
     return found
@@ -139,9 +139,7 @@
         """Change what stands of the copy, durably. ``state`` is what the disk has taken: where it refuses, nothing has
         changed."""
         state = msgspec.structs.replace(self.state, **changes)
-        snapshot.publish(
-            self.files, self.folder / COPY, snapshot.sealed(COPY_KIND, 1, 1, msgspec.msgpack.encode(state))
-        )
+        snapshot.publish(self.files, self.folder / COPY, snapshot.seal(COPY_KIND, 1, 1, msgspec.msgpack.encode(state)))
         self.state = state
 
     @property
--- a/flintshift/usage/sinks.py
+++ b/flintshift/usage/sinks.py
@@ -47,7 +47,7 @@
     def put(self, name: str, data: bytes, epoch: int) -> Outcome:
         self.files.make_folder(self.folder)
         standing = self.files.names(self.folder)
-        for left in snapshot.unfinished(standing, name, epoch):  # by a death in the middle of this delivery
+        for left in snapshot.find_unfinished(standing, name, epoch):  # by a death in the middle of this delivery
             self.files.remove(self.folder / left)
         if name not in standing and snapshot.publish_once(self.files, self.folder / name, data, str(epoch)):
             return Delivered("folder", name)
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -269,7 +269,7 @@
                 done = False
             left = files.survived(how)
             assert left.read(path) in ((b"new",) if done else (b"old", b"new"))
-            snapshot.sweep(left, FOLDER)
+            snapshot.remove_unfinished(left, FOLDER)
             assert left.names(FOLDER) == ["f"]
 
 
@@ -281,12 +281,12 @@
 
 
 def test_a_sealed_file_that_was_changed_is_named():
-    data = snapshot.sealed(9, 1, 5, b"state")
-    assert snapshot.opened(FOLDER, data, 9).payload == b"state"
+    data = snapshot.seal(9, 1, 5, b"state")
+    assert snapshot.unseal(FOLDER, data, 9).payload == b"state"
     for offset in range(len(data)):
         changed = bytearray(data)
         changed[offset] ^= 0x10
         with pytest.raises(DamagedError, match="is damaged"):
-            snapshot.opened(FOLDER, bytes(changed), 9)
+            snapshot.unseal(FOLDER, bytes(changed), 9)
     with pytest.raises(DamagedError):
-        snapshot.opened(FOLDER, data, 8)
+        snapshot.unseal(FOLDER, data, 8)
