--- a/flintshift/lifecycle/starting.py
+++ b/flintshift/lifecycle/starting.py
@@ -15,7 +15,7 @@
 from flintshift.core.ports import Log
 from flintshift.settings.options import StartupOptions
 from flintshift.startup.backoff import Uniform
-from flintshift.startup.crash_loops import CrashLoop
+from flintshift.startup.crash_loops import StartHistory
 from flintshift.startup.phases import Entered, Late, Phase, Phases, Seen, asked
 from flintshift.storage import snapshot
 from flintshift.storage.files import DiskFiles, Files
@@ -56,9 +56,9 @@
         if folder is None:
             return
         loop = self._lives(folder)
-        failures, wait_ms = loop.failures(wall_ms), loop.wait_ms(wall_ms, self.uniform)
+        failures, wait_ms = loop.count_failures(wall_ms), loop.wait_ms(wall_ms, self.uniform)
         self.failures, self.began_ms = failures, wall_ms
-        self._keep(folder, loop.begun(wall_ms))
+        self._keep(folder, loop.with_start(wall_ms))
         if wait_ms:
             self.waited_ms = wait_ms
             self.counters.add("startup.crash_loops")
@@ -77,20 +77,22 @@
         folder, began_ms = self.options.folder, self.began_ms
         if folder is not None and began_ms is not None:
             self.began_ms = None
-            self._keep(folder, self._lives(folder).well(began_ms))  # an upgrade's other process may have begun a life
+            self._keep(
+                folder, self._lives(folder).with_success(began_ms)
+            )  # an upgrade's other process may have begun a life
 
-    def _lives(self, folder: Path) -> CrashLoop:
+    def _lives(self, folder: Path) -> StartHistory:
         try:
             self.files.make_folder(folder)
             if FILE in self.files.names(folder):
-                return CrashLoop.unpacked(self.files.read(folder / FILE))
+                return StartHistory.decode(self.files.read(folder / FILE))
         except OSError as error:
             self._not_kept(error)
-        return CrashLoop([])
+        return StartHistory([])
 
-    def _keep(self, folder: Path, loop: CrashLoop) -> None:
+    def _keep(self, folder: Path, loop: StartHistory) -> None:
         try:
-            snapshot.publish(self.files, folder / FILE, loop.packed())
+            snapshot.publish(self.files, folder / FILE, loop.encode())
         except OSError as error:
             self._not_kept(error)
 
--- a/tests/startup/test_starts.py
+++ b/tests/startup/test_starts.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from flintshift.lab.rig import Rig
-from flintshift.startup.crash_loops import CrashLoop, Life, LoopPace
+from flintshift.startup.crash_loops import CrashLoopTiming, ProcessStart, StartHistory
 from flintshift.startup.phases import Entered, Late, Phase, PhaseBounds, Phases, Seen, asked
 
 NOTHING, BOUND = Seen(False, False, False), Seen(True, False, False)
@@ -63,7 +63,7 @@
 
 
 def lives(*well, every_ms=1000.0):
-    return CrashLoop([Life(number * every_ms, one) for number, one in enumerate(well)])
+    return StartHistory([ProcessStart(number * every_ms, one) for number, one in enumerate(well)])
 
 
 @pytest.mark.parametrize(
@@ -81,14 +81,14 @@
 )
 def test_lives_that_end_badly_one_after_the_other_make_the_next_one_wait(before, failures, least, most):
     loop, now = lives(*before), 1000.0 * len(before)
-    assert loop.failures(now) == failures
+    assert loop.count_failures(now) == failures
     assert (loop.wait_ms(now, lambda low, high: low), loop.wait_ms(now, lambda low, high: high)) == (least, most)
 
 
 def test_a_life_of_long_ago_says_nothing_and_a_clock_that_went_back_forgets_none():
     loop = lives(*(False,) * 6)
-    assert loop.failures(LoopPace().within_ms + 60_000.0) == 0
-    assert loop.failures(-3_600_000.0) == 6
+    assert loop.count_failures(CrashLoopTiming().window_ms + 60_000.0) == 0
+    assert loop.count_failures(-3_600_000.0) == 6
 
 
 @given(
@@ -107,16 +107,16 @@
     )
 )
 def test_junk_in_the_file_keeps_no_node_from_its_start(data):
-    assert CrashLoop.unpacked(data).wait_ms(0.0, lambda low, high: high) == 0.0
+    assert StartHistory.decode(data).wait_ms(0.0, lambda low, high: high) == 0.0
 
 
 def test_lives_are_kept_as_they_were_and_not_without_end():
-    loop = lives(True, False).begun(5000.0)
-    assert CrashLoop.unpacked(loop.packed()).lives == loop.lives
-    assert loop.well(5000.0).failures(6000.0) == 0 and loop.well(1000.0).failures(6000.0) == 1
+    loop = lives(True, False).with_start(5000.0)
+    assert StartHistory.decode(loop.encode()).starts == loop.starts
+    assert loop.with_success(5000.0).failures(6000.0) == 0 and loop.with_success(1000.0).failures(6000.0) == 1
     for number in range(100):
-        loop = loop.begun(number)
-    assert len(loop.lives) == LoopPace().kept
+        loop = loop.with_start(number)
+    assert len(loop.starts) == CrashLoopTiming().max_starts
 
 
 @pytest.mark.anyio
