--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/copying.py
@@ -51,7 +51,7 @@
 from flintshift.proto import peers_pb2 as pb
 from flintshift.settings.options import CopiesOptions, PeersOptions, UsageOptions
 from flintshift.startup.backoff import Uniform
-from flintshift.startup.permits import Permit, PermitAsk
+from flintshift.startup.permits import Permit, PermitRequest
 from flintshift.storage.files import DiskFiles, Files, LockedError
 from flintshift.wire.acceptor import listening
 from flintshift.wire.failures import may_pass
@@ -314,9 +314,9 @@
                     self.front.send(identity, self.store.page_for(member, word))
                 case who.Accused():
                     self._members(word)
-                case PermitAsk() if self.permits is not None:
+                case PermitRequest() if self.permits is not None:
                     self.permits.asked(identity, word)
-                case PermitAsk():  # this member's file names no startup.at-once: it holds nobody up
+                case PermitRequest():  # this member's file names no startup.at-once: it holds nobody up
                     self.front.send(identity, Permit(word.number, True))
                 case _ if self.use is not None:
                     self.use.asked(identity, word)
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -242,7 +242,7 @@
                 self.bound,
                 self.decisions.posture.up,
                 self.registration.taken > 0,
-                permits is None or permits.starter.went,
+                permits is None or permits.starter.proceeded,
             ),
             permits.done if permits is not None else lambda: None,
             self.uniform,
--- a/flintshift/lifecycle/start_permits.py
+++ b/flintshift/lifecycle/start_permits.py
@@ -11,7 +11,15 @@
 from flintshift.core.counters import Counters
 from flintshift.core.ports import Log
 from flintshift.startup.backoff import Uniform
-from flintshift.startup.permits import Action, AskPermit, Go, Granter, Permit, PermitAsk, Starter
+from flintshift.startup.permits import (
+    Action,
+    Permit,
+    PermitGranter,
+    PermitRequest,
+    PermitRequester,
+    Proceed,
+    SendPermitRequest,
+)
 
 
 class StartPermits:
@@ -27,7 +35,7 @@
         uniform: Uniform,
         lives: Callable[[str], bool],
         reached: set[str],
-        send: Callable[[str, PermitAsk], None],
+        send: Callable[[str, PermitRequest], None],
         answer: Callable[[str, Permit], None],
         go: Callable[[], None],
         counters: Counters,
@@ -35,8 +43,8 @@
     ) -> None:
         self.name, self.identity, self.reached = name, identity, reached
         self.send, self.answer, self.go, self.counters, self.log = send, answer, go, counters, log
-        self.starter = Starter(name, members, uniform)
-        self.granter = Granter(at_once, lives)
+        self.starter = PermitRequester(name, members, uniform)
+        self.granter = PermitGranter(at_once, lives)
 
     @staticmethod
     def _now() -> float:
@@ -44,36 +52,36 @@
 
     def may_go(self) -> bool:
         """Ask, if it has not been asked."""
-        self._act(self.starter.want(self._now(), self.reached))
-        return self.starter.went
+        self._act(self.starter.request(self._now(), self.reached))
+        return self.starter.proceeded
 
     def tick(self) -> None:
         self._act(self.starter.tick(self._now(), self.reached))
 
     def done(self) -> None:
-        self._act(self.starter.done())
+        self._act(self.starter.finish())
 
-    def asked(self, identity: str, word: PermitAsk) -> None:
-        told = self.granter.asked(self._now(), identity, word)
+    def asked(self, identity: str, word: PermitRequest) -> None:
+        told = self.granter.on_request(self._now(), identity, word)
         if told is not None:
             self.counters.add("startup.permits_granted" if told.granted else "startup.permits_refused")
             self.answer(identity, told)
 
     def answered(self, member: str, permit: Permit) -> None:
-        self._act(self.starter.told(self._now(), member, permit))
+        self._act(self.starter.on_permit(self._now(), member, permit))
 
     def _act(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case AskPermit(to, word) if to == self.name:
-                    told = self.granter.asked(self._now(), self.identity, word)
+                case SendPermitRequest(to, word) if to == self.name:
+                    told = self.granter.on_request(self._now(), self.identity, word)
                     if told is not None:
                         self.answered(self.name, told)
-                case AskPermit(to, word):
+                case SendPermitRequest(to, word):
                     self.send(to, word)
-                case Go(cause, after_ms):
+                case Proceed(cause, after_ms):
                     self.log("info", "startup.goes_on", cause=cause, after_ms=round(after_ms))
                     self.go()
 
     def shown(self) -> dict[str, Any]:
-        return {"held": sorted(self.granter.held), "waiting": sorted(self.granter.waiting)}
+        return {"held": sorted(self.granter.granted_until_ms), "waiting": sorted(self.granter.waiting)}
--- a/flintshift/startup/permits.py
+++ b/flintshift/startup/permits.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PermitPace:
+class PermitTiming:
     """Milliseconds."""
 
     lease_ms: float = 2000.0  # a permit that is not asked for again ends
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PermitAsk:
+class PermitRequest:
     """``number`` rises with each question of a process, so that an answer to an earlier one is known as such."""
 
     number: int
@@ -57,37 +57,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskPermit:
+class SendPermitRequest:
     to: str  # a member
-    word: PermitAsk
+    word: PermitRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Go:
+class Proceed:
     """The start goes on."""
 
     cause: str
     after_ms: float
 
 
-Action = AskPermit | Go
+Action = SendPermitRequest | Proceed
 
 
-def order(members: Iterable[str]) -> list[str]:
+def granter_order(members: Iterable[str]) -> list[str]:
     """Who is asked first; the same at all members, whatever the order of their lists."""
     return sorted(members, key=lambda name: hashlib.blake2b(f"start {name}".encode(), digest_size=8).digest())
 
 
 @dataclass(slots=True)
-class Starter:
+class PermitRequester:
     """``members``: all of the fleet, this one too. It asks itself as it asks the others."""
 
     me: str
     members: tuple[str, ...]
     uniform: Uniform
-    pace: PermitPace = field(default_factory=PermitPace)
+    pace: PermitTiming = field(default_factory=PermitTiming)
     wanted_ms: float | None = None
-    went: bool = False
+    proceeded: bool = False
     ended: bool = False
     number: int = 0
     next_ms: float = 0.0
@@ -95,7 +95,7 @@
     answered_ms: float = 0.0  # the granter, or when it was first asked
     mute: set[str] = field(default_factory=set)  # members in reach that did not answer
 
-    def want(self, now_ms: float, reached: set[str]) -> list[Action]:
+    def request(self, now_ms: float, reached: set[str]) -> list[Action]:
         if self.wanted_ms is None:
             self.wanted_ms = self.next_ms = now_ms
         return self.tick(now_ms, reached)
@@ -106,43 +106,45 @@
             return []
         waited = now_ms - self.wanted_ms
         others = reached - {self.me}
-        if not self.went and not others and len(self.members) > 1:
+        if not self.proceeded and not others and len(self.members) > 1:
             return self._go(now_ms, "no member is in reach") if waited >= self.pace.alone_ms else []
-        if not self.went and waited >= self.pace.patience_ms:
+        if not self.proceeded and waited >= self.pace.patience_ms:
             return self._go(now_ms, "no permit came in time")
         if now_ms < self.next_ms:
             return []
-        if not self.went and self.granter and now_ms - self.answered_ms >= self.pace.alone_ms:
+        if not self.proceeded and self.granter and now_ms - self.answered_ms >= self.pace.alone_ms:
             self.mute.add(self.granter)
             if len(self.mute) >= MUTE_MOST:
                 return self._go(now_ms, f"{' and '.join(sorted(self.mute))} do not answer")
-        self.next_ms = now_ms + (self.pace.lease_ms / 3 if self.went else self.pace.again_ms * self.uniform(0.5, 1.5))
+        self.next_ms = now_ms + (
+            self.pace.lease_ms / 3 if self.proceeded else self.pace.again_ms * self.uniform(0.5, 1.5)
+        )
         self.number += 1
-        first = next(name for name in order(self.members) if name == self.me or name in others - self.mute)
+        first = next(name for name in granter_order(self.members) if name == self.me or name in others - self.mute)
         if first != self.granter:
             self.granter, self.answered_ms = first, now_ms
-        return [AskPermit(self.granter, PermitAsk(self.number, holds=self.went))]
+        return [SendPermitRequest(self.granter, PermitRequest(self.number, holds=self.proceeded))]
 
-    def told(self, now_ms: float, by: str, permit: Permit) -> list[Action]:
+    def on_permit(self, now_ms: float, by: str, permit: Permit) -> list[Action]:
         """An answer to an earlier question, or of a member that is no longer the first in reach, grants nothing."""
         if by == self.granter:
             self.answered_ms = now_ms
-        if permit.number != self.number or by != self.granter or not permit.granted or self.went or self.ended:
+        if permit.number != self.number or by != self.granter or not permit.granted or self.proceeded or self.ended:
             return []
         return self._go(now_ms, f"{by} has granted a permit")
 
     def _go(self, now_ms: float, cause: str) -> list[Action]:
         assert self.wanted_ms is not None
-        self.went, self.next_ms = True, now_ms + self.pace.lease_ms / 3
-        return [Go(cause, now_ms - self.wanted_ms)]
+        self.proceeded, self.next_ms = True, now_ms + self.pace.lease_ms / 3
+        return [Proceed(cause, now_ms - self.wanted_ms)]
 
-    def done(self) -> list[Action]:
+    def finish(self) -> list[Action]:
         """The start is over."""
         if self.ended or self.wanted_ms is None:
             return []
         self.ended = True
         self.number += 1
-        return [AskPermit(self.granter, PermitAsk(self.number, done=True))] if self.granter else []
+        return [SendPermitRequest(self.granter, PermitRequest(self.number, done=True))] if self.granter else []
 
 
 @dataclass(slots=True)
@@ -151,24 +153,24 @@
     asked_ms: float
 
 
-class Granter:
+class PermitGranter:
     """``at_once``: permits of the fleet. ``lives`` tells whether a process does."""
 
-    def __init__(self, at_once: int, lives: Callable[[str], bool], pace: PermitPace | None = None) -> None:
-        self.at_once, self.lives, self.pace = at_once, lives, pace or PermitPace()
-        self.held: dict[str, float] = {}  # by process: until when
+    def __init__(self, at_once: int, lives: Callable[[str], bool], pace: PermitTiming | None = None) -> None:
+        self.at_once, self.lives, self.pace = at_once, lives, pace or PermitTiming()
+        self.granted_until_ms: dict[str, float] = {}  # by process: until when
         self.waiting: dict[str, Wish] = {}
 
-    def asked(self, now_ms: float, by: str, word: PermitAsk) -> Permit | None:
+    def on_request(self, now_ms: float, by: str, word: PermitRequest) -> Permit | None:
         """None: there is nothing to answer."""
         self._lapse(now_ms)
         if word.done:
-            self.held.pop(by, None)
+            self.granted_until_ms.pop(by, None)
             self.waiting.pop(by, None)
             return None
-        if by in self.held or word.holds or self._turn(by) < self.at_once - len(self.held):
-            if by in self.held or len(self.held) < self.pace.most:
-                self.held[by] = now_ms + self.pace.lease_ms
+        if by in self.granted_until_ms or word.holds or self._turn(by) < self.at_once - len(self.granted_until_ms):
+            if by in self.granted_until_ms or len(self.granted_until_ms) < self.pace.most:
+                self.granted_until_ms[by] = now_ms + self.pace.lease_ms
             self.waiting.pop(by, None)
             return Permit(word.number, True)
         if by in self.waiting:
@@ -183,8 +185,8 @@
         return sum(one.since_ms < known.since_ms for one in self.waiting.values()) if known else len(self.waiting)
 
     def _lapse(self, now_ms: float) -> None:
-        for by in [by for by, until in self.held.items() if until <= now_ms or not self.lives(by)]:
-            del self.held[by]
+        for by in [by for by, until in self.granted_until_ms.items() if until <= now_ms or not self.lives(by)]:
+            del self.granted_until_ms[by]
         gone_ms = now_ms - 4 * self.pace.again_ms  # it asks a nearer one, or is dead
         for by in [by for by, one in self.waiting.items() if one.asked_ms < gone_ms or not self.lives(by)]:
             del self.waiting[by]
--- a/flintshift/wire/peer_codec.py
+++ b/flintshift/wire/peer_codec.py
@@ -12,7 +12,7 @@
 from flintshift.interface import Outcome
 from flintshift.peers.members import Accuse, Accused
 from flintshift.proto import peers_pb2 as pb
-from flintshift.startup.permits import Permit, PermitAsk
+from flintshift.startup.permits import Permit, PermitRequest
 from flintshift.wire.link import JunkError
 
 OUTCOMES = (
@@ -28,8 +28,8 @@
 NUMBERS = {outcome: number for number, outcome in enumerate(OUTCOMES, 1)}
 PEER_FRAME_MOST = 4 << 20  # bytes; a longer one is junk
 
-Word = Ask | Vote | Ended | FillAsk | Page | Accuse | logs.LogWord | PermitAsk | Permit
-Told = Ask | Vote | Ended | FillAsk | Page | Accused | logs.LogWord | PermitAsk | Permit
+Word = Ask | Vote | Ended | FillAsk | Page | Accuse | logs.LogWord | PermitRequest | Permit
+Told = Ask | Vote | Ended | FillAsk | Page | Accused | logs.LogWord | PermitRequest | Permit
 
 
 class WordsError(JunkError, ValueError):
@@ -131,7 +131,7 @@
                 at = batch.log_places.add(word=word.word, epoch=word.epoch, part=word.part)
                 _log(at.log, word.log)
                 _place(at.last, word.last)
-            case PermitAsk(number, holds, done):
+            case PermitRequest(number, holds, done):
                 batch.permit_asks.add(number=number, holds=holds, done=done)
             case Permit(number, granted):
                 batch.permits.add(number=number, granted=granted)
@@ -254,7 +254,7 @@
                 logs.At((one.log.member, one.log.life), logs.Word(one.word), one.epoch, _place_of(one.last), one.part)
                 for one in batch.log_places
             ),
-            *(PermitAsk(one.number, one.holds, one.done) for one in batch.permit_asks),
+            *(PermitRequest(one.number, one.holds, one.done) for one in batch.permit_asks),
             *(Permit(one.number, one.granted) for one in batch.permits),
         ]
     except (ValueError, IndexError) as error:
--- a/tests/copies/test_member_words.py
+++ b/tests/copies/test_member_words.py
@@ -12,7 +12,7 @@
 from flintshift.interface import Outcome
 from flintshift.peers.members import Accuse, Accused
 from flintshift.proto import peers_pb2 as pb
-from flintshift.startup.permits import Permit, PermitAsk
+from flintshift.startup.permits import Permit, PermitRequest
 from flintshift.wire.peer_codec import OUTCOMES, WordsError, batch_of, read_batch, words_of
 from flintshift.wire.peer_link import SCHEMA, Greeting
 
@@ -23,8 +23,8 @@
     Ask(2, "n1#1", Step.ACCEPT, ("c", "k"), (7, "n1#1"), (0, 2**63, 3), VALUE),
     Vote(3, Verdict.OK, (0, "n2#9"), (0, "n2#9"), VALUE, (1, 2, 3)),
     Vote(4, Verdict.STALE, NO_BALLOT, NO_BALLOT, None, (1,)),
-    PermitAsk(7, True),
-    PermitAsk(8, done=True),
+    PermitRequest(7, True),
+    PermitRequest(8, done=True),
     Permit(7, True),
     Permit(8, False),
     Ended(("c", "k")),
--- a/tests/startup/test_permits.py
+++ b/tests/startup/test_permits.py
@@ -6,9 +6,18 @@
 
 import pytest
 
-from flintshift.startup.permits import AskPermit, Go, Granter, Permit, PermitAsk, PermitPace, Starter, order
-
-PACE = PermitPace()
+from flintshift.startup.permits import (
+    Permit,
+    PermitGranter,
+    PermitRequest,
+    PermitRequester,
+    PermitTiming,
+    Proceed,
+    SendPermitRequest,
+    granter_order,
+)
+
+PACE = PermitTiming()
 RAMP_MS = 800.0  # of a start, once it goes on
 
 
@@ -19,8 +28,8 @@
         self.names = tuple(f"n{number}" for number in range(count))
         self.now, self.deaf, self.down, self.asleep = 0.0, set(), set(), set()
         self.draw = random.Random(seed)
-        self.starters = {name: Starter(name, self.names, self.draw.uniform) for name in self.names}
-        self.granters = {name: Granter(at_once, self.lives) for name in self.names}
+        self.starters = {name: PermitRequester(name, self.names, self.draw.uniform) for name in self.names}
+        self.granters = {name: PermitGranter(at_once, self.lives) for name in self.names}
         self.went: dict[str, tuple[float, str]] = {}
         self.steady: set[str] = set()
         self.most = 0  # that were under way at once
@@ -42,21 +51,21 @@
         for name, starter in self.starters.items():
             if name in self.down or name in self.asleep:
                 continue
-            self.act(name, starter.want(self.now, self.reach(name)))
+            self.act(name, starter.request(self.now, self.reach(name)))
             if name in self.went and name not in self.steady and self.now - self.went[name][0] >= RAMP_MS:
                 self.steady.add(name)
-                self.act(name, starter.done())
+                self.act(name, starter.finish())
         self.most = max(self.most, len(self.went.keys() - self.steady - self.down))
 
     def act(self, name: str, actions: list) -> None:
         for action in actions:
             match action:
-                case Go(cause):
+                case Proceed(cause):
                     self.went[name] = self.now, cause
-                case AskPermit(to, word) if to in self.reach(name) | {name} and to not in self.asleep:
-                    told = self.granters[to].asked(self.now, name, word)
+                case SendPermitRequest(to, word) if to in self.reach(name) | {name} and to not in self.asleep:
+                    told = self.granters[to].on_request(self.now, name, word)
                     if told is not None:
-                        self.act(name, self.starters[name].told(self.now, to, told))
+                        self.act(name, self.starters[name].on_permit(self.now, to, told))
 
     def until(self, ms: float) -> None:
         while self.now < ms:
@@ -96,7 +105,7 @@
     fleet = Fleet(12, at_once=2)
     fleet.until(1500.0)
     before = len(fleet.went)
-    fleet.down.add(order(fleet.names)[0])
+    fleet.down.add(granter_order(fleet.names)[0])
     fleet.until(12_000.0)
     assert before < 11 and fleet.went.keys() | fleet.down == set(fleet.names)
     assert fleet.most <= 4  # twice as many for a lease at the most
@@ -121,12 +130,12 @@
 
 
 def test_nobody_waits_for_ever_for_a_granter_that_only_says_no():
-    starter = Starter("n1", ("n1", "n2"), random.Random(1).uniform)
+    starter = PermitRequester("n1", ("n1", "n2"), random.Random(1).uniform)
     now, went = 0.0, []
     while not went and now < 60_000.0:
-        for action in starter.want(now, {"n2"}):
-            if isinstance(action, AskPermit):
-                starter.told(now, action.to, Permit(action.word.number, False))
+        for action in starter.request(now, {"n2"}):
+            if isinstance(action, SendPermitRequest):
+                starter.on_permit(now, action.to, Permit(action.word.number, False))
             else:
                 went.append(now)
         now += 20.0
@@ -135,41 +144,51 @@
 
 @pytest.mark.parametrize("permit", [Permit(0, True), Permit(2, True), Permit(1, False)])
 def test_an_answer_to_another_question_or_a_no_lets_nobody_go(permit):
-    starter = Starter("n1", ("n1", "n2"), random.Random(1).uniform)
-    asked = starter.want(0.0, {"n2"})
-    assert isinstance(asked[0], AskPermit)
-    assert starter.told(1.0, asked[0].to, permit) == [] and not starter.went
-    assert starter.told(1.0, "n9", Permit(1, True)) == []  # nor one of a member that was not asked
+    starter = PermitRequester("n1", ("n1", "n2"), random.Random(1).uniform)
+    asked = starter.request(0.0, {"n2"})
+    assert isinstance(asked[0], SendPermitRequest)
+    assert starter.on_permit(1.0, asked[0].to, permit) == [] and not starter.proceeded
+    assert starter.on_permit(1.0, "n9", Permit(1, True)) == []  # nor one of a member that was not asked
 
 
 def test_who_waits_longest_goes_first_and_tables_are_bounded():
-    granter = Granter(1, lambda identity: True, PermitPace(most=50))
-    assert granter.asked(0.0, "a", PermitAsk(1)).granted
-    assert not granter.asked(1.0, "b", PermitAsk(1)).granted and not granter.asked(2.0, "c", PermitAsk(1)).granted
-    granter.asked(3.0, "a", PermitAsk(2, done=True))
-    assert not granter.asked(4.0, "c", PermitAsk(2)).granted and granter.asked(5.0, "b", PermitAsk(2)).granted
+    granter = PermitGranter(1, lambda identity: True, PermitTiming(most=50))
+    assert granter.on_request(0.0, "a", PermitRequest(1)).granted
+    assert (
+        not granter.on_request(1.0, "b", PermitRequest(1)).granted
+        and not granter.on_request(2.0, "c", PermitRequest(1)).granted
+    )
+    granter.on_request(3.0, "a", PermitRequest(2, done=True))
+    assert (
+        not granter.on_request(4.0, "c", PermitRequest(2)).granted
+        and granter.on_request(5.0, "b", PermitRequest(2)).granted
+    )
     for number in range(500):
-        granter.asked(6.0, f"p{number}", PermitAsk(1))
-        granter.asked(6.0, f"q{number}", PermitAsk(1, holds=True))
-    assert len(granter.waiting) <= 50 and len(granter.held) <= 50
+        granter.on_request(6.0, f"p{number}", PermitRequest(1))
+        granter.on_request(6.0, f"q{number}", PermitRequest(1, holds=True))
+    assert len(granter.waiting) <= 50 and len(granter.granted_until_ms) <= 50
 
 
 def test_members_in_reach_that_do_not_answer_are_passed_over_and_two_of_them_hold_up_nobody():
     names = tuple(f"n{number}" for number in range(6))
-    first, second, *_, last = order(names)
+    first, second, *_, last = granter_order(names)
     for mute, asked, most_ms in (
         ({first}, second, PACE.alone_ms + 500.0),
         ({first, second}, None, 2 * PACE.alone_ms + 900.0),
     ):
-        starter, granter = Starter(last, names, random.Random(1).uniform), Granter(1, lambda identity: True)
+        starter, granter = (
+            PermitRequester(last, names, random.Random(1).uniform),
+            PermitGranter(1, lambda identity: True),
+        )
         now, went = 0.0, []
         while not went and now < 60_000.0:
-            for action in starter.want(now, set(names) - {last}):
-                if isinstance(action, Go):
+            for action in starter.request(now, set(names) - {last}):
+                if isinstance(action, Proceed):
                     went.append((now, action.cause))
                 elif action.to not in mute:
                     went += [
-                        (now, one.cause) for one in starter.told(now, action.to, granter.asked(now, last, action.word))
+                        (now, one.cause)
+                        for one in starter.on_permit(now, action.to, granter.on_request(now, last, action.word))
                     ]
             now += 20.0
         assert went[0][0] <= most_ms
--- a/tests/startup/test_storms.py
+++ b/tests/startup/test_storms.py
@@ -8,7 +8,7 @@
 
 from flintshift.lab.fleet import Fleet
 from flintshift.lab.services import LimitedNames, now_ms
-from flintshift.startup.permits import order
+from flintshift.startup.permits import granter_order
 
 pytestmark = pytest.mark.anyio
 NODES = 16
@@ -106,7 +106,7 @@
         tmp_path, {"a": 3, "b": 2}, copies="  copies: 3\n", more="startup: {enabled: true, at-once: 1}\n"
     ) as fleet:
         await fleet.until_linked()
-        first, second, *others = order(fleet.members)
+        first, second, *others = granter_order(fleet.members)
         name = others[0]
         assert all(len(went(fleet, one)) == 1 for one in fleet.members)
 
@@ -136,7 +136,7 @@
     names = fleet.names = LimitedNames(1000.0)
     async with fleet:
         await fleet.until_linked()
-        granter, second, one, other, *rest = order(fleet.members)
+        granter, second, one, other, *rest = granter_order(fleet.members)
         for name in (one, other):
             await fleet.kill(name)
         # On a busy machine links come up in any order, and a member asks the first that it reaches.
