--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -229,7 +229,7 @@
 
     def _watch_start(self, options: StartupOptions) -> None:
         from flintshift.lifecycle.starting import Starting
-        from flintshift.startup.phases import Seen
+        from flintshift.startup.phases import NodeState
 
         settings = self.config.settings
         if options.at_once is not None and self.copying is not None:
@@ -238,7 +238,7 @@
         starting = self.starting = Starting(
             options,
             settings.cold_ms if settings.cold else 0.0,
-            lambda: Seen(
+            lambda: NodeState(
                 self.bound,
                 self.decisions.posture.up,
                 self.registration.taken > 0,
--- a/flintshift/lifecycle/starting.py
+++ b/flintshift/lifecycle/starting.py
@@ -16,7 +16,7 @@
 from flintshift.settings.options import StartupOptions
 from flintshift.startup.backoff import Uniform
 from flintshift.startup.crash_loops import StartHistory
-from flintshift.startup.phases import Entered, Late, Phase, Phases, Seen, asked
+from flintshift.startup.phases import NodeState, Phase, PhaseEntered, PhaseOverdue, Phases, services_in_use
 from flintshift.storage import snapshot
 from flintshift.storage.files import DiskFiles, Files
 
@@ -31,7 +31,7 @@
         self,
         options: StartupOptions,
         cold_ms: float,
-        seen: Callable[[], Seen],
+        seen: Callable[[], NodeState],
         steady: Callable[[], None],
         uniform: Uniform,
         counters: Counters,
@@ -111,7 +111,7 @@
         while self.phases.phase is not Phase.STEADY:
             for action in self.phases.handle(self._now(), self.seen()):
                 match action:
-                    case Entered(phase, after_ms, waited_for):
+                    case PhaseEntered(phase, after_ms, waited_for):
                         told = {
                             "phase": phase.name.lower(),
                             "after_ms": round(after_ms),
@@ -119,7 +119,7 @@
                         }
                         self.entered.append(told)
                         self.log("info", "startup.phase", **told)
-                    case Late(phase, after_ms, waits_for):
+                    case PhaseOverdue(phase, after_ms, waits_for):
                         self.counters.add("startup.late")
                         self.log(
                             "warning",
@@ -137,7 +137,7 @@
         return {
             "phase": phases.phase.name.lower(),
             "ready": phases.ready,
-            "asks": asked(phases.phase),
+            "asks": services_in_use(phases.phase),
             "for_ms": round(self._now() - phases.since_ms),
             "waits_for": list(phases.waited_for),
             "entered": self.entered,
--- a/flintshift/startup/phases.py
+++ b/flintshift/startup/phases.py
@@ -34,7 +34,7 @@
 )  # that a node asks for anything, and from which phase on
 
 
-def asked(phase: Phase) -> list[str]:
+def services_in_use(phase: Phase) -> list[str]:
     """Whom a node in this phase asks."""
     return [service for service, since in SERVICES if phase >= since]
 
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class NodeState:
     """How the node stands."""
 
     bound: bool
@@ -60,20 +60,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entered:
+class PhaseEntered:
     phase: Phase
     after_ms: float  # in the phase before
     waited_for: tuple[str, ...]  # what that one waited for last
 
 
 @dataclass(frozen=True, slots=True)
-class Late:
+class PhaseOverdue:
     phase: Phase
     after_ms: float
     waits_for: tuple[str, ...]
 
 
-Action = Entered | Late
+Action = PhaseEntered | PhaseOverdue
 
 
 @dataclass(slots=True)
@@ -96,7 +96,7 @@
         """What a health answer says by this."""
         return self.phase >= Phase.RESTORED
 
-    def handle(self, now_ms: float, seen: Seen) -> list[Action]:
+    def handle(self, now_ms: float, seen: NodeState) -> list[Action]:
         actions: list[Action] = []
         while self.phase is not Phase.STEADY:
             waits_for = self._waits_for(now_ms, seen)
@@ -109,16 +109,16 @@
                 }.get(self.phase)
                 if most is not None and now_ms - self.since_ms > most and not self.told_late:
                     self.told_late = True
-                    actions.append(Late(self.phase, now_ms - self.since_ms, waits_for))
+                    actions.append(PhaseOverdue(self.phase, now_ms - self.since_ms, waits_for))
                 break
             entered = Phase(self.phase + 1)
             if entered is Phase.RAMPING and not self.cold_ms:
                 entered = Phase.STEADY
-            actions.append(Entered(entered, now_ms - self.since_ms, self.waited_for))
+            actions.append(PhaseEntered(entered, now_ms - self.since_ms, self.waited_for))
             self.phase, self.since_ms, self.waited_for, self.told_late = entered, now_ms, (), False
         return actions
 
-    def _waits_for(self, now_ms: float, seen: Seen) -> tuple[str, ...]:
+    def _waits_for(self, now_ms: float, seen: NodeState) -> tuple[str, ...]:
         match self.phase:
             case Phase.ALONE:
                 return () if seen.bound else ("its addresses",)
--- a/tests/startup/test_starts.py
+++ b/tests/startup/test_starts.py
@@ -12,14 +12,14 @@
 
 from flintshift.lab.rig import Rig
 from flintshift.startup.crash_loops import CrashLoopTiming, ProcessStart, StartHistory
-from flintshift.startup.phases import Entered, Late, Phase, PhaseBounds, Phases, Seen, asked
+from flintshift.startup.phases import NodeState, Phase, PhaseBounds, PhaseEntered, PhaseOverdue, Phases, services_in_use
 
-NOTHING, BOUND = Seen(False, False, False), Seen(True, False, False)
-LINKED, REPORTED = Seen(True, True, False), Seen(True, True, True)
+NOTHING, BOUND = NodeState(False, False, False), NodeState(True, False, False)
+LINKED, REPORTED = NodeState(True, True, False), NodeState(True, True, True)
 
 
 def phases_of(actions):
-    return [one.phase for one in actions if isinstance(one, Entered)]
+    return [one.phase for one in actions if isinstance(one, PhaseEntered)]
 
 
 def test_a_start_goes_through_its_phases_and_says_what_each_waited_for():
@@ -28,10 +28,10 @@
     assert phases_of(start.handle(100.0, BOUND)) == [Phase.BOUND]
     assert start.handle(150.0, BOUND) == [] and not start.ready
     (restored,) = start.handle(300.0, LINKED)
-    assert restored == Entered(Phase.RESTORED, 200.0, ("the worker pool",)) and start.ready
+    assert restored == PhaseEntered(Phase.RESTORED, 200.0, ("the worker pool",)) and start.ready
     assert phases_of(start.handle(400.0, REPORTED)) == [Phase.LISTED, Phase.RAMPING]
     assert start.handle(899.0, REPORTED) == []
-    assert start.handle(900.0, REPORTED) == [Entered(Phase.STEADY, 500.0, ("the time in which it is cold",))]
+    assert start.handle(900.0, REPORTED) == [PhaseEntered(Phase.STEADY, 500.0, ("the time in which it is cold",))]
 
 
 def test_a_node_that_is_not_cold_has_no_ramp_and_a_fast_start_passes_all_at_once():
@@ -50,14 +50,14 @@
     start = Phases(0.0)
     start.handle(0.0, seen)
     assert start.phase is phase and start.handle(late_ms, seen) == []
-    assert start.handle(late_ms + 1.0, seen) == [Late(phase, late_ms + 1.0, (waits_for,))]
+    assert start.handle(late_ms + 1.0, seen) == [PhaseOverdue(phase, late_ms + 1.0, (waits_for,))]
     assert start.handle(late_ms + 9000.0, seen) == []
     assert phases_of(start.handle(late_ms + 9001.0, REPORTED))[-1] is Phase.STEADY
 
 
 def test_a_node_asks_nobody_before_it_listens_and_the_vault_last():
-    assert asked(Phase.ALONE) == [] and "list service" not in asked(Phase.BOUND)
-    assert "vault" not in asked(Phase.RESTORED) and asked(Phase.STEADY)[-1] == "vault"
+    assert services_in_use(Phase.ALONE) == [] and "list service" not in services_in_use(Phase.BOUND)
+    assert "vault" not in services_in_use(Phase.RESTORED) and services_in_use(Phase.STEADY)[-1] == "vault"
     bounds = PhaseBounds()
     assert bounds.bind_ms + bounds.restore_ms + bounds.list_ms <= 30_000.0
 
