--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -241,7 +241,7 @@
             lambda: NodeState(
                 self.bound,
                 self.decisions.posture.up,
-                self.registration.taken > 0,
+                self.registration.accepted_reports > 0,
                 permits is None or permits.starter.proceeded,
             ),
             permits.done if permits is not None else lambda: None,
@@ -420,7 +420,7 @@
         ):
             return  # told again once it may
         if posture.up or posture.leaving:
-            self.registration.say(not (posture.leaving or posture.out), last=posture.leaving)
+            self.registration.announce(not (posture.leaving or posture.out), last=posture.leaving)
 
     def give_up(self, error: OSError) -> None:
         """End at once: this process has taken no client."""
@@ -437,7 +437,7 @@
         """Another process of this node accepts from now on; what is open here goes on to its next answer."""
         for front, _ in self.fronts:
             front.leave()
-        self.registration.say(None)
+        self.registration.announce(None)
 
     async def _listeners(self) -> list[Acceptor]:
         if self.upgrade is None:
--- a/flintshift/startup/registration.py
+++ b/flintshift/startup/registration.py
@@ -35,10 +35,10 @@
             again_most_ms=limits.report_again_most_ms,
             nodes=nodes,
         )
-        self.taken = 0  # reports, since the start
+        self.accepted_reports = 0  # reports, since the start
         self.lists = [(listed, Reports(pace, uniform), Mailbox[Said](limits.list_box)) for listed in lists]
 
-    def say(self, serving: bool | None, last: bool = False) -> None:
+    def announce(self, serving: bool | None, last: bool = False) -> None:
         """From now on say this, again and again; None: nothing. The last word is said until it was taken once."""
         for _, _, box in self.lists:
             if not box.offer(Said(serving, last)):  # only the newest word counts: the oldest makes room for it
@@ -59,7 +59,7 @@
                     case Report(serving):
                         began_ms = now_ms()
                         taken = await listed.report(serving)
-                        self.taken += taken
+                        self.accepted_reports += taken
                         event = Answered(taken, began_ms)
                         break
                     case Wake(at_ms):
--- a/tests/wire/test_name_service.py
+++ b/tests/wire/test_name_service.py
@@ -25,7 +25,7 @@
     listing = Registration([service], limits, 1, random.Random(1).uniform)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(listing.run)
-        listing.say(True)
+        listing.announce(True)
         while counters["names.unanswered"] < 3:
             await names.log.until(lambda _: True, counters["names.unanswered"] + 1)
         tasks.cancel_scope.cancel()
