--- a/flintshift/lab/cold_start.py
+++ b/flintshift/lab/cold_start.py
@@ -10,7 +10,16 @@
 from dataclasses import dataclass, field, replace
 
 from flintshift.lab.capacity import SLOW_MS, Capacity, Verdict
-from flintshift.startup.reports import Answered, Event, Report, ReportPace, Reports, Said, Tick, Wake
+from flintshift.startup.reports import (
+    Event,
+    ReportAnswered,
+    ReportSchedule,
+    ReportTiming,
+    SendReport,
+    StatusChanged,
+    Tick,
+    WakeAt,
+)
 
 QUIET_MS = 10_000.0  # before an outage
 AFTER_MS = 20_000.0  # that are watched past it
@@ -33,7 +42,7 @@
 
 @dataclass(slots=True)
 class SimNode:
-    reports: Reports
+    reports: ReportSchedule
     starts_ms: float
     taken_ms: float | None = None  # its last report that was taken
     wakes: int = 0  # a wake of an earlier number is stale
@@ -60,22 +69,22 @@
     def __post_init__(self) -> None:
         self.down_ms = QUIET_MS, QUIET_MS + self.outage_s * 1000
         self.draw = random.Random(self.seed)
-        self.pace = ReportPace(nodes=self.nodes)
+        self.pace = ReportTiming(nodes=self.nodes)
         if self.longest_ms is not None:
-            self.pace = replace(self.pace, again_most_ms=self.longest_ms)
-        self.steady_per_s = self.nodes * 1000.0 / self.pace.every_ms
+            self.pace = replace(self.pace, max_retry_ms=self.longest_ms)
+        self.steady_per_s = self.nodes * 1000.0 / self.pace.period_ms
         self.service = Capacity(self.capacity * self.steady_per_s)
         self.members = [
             SimNode(self._reports(number), self.draw.uniform(0.0, self.start_ms)) for number in range(self.nodes)
         ]
         for node in self.members:
-            self._later(node.starts_ms, node, Said(True))
+            self._later(node.starts_ms, node, StatusChanged(True))
 
-    def _reports(self, number: int) -> Reports:
+    def _reports(self, number: int) -> ReportSchedule:
         if self.before:
-            pace = ReportPace(spread=0.0, again_most_ms=self.pace.again_ms, nodes=1)
-            return Reports(pace, lambda low, high: low)
-        return Reports(self.pace, random.Random(f"n{number} {self.seed}").uniform)
+            pace = ReportTiming(spread=0.0, max_retry_ms=self.pace.retry_ms, nodes=1)
+            return ReportSchedule(pace, lambda low, high: low)
+        return ReportSchedule(self.pace, random.Random(f"n{number} {self.seed}").uniform)
 
     def _later(self, at_ms: float, node: SimNode, event: Event) -> None:
         heapq.heappush(self.queue, (at_ms, next(self.turn), node, event, node.wakes))
@@ -88,9 +97,9 @@
             node.wakes += 1
             for action in node.reports.handle(now, event):
                 match action:
-                    case Wake(at_ms):
+                    case WakeAt(at_ms):
                         self._later(at_ms, node, Tick())
-                    case Report():
+                    case SendReport():
                         self._call(now, node)
 
     def _call(self, now: float, node: SimNode) -> None:
@@ -101,7 +110,7 @@
             if node.taken_ms is not None and now + took - node.taken_ms > LAPSE_MS:
                 node.lapses += 1
             node.taken_ms = now + took
-        self._later(now + took, node, Answered(taken, now))
+        self._later(now + took, node, ReportAnswered(taken, now))
 
 
 def play(
--- a/flintshift/startup/registration.py
+++ b/flintshift/startup/registration.py
@@ -12,7 +12,16 @@
 from flintshift.core.limits import Limits
 from flintshift.core.mailbox import Mailbox
 from flintshift.startup.backoff import Uniform
-from flintshift.startup.reports import Answered, Event, Report, ReportPace, Reports, Said, Tick, Wake
+from flintshift.startup.reports import (
+    Event,
+    ReportAnswered,
+    ReportSchedule,
+    ReportTiming,
+    SendReport,
+    StatusChanged,
+    Tick,
+    WakeAt,
+)
 
 
 class ListService(Protocol):
@@ -29,40 +38,42 @@
     """``nodes``: how many report to the same lists, as far as the settings tell."""
 
     def __init__(self, lists: Sequence[ListService], limits: Limits, nodes: int, uniform: Uniform) -> None:
-        pace = ReportPace(
+        pace = ReportTiming(
             limits.report_every_ms,
-            again_ms=limits.report_again_ms,
-            again_most_ms=limits.report_again_most_ms,
+            retry_ms=limits.report_again_ms,
+            max_retry_ms=limits.report_again_most_ms,
             nodes=nodes,
         )
         self.accepted_reports = 0  # reports, since the start
-        self.lists = [(listed, Reports(pace, uniform), Mailbox[Said](limits.list_box)) for listed in lists]
+        self.lists = [
+            (listed, ReportSchedule(pace, uniform), Mailbox[StatusChanged](limits.list_box)) for listed in lists
+        ]
 
     def announce(self, serving: bool | None, last: bool = False) -> None:
         """From now on say this, again and again; None: nothing. The last word is said until it was taken once."""
         for _, _, box in self.lists:
-            if not box.offer(Said(serving, last)):  # only the newest word counts: the oldest makes room for it
+            if not box.offer(StatusChanged(serving, last)):  # only the newest word counts: the oldest makes room for it
                 box.take_now()
-                box.offer(Said(serving, last))
+                box.offer(StatusChanged(serving, last))
 
     async def run(self) -> None:
         async with anyio.create_task_group() as tasks:
             for one in self.lists:
                 tasks.start_soon(self._keep, *one)
 
-    async def _keep(self, listed: ListService, reports: Reports, box: Mailbox[Said]) -> None:
+    async def _keep(self, listed: ListService, reports: ReportSchedule, box: Mailbox[StatusChanged]) -> None:
         event: Event = await box.take()
         while True:
             wait_s: float | None = None
             for action in reports.handle(now_ms(), event):
                 match action:
-                    case Report(serving):
+                    case SendReport(serving):
                         began_ms = now_ms()
                         taken = await listed.report(serving)
                         self.accepted_reports += taken
-                        event = Answered(taken, began_ms)
+                        event = ReportAnswered(taken, began_ms)
                         break
-                    case Wake(at_ms):
+                    case WakeAt(at_ms):
                         wait_s = max(0.0, at_ms - now_ms()) / 1000
             else:
                 event = Tick()
--- a/flintshift/startup/reports.py
+++ b/flintshift/startup/reports.py
@@ -19,25 +19,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReportPace:
+class ReportTiming:
     """Milliseconds, but for ``spread``, a share of the period."""
 
-    every_ms: float = 800.0  # the period of a word that is repeated
+    period_ms: float = 800.0  # the period of a word that is repeated
     spread: float = 0.05  # a period is drawn between so much less and so much more
-    again_ms: float = 100.0  # the first wait after a report that was not taken
-    again_most_ms: float = 2800.0  # under the 3 s after which a list forgets a node: it reports in time at the return
+    retry_ms: float = 100.0  # the first wait after a report that was not taken
+    max_retry_ms: float = 2800.0  # under the 3 s after which a list forgets a node: it reports in time at the return
     nodes: int = 1  # of the fleet, this one too, as the settings tell
 
     @property
     def window_ms(self) -> float:
-        return self.every_ms * min(1.0, max(0, self.nodes - 1) / (CROWD - 1))
+        return self.period_ms * min(1.0, max(0, self.nodes - 1) / (CROWD - 1))
 
 
 # What is told.
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class StatusChanged:
     """From now on report this; None: nothing. ``last``: no more once it was taken."""
 
     serving: bool | None
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class ReportAnswered:
     taken: bool
     began_ms: float  # an answer that is late or never comes must not delay the next report
 
@@ -55,43 +55,43 @@
     pass
 
 
-Event = Said | Answered | Tick
+Event = StatusChanged | ReportAnswered | Tick
 
 
 # What it answers.
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """Report this now; what becomes of it is told by `Answered`."""
+class SendReport:
+    """Report this now; what becomes of it is told by `ReportAnswered`."""
 
     serving: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
+class WakeAt:
     at_ms: float
 
 
-Action = Report | Wake
+Action = SendReport | WakeAt
 
 
-class Reports:
-    """One list service's. No event but `Said` comes while a report is under way."""
+class ReportSchedule:
+    """One list service's. No event but `StatusChanged` comes while a report is under way."""
 
-    def __init__(self, pace: ReportPace, uniform: Uniform) -> None:
+    def __init__(self, pace: ReportTiming, uniform: Uniform) -> None:
         self.pace, self.uniform = pace, uniform
-        self.waits = Backoff(pace.again_ms, pace.again_most_ms, uniform)
-        self.word = Said(None)
+        self.waits = Backoff(pace.retry_ms, pace.max_retry_ms, uniform)
+        self.word = StatusChanged(None)
         self.began = False  # a word was given before
         self.due_ms = math.inf
         self.under_way = False
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         match event:
-            case Said():
+            case StatusChanged():
                 self._said(now_ms, event)
-            case Answered(taken, began_ms):
+            case ReportAnswered(taken, began_ms):
                 self.under_way = False
                 self._answered(now_ms, taken, began_ms)
             case Tick():
@@ -99,11 +99,11 @@
         if self.under_way or self.word.serving is None or self.due_ms == math.inf:
             return []
         if now_ms < self.due_ms:
-            return [Wake(self.due_ms)]
+            return [WakeAt(self.due_ms)]
         self.under_way = True
-        return [Report(self.word.serving)]
+        return [SendReport(self.word.serving)]
 
-    def _said(self, now_ms: float, event: Said) -> None:
+    def _said(self, now_ms: float, event: StatusChanged) -> None:
         changed, before = event != self.word, self.word
         self.word = event
         if event.serving is None:
@@ -124,5 +124,5 @@
         self.due_ms = (
             math.inf
             if self.word.last
-            else began_ms + self.pace.every_ms * self.uniform(1.0 - self.pace.spread, 1.0 + self.pace.spread)
+            else began_ms + self.pace.period_ms * self.uniform(1.0 - self.pace.spread, 1.0 + self.pace.spread)
         )
--- a/tests/startup/test_reports.py
+++ b/tests/startup/test_reports.py
@@ -13,7 +13,15 @@
 
 from flintshift.lab.cold_start import LAPSE_MS, play
 from flintshift.startup.backoff import Backoff
-from flintshift.startup.reports import Answered, Report, ReportPace, Reports, Said, Tick, Wake
+from flintshift.startup.reports import (
+    ReportAnswered,
+    ReportSchedule,
+    ReportTiming,
+    SendReport,
+    StatusChanged,
+    Tick,
+    WakeAt,
+)
 
 TRY_MS = 400.0  # a try may take so long until it is given up
 
@@ -27,41 +35,41 @@
 def begun(reports, now_ms, event):
     """Handle it, and wait until a report is due; returns when that begins."""
     actions = reports.handle(now_ms, event)
-    if isinstance(actions[0], Wake):
+    if isinstance(actions[0], WakeAt):
         now_ms = actions[0].at_ms
         actions = reports.handle(now_ms, Tick())
-    assert isinstance(actions[0], Report)
+    assert isinstance(actions[0], SendReport)
     return now_ms
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.floats(0.0, 1.0), max_size=12))
 def test_after_a_report_that_is_lost_two_more_begin_before_the_entry_lapses(draws):
-    reports = Reports(ReportPace(nodes=300), at_share(draws))
-    taken = begun(reports, 0.0, Said(True))
-    at = begun(reports, taken + 5.0, Answered(True, taken))
+    reports = ReportSchedule(ReportTiming(nodes=300), at_share(draws))
+    taken = begun(reports, 0.0, StatusChanged(True))
+    at = begun(reports, taken + 5.0, ReportAnswered(True, taken))
     for _ in range(2):
-        at = begun(reports, at + TRY_MS, Answered(False, at))
+        at = begun(reports, at + TRY_MS, ReportAnswered(False, at))
         assert at - taken < LAPSE_MS
 
 
 def test_a_word_that_changes_something_passes_at_once_whatever_the_waits_say():
-    reports = Reports(ReportPace(nodes=300), at_share([]))
-    at = begun(reports, 0.0, Said(True))
+    reports = ReportSchedule(ReportTiming(nodes=300), at_share([]))
+    at = begun(reports, 0.0, StatusChanged(True))
     for _ in range(4):
-        at = begun(reports, at, Answered(False, at))
-    assert isinstance(reports.handle(at, Answered(False, at))[0], Wake)
-    assert reports.handle(at + 10.0, Said(False, last=True)) == [Report(False)]
-    assert reports.handle(at + 12.0, Answered(True, at + 10.0)) == []  # the last word, taken once
+        at = begun(reports, at, ReportAnswered(False, at))
+    assert isinstance(reports.handle(at, ReportAnswered(False, at))[0], WakeAt)
+    assert reports.handle(at + 10.0, StatusChanged(False, last=True)) == [SendReport(False)]
+    assert reports.handle(at + 12.0, ReportAnswered(True, at + 10.0)) == []  # the last word, taken once
 
 
 def test_what_is_said_while_a_report_is_under_way_follows_it_at_once():
-    reports = Reports(ReportPace(), at_share([]))
-    assert reports.handle(0.0, Said(True)) == [Report(True)]  # a node alone does not wait
-    assert reports.handle(5.0, Said(False)) == []
-    assert reports.handle(9.0, Answered(True, 0.0)) == [Report(False)]
-    assert reports.handle(9.5, Said(None)) == []
-    assert reports.handle(10.0, Answered(True, 9.0)) == []
+    reports = ReportSchedule(ReportTiming(), at_share([]))
+    assert reports.handle(0.0, StatusChanged(True)) == [SendReport(True)]  # a node alone does not wait
+    assert reports.handle(5.0, StatusChanged(False)) == []
+    assert reports.handle(9.0, ReportAnswered(True, 0.0)) == [SendReport(False)]
+    assert reports.handle(9.5, StatusChanged(None)) == []
+    assert reports.handle(10.0, ReportAnswered(True, 9.0)) == []
 
 
 def test_waits_grow_are_drawn_and_bounded():
