--- a/benchmarks/copies_model.py
+++ b/benchmarks/copies_model.py
@@ -149,11 +149,11 @@
 def heartbeats(count: int, halls: int) -> dict[str, float]:
     """Beats a second over the fleet, and how long until all know of a death: hearts alone, a hop of 0.5 ms."""
     names = halls_of(count, halls)
-    pace = who.Pace()
-    all_ = {name: who.Members(f"{name}#1", names, pace, 0.0) for name in names}
+    pace = who.HeartbeatTiming()
+    all_ = {name: who.Membership(f"{name}#1", names, pace, 0.0) for name in names}
     for one in all_.values():
         for name in names:
-            one.handle(0.0, who.Heard(f"{name}#1"))
+            one.handle(0.0, who.MessageReceived(f"{name}#1"))
     sent, dead, knew, now = 0, "n001", dict[str, float](), 0.0
     words: list[tuple[str, who.Event]] = []
     while now < 6000.0 and len(knew) < count - 1:
@@ -170,9 +170,9 @@
                 continue
             for action in one.handle(now, who.Tick()):
                 match action:
-                    case who.Beat(to):
+                    case who.SendHeartbeat(to):
                         sent += now <= 2000.0
-                        words.append((to, who.Heard(f"{name}#1")))
+                        words.append((to, who.MessageReceived(f"{name}#1")))
                     case who.Accuse(identity, lapsed):
                         words += [(other, who.Accused(name, identity, lapsed)) for other in names if other != name]
                     case who.Died():
--- a/flintshift/lifecycle/copies_status.py
+++ b/flintshift/lifecycle/copies_status.py
@@ -18,7 +18,7 @@
         processes.setdefault(who.member_of(identity), []).append(
             {
                 "identity": identity,
-                "silent_ms": round(now - one.heard_ms),
+                "silent_ms": round(now - one.last_heard_ms),
                 "state": "dead" if one.dead else "suspected" if one.accused else "alive",
             }
         )
--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/copying.py
@@ -102,7 +102,9 @@
         self.files = files or DiskFiles()
         self.claims = CopiedClaims(decisions, limits, now_ms, self.now_ms, self._from_planner, counters, log)
         self.store = ReplicaStore(self, name, self.placement, options, self.files, self.now_ms, counters, log)
-        self.members = who.Members(self.identity, halls, who.Pace(peers.beat_ms, peers.lease_ms), self.now_ms())
+        self.members = who.Membership(
+            self.identity, halls, who.HeartbeatTiming(peers.beat_ms, peers.lease_ms), self.now_ms()
+        )
         self.proposals = Proposals(self.identity, self.placement, self._lives, self.draw)
         greeting = self.greeting = Greeting(name, self.identity, peers.epoch, members_digest(peers))
         self.links = {
@@ -199,7 +201,7 @@
         return time.monotonic() * 1000
 
     def _lives(self, runner: str) -> bool:
-        return self.members.lives(runner, self.now_ms())
+        return self.members.is_alive(runner, self.now_ms())
 
     # What the store needs of its host.
 
@@ -275,7 +277,7 @@
     def _members(self, event: who.Event) -> None:
         for action in self.members.handle(self.now_ms(), event):
             match action:
-                case who.Beat(to):
+                case who.SendHeartbeat(to):
                     self.links[to].beat()
                 case who.Accuse():
                     for link in self.links.values():
@@ -298,14 +300,14 @@
     def _met(self, member: str, told: pb.Hello) -> None:
         """Either end of a link said hello."""
         self.store.met(member, told.store, told.known_store)
-        self._members(who.Heard(told.identity))
+        self._members(who.MessageReceived(told.identity))
         self.links[member].hurry()
 
     def _refused(self, cause: str) -> None:
         self.log("warning", "peers.link_refused", cause=cause)
 
     def _asked(self, member: str, identity: str, words: list[Any]) -> None:
-        self._members(who.Heard(identity))
+        self._members(who.MessageReceived(identity))
         for word in words:
             match word:
                 case Ask():
@@ -322,7 +324,7 @@
                     self.use.asked(identity, word)
 
     def _answered(self, member: str, identity: str, words: list[Any]) -> None:
-        self._members(who.Heard(identity))
+        self._members(who.MessageReceived(identity))
         for word in words:
             match word:
                 case Vote():
--- a/flintshift/peers/members.py
+++ b/flintshift/peers/members.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class HeartbeatTiming:
     beat_ms: float = 200.0
     lease_ms: float = 1200.0  # heard nothing for so long: accused
     tell_ms: float = 1000.0  # an accusation that stands is told again
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class MessageReceived:
     """Anything came from this process."""
 
     identity: str
@@ -52,14 +52,14 @@
     pass
 
 
-Event = Heard | Accused | Tick
+Event = MessageReceived | Accused | Tick
 
 
 # Answered.
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class SendHeartbeat:
     to: str
 
 
@@ -99,12 +99,12 @@
     was_dead: bool
 
 
-Action = Beat | Accuse | Appeared | Suspected | Died | Returned
+Action = SendHeartbeat | Accuse | Appeared | Suspected | Died | Returned
 
 
 @dataclass(slots=True)
 class Process:
-    heard_ms: float  # last, here
+    last_heard_ms: float  # last, here
     accused: bool = False  # by this member
     accusers: set[str] = field(default_factory=set)
     dead: bool = False
@@ -125,8 +125,8 @@
     return [names[place] for place in range(max(map(len, rows), default=0)) for names in rows if place < len(names)]
 
 
-class Members:
-    def __init__(self, me: str, halls: Mapping[str, str], pace: Pace, now_ms: float) -> None:
+class Membership:
+    def __init__(self, me: str, halls: Mapping[str, str], pace: HeartbeatTiming, now_ms: float) -> None:
         """``me`` is this process's identity."""
         self.me, self.name, self.pace, self.began_ms = me, member_of(me), pace, now_ms
         self.ring = ring(halls)
@@ -141,14 +141,14 @@
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         match event:
-            case Heard(identity):
+            case MessageReceived(identity):
                 return self._heard(now_ms, identity)
             case Accused(by, identity, lapsed):
                 return self._accused(now_ms, by, identity, lapsed)
             case Tick():
                 return self._tick(now_ms)
 
-    def lives(self, identity: str, now_ms: float) -> bool:
+    def is_alive(self, identity: str, now_ms: float) -> bool:
         """Whether to count on this process. One that was never heard of is given a lease from the start of this one."""
         if identity == self.me:
             return True
@@ -168,7 +168,7 @@
         if known is None:
             self._remember(identity, now_ms)
             return [Appeared(identity)]
-        known.heard_ms, known.news = now_ms, True
+        known.last_heard_ms, known.news = now_ms, True
         if not (known.accused or known.dead):
             return []
         was_dead, told = known.dead, known.accused
@@ -191,16 +191,16 @@
         (known.accusers.add if lapsed else known.accusers.discard)(by)
         return self._judge(now_ms, identity, known)
 
-    def _remember(self, identity: str, heard_ms: float) -> Process:
+    def _remember(self, identity: str, last_heard_ms: float) -> Process:
         """A member that is started again and again is a new process each time."""
         if len(self.processes) >= MOST:
-            del self.processes[min(self.processes, key=lambda one: self.processes[one].heard_ms)]
-        known = self.processes[identity] = Process(heard_ms)
+            del self.processes[min(self.processes, key=lambda one: self.processes[one].last_heard_ms)]
+        known = self.processes[identity] = Process(last_heard_ms)
         return known
 
     def _judge(self, now_ms: float, identity: str, known: Process) -> list[Action]:
         watchers = self.watchers[member_of(identity)]
-        silent = now_ms - known.heard_ms
+        silent = now_ms - known.last_heard_ms
         if known.dead or len(known.accusers) < len(watchers) // 2 + 1 or silent < self.pace.lease_ms:
             return []
         known.dead = True
@@ -210,9 +210,9 @@
         actions: list[Action] = []
         if now_ms >= self.beat_ms + self.pace.beat_ms:
             self.beat_ms = now_ms
-            actions += [Beat(name) for name in self.watchers[self.name]]
+            actions += [SendHeartbeat(name) for name in self.watchers[self.name]]
         for identity, known in list(self.processes.items()):
-            silent = now_ms - known.heard_ms
+            silent = now_ms - known.last_heard_ms
             watched = self.name in self.watchers[member_of(identity)]
             if (
                 watched
