--- a/flintshift/discovery/known_servers.py
+++ b/flintshift/discovery/known_servers.py
@@ -21,11 +21,11 @@
         self.empty = 0  # looks in a row that found none, while some were known
 
     @property
-    def doubted(self) -> bool:
+    def empty_unconfirmed(self) -> bool:
         """The last look found nobody, and is not believed yet."""
         return self.empty > 0
 
-    def looked(self, found: list[T]) -> bool:
+    def record_poll(self, found: list[T]) -> bool:
         """A look without an error found these; True where it found nobody, and some were known."""
         vanished = bool(self.servers) and not found
         self.empty = self.empty + 1 if vanished else 0
--- a/flintshift/wire/dnssd.py
+++ b/flintshift/wire/dnssd.py
@@ -84,14 +84,14 @@
         waits = Backoff(self.limits.browse_again_ms, self.limits.browse_ms, self.uniform)
         while True:
             try:
-                if self.known.looked(await self._browse()):
+                if self.known.record_poll(await self._browse()):
                     self.counters.add("dns.empty")
             except FAILED:
                 self.counters.add("dns.failed")
             except Exception as error:  # whatever else the event loop may raise costs this look, and not the node
                 faults.met(self.counters, "dns", error)
             # What is known stands, so a resolver that fails is not asked more often for it; one that names nobody is.
-            if self.known.servers and not self.known.doubted:
+            if self.known.servers and not self.known.empty_unconfirmed:
                 waits.reset()
                 wait_ms = self.limits.browse_ms * self.uniform(0.95, 1.05)
             else:
--- a/tests/discovery/test_known_servers.py
+++ b/tests/discovery/test_known_servers.py
@@ -22,6 +22,6 @@
     servers = KnownServers(empty_looks=3)
     for now, then in zip(found, known, strict=True):
         before = servers.servers
-        assert servers.looked(now) is (bool(before) and not now)
+        assert servers.record_poll(now) is (bool(before) and not now)
         assert servers.servers == then
-        assert servers.doubted is (not now and bool(then))
+        assert servers.empty_unconfirmed is (not now and bool(then))
