--- a/tests/copies/test_store.py
+++ b/tests/copies/test_store.py
@@ -90,15 +90,15 @@
 
 
 def flip(files, path, place):
-    files.names_now[path].data[place] ^= 1
+    files.current_files[path].data[place] ^= 1
 
 
 def test_a_flipped_byte_is_seen_and_the_store_begins_anew_without_a_vote():
     files = founded()
     store = opened(files)
     store.write([entry(1), entry(2)], NOW)
-    log = next(path for path in files.names_now if path.suffix == ".log")
-    for place in range(12, len(files.names_now[log].data) - 1, 7):
+    log = next(path for path in files.current_files if path.suffix == ".log")
+    for place in range(12, len(files.current_files[log].data) - 1, 7):
         flip(files, log, place)
         with pytest.raises(DamagedError):
             examined(files, FOLDER, entry_from)
@@ -124,16 +124,16 @@
 
     kept = []
     whole = founded()
-    before = whole.count
+    before = whole.operation_count
     life(whole)
-    for stop_at in range(before + 1, whole.count + 1):
+    for stop_at in range(before + 1, whole.operation_count + 1):
         for after in (False, True):
             kept = []
             files = founded(SimFiles())
-            files.stop_at, files.after = stop_at, after
+            files.stop_at, files.stop_after = stop_at, after
             with pytest.raises(StoppedError):
                 life(files)
-            again = opened(files.survived("kept"))
+            again = opened(files.after_crash("kept"))
             assert again.state.votes, (stop_at, after)
             assert set(kept) <= {one.key[1] for one in again.found.entries} <= {"k1", "k2"}
 
@@ -143,7 +143,7 @@
     files = founded()
     store = opened(files)
     store.write([entry(1)], NOW)
-    files.refuse = {files.count + 1: error}
+    files.failures = {files.operation_count + 1: error}
     with pytest.raises(OSError, match="refused"):
         store.log.sync()
     with pytest.raises(BrokenLogError):
@@ -158,7 +158,10 @@
     files = founded()
     store = opened(files)
     store.write([entry(1)], NOW)
-    files.refuse = {files.count + 1: error, files.count + 3: error}  # the write, and the one behind its repair
+    files.failures = {
+        files.operation_count + 1: error,
+        files.operation_count + 3: error,
+    }  # the write, and the one behind its repair
     with pytest.raises(OSError, match="refused"):
         store.write([entry(2)], NOW)
     store.write([entry(3)], NOW)
--- a/tests/copies/test_store_refusals.py
+++ b/tests/copies/test_store_refusals.py
@@ -80,7 +80,7 @@
 
     def refuse(self, *places):
         """Of the operations from now on these fail, counted from 1."""
-        self.files.refuse = {self.files.count + place: errno.EIO for place in places}
+        self.files.failures = {self.files.operation_count + place: errno.EIO for place in places}
 
     def refuse_all(self):
         self.refuse(*range(1, 10_000))
@@ -97,7 +97,7 @@
         return self.host.sent[-1].verdict
 
     def keys_after_restart(self):
-        self.files.refuse = {}
+        self.files.failures = {}
         self.store.close()
         return {key[1] for key in self.opened().registers.table}
 
@@ -127,15 +127,15 @@
     member.refuse_all()
     assert await member.vote("k1") is Verdict.ABSENT
     assert Reach("n1", False, 0) in member.host.told
-    tried, count = 0, member.files.count
+    tried, count = 0, member.files.operation_count
     for _ in range(200):  # 10 s
         member.host.now += 50.0
         assert not member.store.usable(member.host.now)
-        tried += member.files.count > count
-        count = member.files.count
+        tried += member.files.operation_count > count
+        count = member.files.operation_count
     assert 8 <= tried <= 20
     assert member.logged.count("copies.disk_refuses") == 1
-    member.files.refuse = {}
+    member.files.failures = {}
     for _ in range(21):
         member.host.now += 50.0
         member.store.usable(member.host.now)
@@ -168,10 +168,10 @@
 
 def operations_of_a_refill():
     member = EmptyMember()
-    begun = member.files.count
+    begun = member.files.operation_count
     member.tick()
     assert member.state.votes
-    return member.files.count - begun
+    return member.files.operation_count - begun
 
 
 @pytest.mark.parametrize("place", range(1, operations_of_a_refill() + 1))
@@ -192,7 +192,7 @@
     for _ in range(60):
         member.tick()
     assert not member.state.votes
-    member.files.refuse = {}
+    member.files.failures = {}
     for _ in range(40):  # 2 s: the longest wait between two tries is one
         member.tick()
     assert member.store.registers.full_vote and member.state.votes
--- a/tests/copies/test_use_copies_refusals.py
+++ b/tests/copies/test_use_copies_refusals.py
@@ -110,33 +110,33 @@
 
 def operations_of_a_life():
     holder = Holder()
-    begun = holder.files.count
+    begun = holder.files.operation_count
     for word in holder.life():
         holder.asked(word)
-    return holder.files.count - begun
+    return holder.files.operation_count - begun
 
 
 @pytest.mark.parametrize("place", range(1, operations_of_a_life() + 1))
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO], ids=["full", "io"])
 def test_each_single_refusal_leaves_state_and_disk_in_step(place, error):
     holder = Holder()
-    holder.files.refuse = {holder.files.count + place: error}
+    holder.files.failures = {holder.files.operation_count + place: error}
     for word in holder.life():
         holder.asked(word)
         holder.in_step()
-    holder.files.refuse = {}
-    again = Holder(holder.files.survived("kept"))  # what stands is opened again
+    holder.files.failures = {}
+    again = Holder(holder.files.after_crash("kept"))  # what stands is opened again
     again.in_step()
 
 
 @pytest.mark.parametrize("place", range(1, operations_of_a_life() + 1))
 def test_after_each_single_refusal_the_writer_gets_the_copy_whole(place):
     holder = Holder()
-    holder.files.refuse = {holder.files.count + place: errno.EIO}
+    holder.files.failures = {holder.files.operation_count + place: errno.EIO}
     steps = list(holder.life())[:3]
     for word in steps:
         holder.asked(word)
-    holder.files.refuse = {}
+    holder.files.failures = {}
     joined = holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 2)))
     if joined.word is logs.Word.NO_VOTE:  # it is asked again
         joined = holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 2)))
@@ -153,11 +153,11 @@
     holder = Holder()
     for word in list(holder.life())[:3]:
         holder.asked(word)
-    holder.files.refuse = {holder.files.count + place: errno.EIO for place in range(1, 1000)}
+    holder.files.failures = {holder.files.operation_count + place: errno.EIO for place in range(1, 1000)}
     raised = logs.Join(LOG, EPOCH + 1, (EPOCH, 2))
     assert holder.asked(raised) is None
     assert holder.asked(raised) is None  # nothing was kept of it
-    holder.files.refuse = {}
+    holder.files.failures = {}
     assert holder.asked(raised).word is logs.Word.GRANTED
     state = dict(on_disk.stands(holder.files, holder.copies.holder.folder)).popitem()[1]
     assert (state.promised, state.by) == (EPOCH + 1, WRITER)
@@ -165,11 +165,11 @@
 
 def test_a_copy_whose_folder_cannot_be_made_is_not_held_and_is_asked_for_again():
     holder = Holder()
-    holder.files.refuse = {holder.files.count + place: errno.ENOSPC for place in range(1, 1000)}
+    holder.files.failures = {holder.files.operation_count + place: errno.ENOSPC for place in range(1, 1000)}
     assert holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 1))) is None
     assert holder.copies.holder.held_logs.table == {} and holder.copies.holder.replicas == {}
     assert holder.asked(logs.Append(LOG, EPOCH, 2, (TURNED,))).word is logs.Word.NO_VOTE
-    holder.files.refuse = {}
+    holder.files.failures = {}
     assert holder.asked(logs.Join(LOG, EPOCH, (EPOCH, 1))).word is logs.Word.GRANTED
 
 
@@ -179,16 +179,16 @@
         holder.asked(word)
     holder.copies.close()
     files = holder.files
-    operations = files.count
+    operations = files.operation_count
     Holder(files).copies.close()
-    for place in range(1, files.count - operations + 1):
-        files.refuse = {files.count + place: errno.EIO}
+    for place in range(1, files.operation_count - operations + 1):
+        files.failures = {files.operation_count + place: errno.EIO}
         try:
             again = Holder(files)
         except OSError:
-            files.refuse = {}
+            files.failures = {}
             again = Holder(files)  # as a start does: the first try must hold nothing
-        files.refuse = {}
+        files.failures = {}
         again.in_step()
         assert again.copies.holder.held_logs.table[LOG].last == (EPOCH, 2)
         again.copies.close()
@@ -201,10 +201,10 @@
     holder = Holder()
     for word in list(holder.life())[:2]:
         holder.asked(word)
-    holder.files.refuse = {holder.files.count + place: errno.EIO for place in range(1, 1000)}
+    holder.files.failures = {holder.files.operation_count + place: errno.EIO for place in range(1, 1000)}
     assert holder.asked(logs.Append(LOG, EPOCH, 2, (TURNED,))) is None
     if refused == 1:
-        holder.files.refuse = {}
+        holder.files.failures = {}
     told = []
     for _ in range(40):  # 2 s
         holder.now += 50.0
@@ -232,11 +232,11 @@
         holder.copies.tick()
         asked = [one for one in holder.answers if isinstance(one, logs.Join) and one.takes]
     holder.answers.clear()
-    holder.files.refuse = {holder.files.count + place: errno.ENOSPC for place in range(1, count + 1)}
+    holder.files.failures = {holder.files.operation_count + place: errno.ENOSPC for place in range(1, count + 1)}
     holder.copies.answered("n3", logs.At(LOG, logs.Word.GRANTED, asked[0].epoch, (EPOCH, 2)))
     holder.now += 50.0
     holder.copies.tick()
-    holder.files.refuse = {}
+    holder.files.failures = {}
     for _ in range(10):
         holder.now += 50.0
         holder.copies.tick()
@@ -256,16 +256,16 @@
     *words, over = list(holder.life())
     for word in words:
         holder.asked(word)
-    holder.files.refuse = {holder.files.count + place: errno.ENOSPC for place in range(1, count + 1)}
+    holder.files.failures = {holder.files.operation_count + place: errno.ENOSPC for place in range(1, count + 1)}
     holder.asked(over)
     holder.in_step()
-    holder.files.refuse = {}
+    holder.files.failures = {}
     for _ in range(20):  # 1 s
         holder.now += 50.0
         holder.copies.tick()
     holder.in_step()
     assert holder.copies.holder.held_logs.table[LOG].over
-    assert Holder(holder.files.survived("kept")).copies.holder.held_logs.table[LOG].over
+    assert Holder(holder.files.after_crash("kept")).copies.holder.held_logs.table[LOG].over
 
 
 def test_a_refused_word_on_one_ledger_does_not_stop_those_on_another():
@@ -274,7 +274,7 @@
     for word in holder.life():
         holder.asked(word)
     holder.copies.holder.held_logs.pace = HolderPace(logs=1)
-    holder.files.refuse = {holder.files.count + 1: errno.EIO}
+    holder.files.failures = {holder.files.operation_count + 1: errno.EIO}
     other = "n1", b"m" * 16
     joined = holder.asked(logs.Join(other, EPOCH, (EPOCH, 1)))
     holder.in_step()
@@ -290,11 +290,11 @@
     holder = Holder(life.files, name="n1", folder=FOLDER)
     holder.copies.write(ledger)
     before = ledger.book.state.life
-    life.files.refuse = {life.files.count + place: errno.ENOSPC for place in range(1, count + 1)}
+    life.files.failures = {life.files.operation_count + place: errno.ENOSPC for place in range(1, count + 1)}
     writer = holder.copies.writer
     holder.copies.reach("n2", True)
     holder.copies.answered("n2", logs.At(writer.log, logs.Word.AHEAD, writer.epoch, (writer.epoch + 1, 9)))
-    life.files.refuse = {}
+    life.files.failures = {}
     for _ in range(3):
         holder.now += 50.0
         holder.copies.tick()
@@ -313,16 +313,16 @@
         holder.asked(word)
     held = holder.copies.holder.held_logs
     assert held.table[LOG].sure
-    holder.files.refuse[holder.files.count + 1] = errno.EIO
+    holder.files.failures[holder.files.operation_count + 1] = errno.EIO
     await holder.copies.holder.sync()
     assert not held.table[LOG].sure
-    holder.files.refuse[holder.files.count + 1] = errno.EIO
+    holder.files.failures[holder.files.operation_count + 1] = errno.EIO
     holder.asked(promised)
     assert not held.table[LOG].sure
     holder.copies.asked(WRITER, logs.Join(LOG, EPOCH + 1, (EPOCH, 2)))
     holder.copies.asked(WRITER, logs.Part(LOG, EPOCH + 1, (EPOCH + 1, 1), 0, False, whole()))
     assert held.table[LOG].sure  # filled anew
-    holder.files.refuse[holder.files.count + 1] = errno.EIO
+    holder.files.failures[holder.files.operation_count + 1] = errno.EIO
     holder.asked(logs.Join(LOG, EPOCH + 2, (EPOCH + 1, 1)))
     assert held.table[LOG].sure  # and stays so
 
@@ -334,7 +334,9 @@
         holder.asked(word)
     table, recovered = holder.copies.holder.held_logs.table, holder.copies.holder._recovered
     holder.copies.holder._recovered = lambda log, replica: False
-    holder.files.refuse |= {holder.files.count + step: errno.EIO for step in range(1, 9)}  # the write and its retries
+    holder.files.failures |= {
+        holder.files.operation_count + step: errno.EIO for step in range(1, 9)
+    }  # the write and its retries
     holder.asked(written)
     assert not table[LOG].known and not table[LOG].sure
     holder.copies.holder._recovered = recovered
@@ -352,10 +354,10 @@
     joined, filled, written, *_ = holder.life()
     for word in (joined, filled, written):
         holder.asked(word)
-    holder.files.refuse |= {holder.files.count + step: errno.EIO for step in range(1, refused + 1)}
+    holder.files.failures |= {holder.files.operation_count + step: errno.EIO for step in range(1, refused + 1)}
     await holder.copies.holder.sync()
     holder.copies.close()
-    again = Holder(holder.files.survived("kept"))
+    again = Holder(holder.files.after_crash("kept"))
     assert not again.copies.holder.held_logs.table[LOG].sure
 
 
@@ -371,7 +373,7 @@
 
     replica.recover = unreadable
     replica.ledger.log.broken, replica.ledger.log.append_failed = True, False
-    holder.files.refuse |= {holder.files.count + step: errno.EIO for step in range(1, 9)}
+    holder.files.failures |= {holder.files.operation_count + step: errno.EIO for step in range(1, 9)}
     holder.asked(written)
     for _ in range(3):
         holder.now += AGAIN_MS
--- a/tests/storage/sim_files.py
+++ b/tests/storage/sim_files.py
@@ -27,25 +27,25 @@
     ``refuse``: operations that fail, by number, with the error to raise."""
 
     def __init__(self, stop_at=0, after=False, refuse=None):
-        self.stop_at, self.after, self.refuse = stop_at, after, refuse or {}
-        self.names_now: dict[Path, Node] = {}
-        self.names_synced: dict[Path, Node] = {}
+        self.stop_at, self.stop_after, self.failures = stop_at, after, refuse or {}
+        self.current_files: dict[Path, Node] = {}
+        self.synced_files: dict[Path, Node] = {}
         self.folders: set[Path] = set()
-        self.count, self.stopped, self.log = 0, False, []
+        self.operation_count, self.stopped, self.operations = 0, False, []
         self.locks: set[Path] = set()
         self.times: dict[Path, float] = {}
         self.now_ms = 0.0
 
-    def step(self, what, path, do=lambda: None, partial=lambda: None):
+    def run_operation(self, what, path, do=lambda: None, partial=lambda: None):
         if self.stopped:
             raise StoppedError
-        self.count += 1
-        self.log.append((what, path.name))
-        if self.count in self.refuse:
+        self.operation_count += 1
+        self.operations.append((what, path.name))
+        if self.operation_count in self.failures:
             partial()
-            raise OSError(self.refuse[self.count], "refused here")
-        if self.count == self.stop_at:
-            if self.after:
+            raise OSError(self.failures[self.operation_count], "refused here")
+        if self.operation_count == self.stop_at:
+            if self.stop_after:
                 do()
             else:
                 partial()
@@ -53,11 +53,11 @@
             raise StoppedError
         return do()
 
-    def survived(self, how):
+    def after_crash(self, how):
         """The disk after the stop, for the next life."""
         next_ = SimFiles()
         next_.folders = set(self.folders)
-        names = self.names_synced if how == "lost" else self.names_now
+        names = self.synced_files if how == "lost" else self.current_files
         for path, node in names.items():
             data = bytes(node.data)
             if how == "lost":
@@ -68,7 +68,7 @@
             elif how == "zeros":  # the length reached the disk, the pages did not
                 grown = len(data) - len(node.synced) if data.startswith(node.synced) else 0
                 data = data[: len(data) - grown // 2] + bytes(grown // 2)
-            next_.names_now[path] = next_.names_synced[path] = Node(bytearray(data), data)
+            next_.current_files[path] = next_.synced_files[path] = Node(bytearray(data), data)
         next_.times, next_.now_ms = dict(self.times), self.now_ms
         return next_
 
@@ -81,67 +81,67 @@
         if self.stopped:
             raise StoppedError
         depth = len(folder.parts)
-        return sorted({path.parts[depth] for path in self.names_now if folder in path.parents})
+        return sorted({path.parts[depth] for path in self.current_files if folder in path.parents})
 
     def read(self, path):
         if self.stopped:
             raise StoppedError
-        if path not in self.names_now:
+        if path not in self.current_files:
             raise FileNotFoundError(errno.ENOENT, "no such file", str(path))
-        return bytes(self.names_now[path].data)
+        return bytes(self.current_files[path].data)
 
     def age_ms(self, path, now_ms):
         return now_ms - self.times.get(path, 0.0)
 
     def create(self, path):
-        if path in self.names_now:
+        if path in self.current_files:
             raise FileExistsError(errno.EEXIST, "there is one", str(path))
 
         def do():
-            self.names_now[path] = Node()
+            self.current_files[path] = Node()
             self.times[path] = self.now_ms
 
-        self.step("create", path, do)
-        return SimFile(self, path, self.names_now[path])
+        self.run_operation("create", path, do)
+        return SimFile(self, path, self.current_files[path])
 
     def extend(self, path):
-        return SimFile(self, path, self.names_now[path])
+        return SimFile(self, path, self.current_files[path])
 
     def truncate(self, path, size):
-        node = self.names_now[path]
+        node = self.current_files[path]
 
         def do():
             del node.data[size:]
             node.synced = bytes(node.data)
 
-        self.step("truncate", path, do)
+        self.run_operation("truncate", path, do)
 
     def rename(self, path, to):
         def do():
-            if path in self.names_now:
-                self.names_now[to] = self.names_now.pop(path)
+            if path in self.current_files:
+                self.current_files[to] = self.current_files.pop(path)
                 self.times[to] = self.now_ms
                 return
-            for one in [one for one in self.names_now if path in one.parents]:  # a folder
-                self.names_now[to / one.relative_to(path)] = self.names_now.pop(one)
+            for one in [one for one in self.current_files if path in one.parents]:  # a folder
+                self.current_files[to / one.relative_to(path)] = self.current_files.pop(one)
 
-        self.step("rename", to, do)
+        self.run_operation("rename", to, do)
 
     def link(self, path, to):
-        if to in self.names_now:
+        if to in self.current_files:
             raise FileExistsError(errno.EEXIST, "there is one", str(to))
-        self.step("link", to, lambda: self.names_now.__setitem__(to, self.names_now[path]))
+        self.run_operation("link", to, lambda: self.current_files.__setitem__(to, self.current_files[path]))
 
     def remove(self, path):
-        self.step("remove", path, lambda: self.names_now.pop(path))
+        self.run_operation("remove", path, lambda: self.current_files.pop(path))
 
     def sync_folder(self, folder):
         def do():
-            for path in [path for path in self.names_synced if path.parent == folder]:
-                del self.names_synced[path]
-            self.names_synced.update({path: node for path, node in self.names_now.items() if path.parent == folder})
+            for path in [path for path in self.synced_files if path.parent == folder]:
+                del self.synced_files[path]
+            self.synced_files.update({path: node for path, node in self.current_files.items() if path.parent == folder})
 
-        self.step("sync_folder", folder, do)
+        self.run_operation("sync_folder", folder, do)
 
     def lock(self, path):
         if path in self.locks:
@@ -168,19 +168,19 @@
         def partial():
             self.node.data += data[: len(data) // 2]
 
-        self.files.step("append", self.path, do, partial)
+        self.files.run_operation("append", self.path, do, partial)
 
     def cut(self, size):
         def do():
             del self.node.data[size:]
 
-        self.files.step("cut", self.path, do)
+        self.files.run_operation("cut", self.path, do)
 
     def sync(self):
-        self.files.step("sync", self.path, lambda: setattr(self.node, "synced", bytes(self.node.data)))
+        self.files.run_operation("sync", self.path, lambda: setattr(self.node, "synced", bytes(self.node.data)))
 
     def close(self):
         pass
 
 
-HOWS = ("lost", "kept", "torn", "zeros")
+CRASH_OUTCOMES = ("lost", "kept", "torn", "zeros")
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from storage.sim_files import HOWS, SimFiles, StoppedError
+from storage.sim_files import CRASH_OUTCOMES, SimFiles, StoppedError
 
 from flintshift.storage import frames, snapshot
 from flintshift.storage.files import DiskFiles, LockedError
@@ -122,7 +122,7 @@
             recovered(with_bytes(data + following))
 
 
-@pytest.mark.parametrize("how", HOWS)
+@pytest.mark.parametrize("how", CRASH_OUTCOMES)
 @pytest.mark.parametrize("after", [False, True])
 def test_a_stop_at_every_operation_keeps_what_was_synced(how, after):
     def work(files, acknowledged):
@@ -137,11 +137,11 @@
 
     count = SimFiles()
     work(count, [])
-    for stop_at in range(1, count.count + 1):
+    for stop_at in range(1, count.operation_count + 1):
         files, acknowledged = SimFiles(stop_at, after), []
         with pytest.raises(StoppedError):
             work(files, acknowledged)
-        left = files.survived(how)
+        left = files.after_crash(how)
         found, reach = recovered(left)
         numbers = [record.payload for record in found if record.payload != b"x" * 30]
         assert numbers[: len(acknowledged)] == [b"%d" % number for number in acknowledged], (stop_at, how)
@@ -152,7 +152,7 @@
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 def test_after_a_refusal_nothing_is_written_until_a_new_segment(error):
     files, log = filled()
-    files.refuse = {files.count + 1: error}
+    files.failures = {files.operation_count + 1: error}
     with pytest.raises(OSError, match="refused here"):
         log.append([(7, b"refused")])
     with pytest.raises(BrokenLogError):
@@ -164,7 +164,7 @@
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 def test_a_refused_append_is_made_again_behind_what_stood_before_it(error):
     files, log = filled()
-    files.refuse = {files.count + 1: error}  # half of it stands there
+    files.failures = {files.operation_count + 1: error}  # half of it stands there
     log.append_with_retry([(7, b"refused once")])
     log.append([(7, b"later")])
     log.sync()
@@ -176,7 +176,7 @@
 @pytest.mark.parametrize("refused", [(1, 2), (1, 3)], ids=["its repair too", "its second try too"])
 def test_an_append_that_is_refused_again_leaves_nothing_that_counts(refused):
     files, log = filled()
-    files.refuse = {files.count + place: errno.EIO for place in refused}
+    files.failures = {files.operation_count + place: errno.EIO for place in refused}
     with pytest.raises(OSError, match="refused here"):
         log.append_with_retry([(7, b"never")])
     log.append_with_retry([(7, b"later")])  # what is left is cut off first
@@ -187,7 +187,7 @@
 def test_a_log_whose_sync_failed_is_not_repaired():
     files, log = filled()
     log.append([(7, b"unknown")])
-    files.refuse = {files.count + 1: errno.EIO}
+    files.failures = {files.operation_count + 1: errno.EIO}
     with pytest.raises(OSError, match="refused here"):
         log.sync()
     with pytest.raises(BrokenLogError):
@@ -197,7 +197,7 @@
 def test_a_failed_sync_breaks_the_log():
     files, log = filled()
     log.append([(7, b"unknown")])
-    files.refuse = {files.count + 1: errno.EIO}
+    files.failures = {files.operation_count + 1: errno.EIO}
     with pytest.raises(OSError, match="refused here"):
         log.sync()
     with pytest.raises(BrokenLogError):
@@ -254,20 +254,20 @@
     DiskFiles().lock(tmp_path / "LOCK").close()
 
 
-@pytest.mark.parametrize("how", HOWS)
+@pytest.mark.parametrize("how", CRASH_OUTCOMES)
 def test_a_whole_file_appears_at_once_or_not_at_all(how):
     path = FOLDER / "f"
     for stop_at in range(1, 12):
         for after in (False, True):
             files = SimFiles()
             snapshot.publish(files, path, b"old")
-            files.stop_at, files.after, files.count = stop_at, after, 0
+            files.stop_at, files.stop_after, files.operation_count = stop_at, after, 0
             try:
                 snapshot.publish(files, path, b"new")
                 done = True
             except StoppedError:
                 done = False
-            left = files.survived(how)
+            left = files.after_crash(how)
             assert left.read(path) in ((b"new",) if done else (b"old", b"new"))
             snapshot.remove_unfinished(left, FOLDER)
             assert left.names(FOLDER) == ["f"]
--- a/tests/usage/test_folder.py
+++ b/tests/usage/test_folder.py
@@ -90,7 +90,7 @@
     ledger(files)
     state = load(files, FOLDER)[0].state
     newest = FOLDER / "snapshots" / f"{snapshots(files, FOLDER)[0]:016x}.snapshot"
-    files.names_now[newest].data[30] ^= 1
+    files.current_files[newest].data[30] ^= 1
     book, _, found = load(files, FOLDER)
     assert book.state == state and "an older one is used" in found.warnings[0]
 
--- a/tests/usage/test_ledger_leaves.py
+++ b/tests/usage/test_ledger_leaves.py
@@ -82,11 +82,11 @@
     files = SimFiles()
     life = Life(files, BEGIN, reopen_interval_ms=10.0)
     await life.tick()
-    files.refuse = {files.count + place: errno.ENOSPC for place in range(1, 1000)}
+    files.failures = {files.operation_count + place: errno.ENOSPC for place in range(1, 1000)}
     life.ledger.claim(b"a" * 8, ROW + GONE, FINAL, 10, 1, 2, 5, None)
     life.ledger._flush()
     assert life.ledger.commit.gap is not None
-    files.refuse = {}
+    files.failures = {}
     life.at_ms += 100
     slow = SlowSync(monkeypatch)
     life.ledger._woken()
--- a/tests/usage/test_ledger_refusals.py
+++ b/tests/usage/test_ledger_refusals.py
@@ -26,7 +26,7 @@
     files = SimFiles()
     life = Life(files, BEGIN, durability="process-death", refuse=True)
     await life.tick()
-    files.refuse = {files.count + 1: error}
+    files.failures = {files.operation_count + 1: error}
     life.ledger.claim(b"a" * 8, ROW + GONE, FINAL, 10, 1, 2, 5, None)
     life.ledger._flush()
     assert not life.ledger.refusing
@@ -40,7 +40,7 @@
     files = SimFiles()
     life = Life(files, BEGIN, durability="process-death", refuse=True)
     await life.tick()
-    files.refuse = {files.count + place: errno.ENOSPC for place in (1, 2, 3)}
+    files.failures = {files.operation_count + place: errno.ENOSPC for place in (1, 2, 3)}
     life.ledger.claim(b"a" * 8, ROW + GONE, FINAL, 10, 1, 2, 5, None)
     life.ledger._flush()
     assert life.ledger.refusing
--- a/tests/usage/test_ledger_stops.py
+++ b/tests/usage/test_ledger_stops.py
@@ -197,7 +197,7 @@
     files = SimFiles()
     life = run(files)
     assert life.delivered == {1, 2, 4, 5, 6}
-    kinds = {what for what, _ in files.log}
+    kinds = {what for what, _ in files.operations}
     assert kinds == {"create", "append", "sync", "sync_folder", "rename", "link", "remove"}
     assert verify(files, life) == {1, 2, 3, 4, 5, 6, 40}
 
@@ -207,11 +207,11 @@
 def test_a_stop_at_every_operation(how, after):
     count = SimFiles()
     run(count)
-    assert count.count > 60
-    for stop_at in range(1, count.count + 1):
+    assert count.operation_count > 60
+    for stop_at in range(1, count.operation_count + 1):
         files = SimFiles(stop_at, after)
         life = run(files)
-        verify(files.survived(how), life)
+        verify(files.after_crash(how), life)
 
 
 def test_a_second_stop_at_every_operation_of_the_recovery():
@@ -221,14 +221,14 @@
         for second in range(1, 200):
             files = SimFiles(first, True)
             life = run(files)
-            left = files.survived("torn")
+            left = files.after_crash("torn")
             left.stop_at = second
             try:
                 asyncio.run(settle(left, BEGIN + 10_000))
-                count = left.count
+                count = left.operation_count
             except (StoppedError, BaseExceptionGroup):
                 assert left.stopped
-            verify(left.survived("lost"), life)
+            verify(left.after_crash("lost"), life)
             if count is not None:
                 break
         assert count is not None
@@ -242,15 +242,15 @@
 
     async def work(files, at):
         life = Life(files, BEGIN, refuse=refuse)
-        files.refuse = dict.fromkeys(range(at, at + stretch), error)
-        files.count = 0
+        files.failures = dict.fromkeys(range(at, at + stretch), error)
+        files.operation_count = 0
         refused = False
         for number in range(1, 7):
             await life.answer(number)
             refused |= life.ledger.refusing
             life.at_ms += 400
             await life.tick()
-        files.refuse = {}
+        files.failures = {}
         for _ in range(4):  # the disk is back
             life.at_ms += 1500
             await life.tick()
@@ -288,10 +288,10 @@
             lives = []
             with contextlib.suppress(StoppedError, BaseExceptionGroup):
                 asyncio.run(eight(files, lives))
-            life = Life(files.survived(how), BEGIN + 10_000)
+            life = Life(files.after_crash(how), BEGIN + 10_000)
             booked, doubted = booked_and_doubted(life.files)
             assert booked | set(doubted) <= set(range(1, 9))
-            life = Life(files.survived("kept"), BEGIN + 10_000)
+            life = Life(files.after_crash("kept"), BEGIN + 10_000)
             booked, doubted = booked_and_doubted(life.files)
             assert (lives[0].delivered if lives else set()) <= booked | set(doubted)
 
@@ -315,23 +315,23 @@
     files = SimFiles()
     run(files)
     whole = load(files, FOLDER)[0].state
-    read_ = [path for path in files.names_now if path.parent.name in ("log", "snapshots") and path.suffix != ".new"]
+    read_ = [path for path in files.current_files if path.parent.name in ("log", "snapshots") and path.suffix != ".new"]
     assert len(read_) >= 3
     stopped = 0
     for path in read_:
-        data = bytes(files.names_now[path].data)
+        data = bytes(files.current_files[path].data)
         for offset in range(len(data)):
-            files.names_now[path].data[offset] ^= 0x41
+            files.current_files[path].data[offset] ^= 0x41
             try:
                 assert load(files, FOLDER)[0].state == whole
             except DamagedError:
                 stopped += 1
-            files.names_now[path].data[:] = data
+            files.current_files[path].data[:] = data
     assert stopped > 30
     path = max(path for path in read_ if path.parent.name == "log")
-    data, last = bytes(files.names_now[path].data), 0
+    data, last = bytes(files.current_files[path].data), 0
     for size in range(len(data) + 1):
-        files.names_now[path].data[:] = data[:size]
+        files.current_files[path].data[:] = data[:size]
         state = load(files, FOLDER)[0].state
         assert last <= state.sequence <= whole.sequence
         last = state.sequence
@@ -366,10 +366,10 @@
         self.gate = threading.Event()
         self.gate.set()
 
-    def step(self, what, path, do=lambda: None, partial=lambda: None):
+    def run_operation(self, what, path, do=lambda: None, partial=lambda: None):
         if what == "sync" and path.suffix == ".log":
             self.gate.wait(20)
-        return super().step(what, path, do, partial)
+        return super().run_operation(what, path, do, partial)
 
 
 @pytest.mark.parametrize("at", ["sync", "segment", "reopen"])
@@ -518,10 +518,10 @@
     async def work(files):
         life = Life(files, BEGIN)
         await life.answer(1, 2, 3)
-        files.refuse = dict.fromkeys(range(files.count, files.count + stretch), errno.EIO)
+        files.failures = dict.fromkeys(range(files.operation_count, files.operation_count + stretch), errno.EIO)
         await life.answer(4, 5, 6)
         await life.ledger.close()
-        files.refuse = {}
+        files.failures = {}
         return life
 
     files = SimFiles()
