--- a/flintshift/storage/__init__.py
+++ b/flintshift/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept on disk: one seam to the files, a checksummed log in segments, snapshots, a folder's lock."""
+"""Durable storage: access to files, a checksummed log in segments, group commit, snapshots and a folder's lock."""
--- a/flintshift/storage/commit.py
+++ b/flintshift/storage/commit.py
@@ -1,10 +1,10 @@
-"""Group commit, new segments, and a disk that refuses or hangs: what is done to a log, and when. Without I/O.
+"""Group commit for a log, as a state machine without I/O: decides when to sync and to begin a segment.
 
-The owner writes records by itself (one call of the system for all that came in one turn) and tells it here; it is
-told when to sync, to begin a segment, to release answers, and to take the disk for one that refuses. One operation
-is under way at a time. An answer waits for the disk no longer than ``max_wait_ms``, whatever the disk does: what was
-run is answered. From then on, as after a refusal, there is a gap: records stand in memory alone until a snapshot of all
-is written and a new segment begun behind it.
+The owner writes records itself (one system call for all records of one event loop turn) and reports each write here.
+The returned actions say when to sync, to begin a segment, to release answers and to treat the disk as failed. One disk
+operation is in progress at a time. An answer waits for the disk for ``max_wait_ms`` at most, whatever the disk does:
+the caller of a request that has run gets its answer. After that wait, as after a failed write, a gap begins: records
+are kept in memory only, until a snapshot of everything is written and a new segment begins after it.
 """
 
 from __future__ import annotations
@@ -16,37 +16,37 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitLimits:
-    sync_enabled: bool = True  # records are synced within ``sync_ms``; else only where it is asked for
+    sync_enabled: bool = True  # records are synced within ``sync_ms``; if False, only on request
     hold_answers: bool = False  # answers wait for that sync
     sync_ms: float = 50.0
     max_wait_ms: float = 250.0
-    reopen_interval_ms: float = 1000.0  # between two tries to end a gap
+    reopen_interval_ms: float = 1000.0  # between two attempts to end a gap
     segment_bytes: int = 16 << 20
 
 
-# Told.
+# Events.
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """Time has passed."""
+    """The time of an earlier ``WakeAt`` has come."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteBlocked:
-    """Something waits to be written while a segment is begun."""
+    """Records wait to be written while a segment is begun."""
 
 
 @dataclass(frozen=True, slots=True)
 class SyncRequested:
-    """This sequence must be synced before its owner goes on."""
+    """The owner needs this sequence synced before it continues."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class OperationFailed:
-    """A write, or the operation that was under way, failed."""
+    """A write, or the operation in progress, failed."""
 
     cause: str
     write: bool = False
@@ -54,18 +54,18 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationCompleted:
-    """The operation that was under way has ended well."""
+    """The operation in progress has succeeded."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShuttingDown:
-    """The process is about to end: a gap is to be ended now, not after the usual wait."""
+    """The process is about to end: a gap is to be ended now, without the usual interval."""
 
 
 CommitEvent = TimerFired | WriteBlocked | SyncRequested | OperationFailed | OperationCompleted | ShuttingDown
 
 
-# Answered.
+# Actions.
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,24 +75,24 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginSegment:
-    """Write nothing until it is done."""
+    """Begin a segment; write nothing until that is done."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reopen:
-    """Write a snapshot of all, begin a segment behind it, and write there what came meanwhile."""
+    """Write a snapshot of everything, begin a segment after it, and write the records that came meanwhile there."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseAnswers:
-    """Answers up to this sequence may leave."""
+    """Answers up to this sequence may be sent."""
 
-    upto: float
+    up_to: float
 
 
 @dataclass(frozen=True, slots=True)
 class ResumeWrites:
-    """What was stalled may be written now, or booked in memory where there is a gap."""
+    """Blocked records may be written now, or kept in memory if there is a gap."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,126 +123,131 @@
 
 @dataclass(slots=True)
 class Gap:
+    """The current time without a working disk, in which records are kept in memory only."""
+
     since_ms: float
     requests: int
     cause: str
 
 
 class GroupCommit:
-    """All times are of one steady clock."""
+    """Decides on the operations of one log. All times are of one monotonic clock."""
 
     def __init__(self, limits: CommitLimits, synced: int) -> None:
         self.limits = limits
         self.written = self.synced = synced  # sequences
-        self.size = 0  # of the segment
+        self.segment_size = 0  # bytes
         self.operation_in_progress: Operation | None = None
-        self.upto = 0  # what the sync under way covers
-        self.requested = 0  # a sequence that somebody waits to see synced
-        self.due_ms = math.inf  # of the next sync
-        self.waiting_answers: deque[tuple[int, float]] = deque()  # since when answers up to a sequence wait
-        self.stalled_ms = math.inf  # since when something waits for a segment
-        self.tried_ms = -math.inf
+        self.sync_covers = 0  # the last sequence that the sync in progress covers
+        self.requested = 0  # the last sequence for which a sync was requested
+        self.sync_due_ms = math.inf  # when the next sync is due
+        self.waiting_answers: deque[tuple[int, float]] = deque()  # sequence, and since when its answers wait
+        self.blocked_since_ms = math.inf  # since when records wait for a new segment
+        self.last_reopen_ms = -math.inf
         self.gap: Gap | None = None
 
     @property
     def writes_blocked(self) -> bool:
-        """Nothing may be written now."""
+        """Whether nothing may be written now."""
         return self.gap is None and isinstance(self.operation_in_progress, BeginSegment)
 
     def on_write(self, now_ms: float, sequence: int, size: int, requests: int) -> list[CommitAction]:
-        """Records up to this sequence stand in the segment, which has this size; or in memory, in a gap. Of them so
-        many are requests, whose answers wait where ``hold_answers``. (No event: it comes with each write.)"""
-        self.written, self.size = sequence, size
+        """Handle a write: records up to ``sequence`` are in the segment, now of ``size`` bytes, or in memory in a gap.
+
+        ``requests`` of these records are requests, whose answers wait if ``hold_answers`` is set. This is a method of
+        its own rather than an event, as it is called for each write."""
+        self.written, self.segment_size = sequence, size
         if self.gap is not None:
             self.gap.requests += requests
             return []
         if requests and self.limits.hold_answers:
             self.waiting_answers.append((sequence, now_ms))
-        if self.due_ms != math.inf and size < self.limits.segment_bytes:
-            return []  # the wake-up for that sync is set, and comes before any answer has waited too long
+        if self.sync_due_ms != math.inf and size < self.limits.segment_bytes:
+            return []  # the timer for that sync is set, and fires before any answer has waited too long
         if self.limits.sync_enabled:
-            self.due_ms = min(self.due_ms, now_ms + self.limits.sync_ms)
-        return self._next(now_ms)
+            self.sync_due_ms = min(self.sync_due_ms, now_ms + self.limits.sync_ms)
+        return self._next_actions(now_ms)
 
     def handle(self, now_ms: float, event: CommitEvent) -> list[CommitAction]:
+        """Handle an event; returns the actions for the owner to take."""
         match event:
             case TimerFired():
-                if self._waited_ms(now_ms) >= self.limits.max_wait_ms:
+                if self._longest_wait_ms(now_ms) >= self.limits.max_wait_ms:
                     return self._begin_gap(now_ms, f"the disk hangs for {self.limits.max_wait_ms:g} ms")
-                return self._next(now_ms)
+                return self._next_actions(now_ms)
             case WriteBlocked():
-                self.stalled_ms = min(self.stalled_ms, now_ms)
-                return [WakeAt(self.stalled_ms + self.limits.max_wait_ms)]
+                self.blocked_since_ms = min(self.blocked_since_ms, now_ms)
+                return [WakeAt(self.blocked_since_ms + self.limits.max_wait_ms)]
             case SyncRequested(sequence):
                 self.requested = max(self.requested, sequence)
-                return self._next(now_ms)
+                return self._next_actions(now_ms)
             case OperationFailed(cause, write):
-                over = None if write else self._over()
-                if isinstance(over, Reopen):
-                    return [ReopenFailed(cause), *self._next(now_ms)]
+                ended = None if write else self._end_operation()
+                if isinstance(ended, Reopen):
+                    return [ReopenFailed(cause), *self._next_actions(now_ms)]
                 return self._begin_gap(now_ms, cause)
             case OperationCompleted():
-                return self._done(now_ms, self._over())
+                return self._on_completion(now_ms, self._end_operation())
             case ShuttingDown():
-                self.tried_ms = -math.inf
-                return self._next(now_ms)
+                self.last_reopen_ms = -math.inf
+                return self._next_actions(now_ms)
 
-    def _over(self) -> Operation | None:
-        over, self.operation_in_progress = self.operation_in_progress, None
-        return over
+    def _end_operation(self) -> Operation | None:
+        ended, self.operation_in_progress = self.operation_in_progress, None
+        return ended
 
-    def _done(self, now_ms: float, over: Operation | None) -> list[CommitAction]:
+    def _on_completion(self, now_ms: float, ended: Operation | None) -> list[CommitAction]:
         actions: list[CommitAction] = []
-        if isinstance(over, Reopen) and self.gap is not None:
+        if isinstance(ended, Reopen) and self.gap is not None:
             gap, self.gap = self.gap, None
-            self.due_ms = now_ms  # what came meanwhile is written, not synced
+            self.sync_due_ms = now_ms  # records that came meanwhile are written, but not synced
             actions.append(GapEnded(gap.since_ms, gap.requests, gap.cause))
-        elif isinstance(over, Sync) and self.gap is None:
-            self.synced = self.upto
+        elif isinstance(ended, Sync) and self.gap is None:
+            self.synced = self.sync_covers
             while self.waiting_answers and self.waiting_answers[0][0] <= self.synced:
                 self.waiting_answers.popleft()
             actions.append(ReleaseAnswers(self.synced))
             if self.written > self.synced and self.limits.sync_enabled:
-                self.due_ms = min(self.due_ms, now_ms + self.limits.sync_ms)
-        elif isinstance(over, BeginSegment) and self.gap is None:
-            self.stalled_ms, self.size = math.inf, 0
+                self.sync_due_ms = min(self.sync_due_ms, now_ms + self.limits.sync_ms)
+        elif isinstance(ended, BeginSegment) and self.gap is None:
+            self.blocked_since_ms, self.segment_size = math.inf, 0
             actions.append(ResumeWrites())
-        return actions + self._next(now_ms)
+        return actions + self._next_actions(now_ms)
 
     def _begin_gap(self, now_ms: float, cause: str) -> list[CommitAction]:
         actions: list[CommitAction] = []
         if self.gap is None:
-            self.gap, self.tried_ms = Gap(now_ms, 0, cause), now_ms
+            self.gap, self.last_reopen_ms = Gap(now_ms, 0, cause), now_ms
             self.waiting_answers.clear()
-            self.due_ms = self.stalled_ms = math.inf
+            self.sync_due_ms = self.blocked_since_ms = math.inf
             actions = [GapBegan(cause), ReleaseAnswers(math.inf), ResumeWrites()]
-        return actions + self._next(now_ms)
+        return actions + self._next_actions(now_ms)
 
-    def _waited_ms(self, now_ms: float) -> float:
-        since = min(self.waiting_answers[0][1] if self.waiting_answers else math.inf, self.stalled_ms)
+    def _longest_wait_ms(self, now_ms: float) -> float:
+        since = min(self.waiting_answers[0][1] if self.waiting_answers else math.inf, self.blocked_since_ms)
         return now_ms - since if self.gap is None else -math.inf
 
-    def _next(self, now_ms: float) -> list[CommitAction]:
-        """The operation that is due, or when one will be."""
-        wakes = [one[1] + self.limits.max_wait_ms for one in list(self.waiting_answers)[:1]]
+    def _next_actions(self, now_ms: float) -> list[CommitAction]:
+        """Return the operation that is due, or when to wake up for the next one."""
+        wake_times_ms = [one[1] + self.limits.max_wait_ms for one in list(self.waiting_answers)[:1]]
         if self.operation_in_progress is None:
-            operation, at_ms = self._due(now_ms)
+            operation, at_ms = self._next_operation(now_ms)
             if operation is not None:
                 self.operation_in_progress = operation
-                return [operation, *map(WakeAt, wakes)]
-            wakes.append(at_ms)
-        return [WakeAt(at_ms) for at_ms in wakes if at_ms != math.inf]
+                return [operation, *map(WakeAt, wake_times_ms)]
+            wake_times_ms.append(at_ms)
+        return [WakeAt(at_ms) for at_ms in wake_times_ms if at_ms != math.inf]
 
-    def _due(self, now_ms: float) -> tuple[Operation | None, float]:
+    def _next_operation(self, now_ms: float) -> tuple[Operation | None, float]:
         if self.gap is not None:
-            at_ms = self.tried_ms + self.limits.reopen_interval_ms
+            at_ms = self.last_reopen_ms + self.limits.reopen_interval_ms
             if now_ms < at_ms:
                 return None, at_ms
-            self.tried_ms = now_ms
+            self.last_reopen_ms = now_ms
             return Reopen(), now_ms
-        if self.size >= self.limits.segment_bytes:
+        if self.segment_size >= self.limits.segment_bytes:
             return BeginSegment(), now_ms
-        if self.requested > self.synced or now_ms >= self.due_ms:
-            self.upto, self.due_ms = self.written, math.inf
+        if self.requested > self.synced or now_ms >= self.sync_due_ms:
+            self.sync_covers, self.sync_due_ms = self.written, math.inf
             return Sync(), now_ms
-        return None, self.due_ms
+        return None, self.sync_due_ms
--- a/flintshift/storage/files.py
+++ b/flintshift/storage/files.py
@@ -1,8 +1,8 @@
-"""The one seam to the disk. All that is kept goes through ``Files``, which tests replace by a file system that
-loses, tears and refuses (``tests/storage/sim_files.py``).
+"""All access to the disk. Everything that is stored goes through ``Files``, which tests replace by a simulated file
+system that loses, truncates and fails writes (``tests/storage/sim_files.py``).
 
-Every method raises OSError as the system does. What was appended survives the death of the process at once, and
-the death of the system after ``sync``; a name that was made or changed survives it after ``sync_folder``.
+Every method raises OSError as the system does. Appended data survives the end of the process at once, and a crash of
+the machine after ``sync``; a created or changed name survives such a crash after ``sync_folder``.
 """
 
 from __future__ import annotations
@@ -14,47 +14,53 @@
 
 
 class LockedError(Exception):
-    """Another process works in the folder."""
+    """Another process uses the folder."""
 
 
 class File(Protocol):
     """A file that grows at its end."""
 
-    def append(self, data: bytes) -> None: ...  # after an OSError a part of it may stand there
-    def cut(self, size: int) -> None: ...  # what stands past that goes; the next append follows there
+    def append(self, data: bytes) -> None: ...  # after an OSError, a part of the data may be in the file
+    def truncate(self, size: int) -> None: ...  # removes the data after that size; the next append follows there
     def sync(self) -> None: ...
     def close(self) -> None: ...
 
 
 class Lock(Protocol):
+    """A folder's lock, until it is closed."""
+
     def close(self) -> None: ...
 
 
 class Files(Protocol):
+    """The file operations that storage uses."""
+
     def make_folder(self, path: Path) -> None: ...
-    def names(self, folder: Path) -> list[str]: ...  # sorted; empty where there is no such folder
+    def names(self, folder: Path) -> list[str]: ...  # sorted; empty if there is no such folder
     def read(self, path: Path) -> bytes: ...
     def age_ms(self, path: Path, now_ms: float) -> float: ...  # since it was last written
-    def create(self, path: Path) -> File: ...  # FileExistsError where there is one
-    def extend(self, path: Path) -> File: ...
+    def create(self, path: Path) -> File: ...  # FileExistsError if the file exists
+    def open_for_append(self, path: Path) -> File: ...
     def truncate(self, path: Path, size: int) -> None: ...
-    def rename(self, path: Path, to: Path) -> None: ...  # replaces what is there, atomically
-    def link(self, path: Path, to: Path) -> None: ...  # FileExistsError where something is there
+    def rename(self, path: Path, to: Path) -> None: ...  # replaces an existing file, atomically
+    def link(self, path: Path, to: Path) -> None: ...  # FileExistsError if ``to`` exists
     def remove(self, path: Path) -> None: ...
     def sync_folder(self, folder: Path) -> None: ...
-    def lock(self, path: Path) -> Lock: ...  # held until closed or the process ends
+    def lock(self, path: Path) -> Lock: ...  # locked until closed or the process ends
 
 
 class DiskFile:
+    """A file on the real disk."""
+
     def __init__(self, path: Path, flags: int) -> None:
         self.fd = os.open(path, flags | os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC, 0o640)
 
     def append(self, data: bytes) -> None:
         written = os.write(self.fd, data)
-        while written < len(data):  # a disk that fills up takes a part first
+        while written < len(data):  # a disk that is filling up first takes a part of the data
             written += os.write(self.fd, data[written:])
 
-    def cut(self, size: int) -> None:
+    def truncate(self, size: int) -> None:
         os.ftruncate(self.fd, size)
 
     def sync(self) -> None:
@@ -67,7 +73,7 @@
 
 
 class DiskFiles:
-    """The real disk."""
+    """The file operations on the real disk."""
 
     def make_folder(self, path: Path) -> None:
         path.mkdir(parents=True, exist_ok=True)
@@ -87,7 +93,7 @@
     def create(self, path: Path) -> DiskFile:
         return DiskFile(path, os.O_CREAT | os.O_EXCL)
 
-    def extend(self, path: Path) -> DiskFile:
+    def open_for_append(self, path: Path) -> DiskFile:
         return DiskFile(path, 0)
 
     def truncate(self, path: Path, size: int) -> None:
@@ -115,14 +121,18 @@
             os.close(fd)
 
     def lock(self, path: Path) -> DiskFile:
-        """The system's advisory lock (flock): it goes with the process, however that ends."""
-        held = DiskFile(path, os.O_CREAT)
+        """Take the system's advisory lock (flock), which ends with the process, however it ends.
+
+        Raises:
+            LockedError: another process has the lock.
+        """
+        lock_file = DiskFile(path, os.O_CREAT)
         try:
-            fcntl.flock(held.fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(lock_file.fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            held.close()
+            lock_file.close()
             raise LockedError(f"{path.parent}: another process works in this folder") from None
         except OSError:
-            held.close()
+            lock_file.close()
             raise
-        return held
+        return lock_file
--- a/flintshift/storage/frames.py
+++ b/flintshift/storage/frames.py
@@ -1,12 +1,12 @@
-"""Frames: records as they stand in a log, with length, sequence, epoch, kind and two checksums. No I/O.
+"""Frames: the encoding of log records, with length, sequence, epoch, kind and two checksums. No I/O.
 
 A frame is, in little-endian order::
 
     length u32 | sequence u64 | epoch u32 | kind u8 | CRC32C of these u32 | payload | CRC32C of payload u32 | 0xA5
 
-The head has a checksum of its own so that a length is believed only when it is right: a frame that is short is
-then known to be cut, and one that is whole but does not fit its checksum is known to be damaged. The mark at the
-end is never zero, which tells a damaged frame from one whose pages were never written (they read as zeros).
+The header has its own checksum, so that a length is used only if it is right: a frame that ends early is then known to
+be truncated, and a complete frame with a wrong checksum is known to be damaged. The end mark is never zero, which
+distinguishes a damaged frame from one whose pages were never written (they read as zeros).
 CRC32C is that of RFC 3720, appendix B.4.
 """
 
@@ -19,16 +19,18 @@
 
 from google_crc32c import value as crc32c
 
-HEAD = struct.Struct("<IQIBI")
-FIELDS = struct.Struct("<IQIB")
-TAIL = struct.Struct("<IB")
-END = 0xA5
-OVERHEAD = HEAD.size + TAIL.size
-BATCH = 4096  # records that are read in a row
-MOST = 16 << 20  # bytes of one payload: a longer length is damage, whatever its checksum says
+HEADER = struct.Struct("<IQIBI")
+HEADER_FIELDS = struct.Struct("<IQIB")
+TRAILER = struct.Struct("<IB")
+END_MARK = 0xA5
+OVERHEAD_BYTES = HEADER.size + TRAILER.size
+BATCH_RECORDS = 4096  # of one list that is read
+MAX_PAYLOAD_BYTES = 16 << 20  # a longer length is damage, whatever its checksum says
 
 
 class Record(NamedTuple):
+    """One record of a log."""
+
     sequence: int
     epoch: int
     kind: int
@@ -37,76 +39,82 @@
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """Bytes that no cut explains."""
+    """Bytes that truncation does not explain."""
 
     offset: int
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Torn:
-    """The frame that begins here was never written whole."""
+class Truncated:
+    """The frame that begins here was never completely written."""
 
     offset: int
 
 
 def pack(sequence: int, epoch: int, kind: int, payload: bytes) -> bytes:
-    fields = FIELDS.pack(len(payload), sequence, epoch, kind)
-    return b"".join((fields, crc32c(fields).to_bytes(4, "little"), payload, TAIL.pack(crc32c(payload), END)))
+    """Encode a record as a frame."""
+    fields = HEADER_FIELDS.pack(len(payload), sequence, epoch, kind)
+    return b"".join((fields, crc32c(fields).to_bytes(4, "little"), payload, TRAILER.pack(crc32c(payload), END_MARK)))
+
 
+def unpack_batches(data: bytes, offset: int = 0) -> Iterator[list[Record] | Truncated | Damage]:
+    """Decode records from an offset on, in lists of plain tuples in the shape of ``Record`` (a start reads millions).
 
-def batches(data: bytes, offset: int = 0) -> Iterator[list[Record] | Torn | Damage]:
-    """The records from an offset on, as lists of plain tuples in the shape of ``Record`` (a start reads millions);
-    the last item is Torn or Damage where the data does not end with a frame."""
-    size, head_size, fields_size, tail_size = len(data), HEAD.size, FIELDS.size, TAIL.size
-    unpack_head, unpack_tail = HEAD.unpack_from, TAIL.unpack_from
-    found: list[Any] = []
-    wrong: Torn | Damage | None = None
+    The last item is Truncated or Damage if the data does not end with a complete frame."""
+    size, header_size, fields_size, trailer_size = len(data), HEADER.size, HEADER_FIELDS.size, TRAILER.size
+    unpack_header, unpack_trailer = HEADER.unpack_from, TRAILER.unpack_from
+    records: list[Any] = []
+    problem: Truncated | Damage | None = None
     while offset < size:
-        body = offset + head_size
-        if body > size:
-            wrong = Torn(offset)
+        payload_at = offset + header_size
+        if payload_at > size:
+            problem = Truncated(offset)
             break
-        length, sequence, epoch, kind, check = unpack_head(data, offset)
-        if crc32c(data[offset : offset + fields_size]) != check or length > MOST:
-            wrong = _unwritten(data, offset, "the head of a record does not fit its checksum")
+        length, sequence, epoch, kind, checksum = unpack_header(data, offset)
+        if crc32c(data[offset : offset + fields_size]) != checksum or length > MAX_PAYLOAD_BYTES:
+            problem = _classify_bad_frame(data, offset, "the header of a record does not match its checksum")
             break
-        end = body + length
-        if end + tail_size > size:
-            wrong = Torn(offset)
+        end = payload_at + length
+        if end + trailer_size > size:
+            problem = Truncated(offset)
             break
-        payload = data[body:end]
-        if unpack_tail(data, end) != (crc32c(payload), END):
-            wrong = _unwritten(data, offset, f"record {sequence} does not fit its checksum")
+        payload = data[payload_at:end]
+        if unpack_trailer(data, end) != (crc32c(payload), END_MARK):
+            problem = _classify_bad_frame(data, offset, f"record {sequence} does not match its checksum")
             break
-        found.append((sequence, epoch, kind, payload))
-        offset = end + tail_size
-        if len(found) == BATCH:
-            yield found
-            found = []
-    if found:
-        yield found
-    if wrong is not None:
-        yield wrong
-
-
-def unpack(data: bytes, offset: int = 0) -> Iterator[Record | Torn | Damage]:
-    """The same, one by one."""
-    for found in batches(data, offset):
-        if isinstance(found, list):
-            yield from map(Record._make, found)
+        records.append((sequence, epoch, kind, payload))
+        offset = end + trailer_size
+        if len(records) == BATCH_RECORDS:
+            yield records
+            records = []
+    if records:
+        yield records
+    if problem is not None:
+        yield problem
+
+
+def unpack(data: bytes, offset: int = 0) -> Iterator[Record | Truncated | Damage]:
+    """Decode records from an offset on, one by one."""
+    for batch in unpack_batches(data, offset):
+        if isinstance(batch, list):
+            yield from map(Record._make, batch)
         else:
-            yield found
+            yield batch
+
 
+def _classify_bad_frame(data: bytes, offset: int, text: str) -> Truncated | Damage:
+    """Tell a frame that was never completely written from a damaged one.
 
-def _unwritten(data: bytes, offset: int, text: str) -> Torn | Damage:
-    """A system that stops may leave a file at its new length with pages that read as zeros to its very end. A
-    frame that was written whole ends with a mark that is not zero."""
-    whole = OVERHEAD
-    if len(data) - offset >= HEAD.size:
-        length, *_, check = HEAD.unpack_from(data, offset)
-        if crc32c(data[offset : offset + FIELDS.size]) == check and length <= MOST:
-            whole = OVERHEAD + length
+    A machine that stops may leave a file at its new length with pages that read as zeros up to its end. A frame that
+    was completely written ends with a mark that is not zero."""
+    frame_size = OVERHEAD_BYTES
+    if len(data) - offset >= HEADER.size:
+        length, *_, checksum = HEADER.unpack_from(data, offset)
+        if crc32c(data[offset : offset + HEADER_FIELDS.size]) == checksum and length <= MAX_PAYLOAD_BYTES:
+            frame_size = OVERHEAD_BYTES + length
     zeros = len(data) - len(data.rstrip(b"\0"))
-    # One zero may be a single changed byte; the four of a checksum before it too are no accident.
-    return Torn(offset) if zeros > TAIL.size and offset + whole > len(data) - zeros else Damage(offset, text)
+    # One zero may be a single changed byte; zeros in all four bytes of the checksum before it as well are no accident.
+    return (
+        Truncated(offset) if zeros > TRAILER.size and offset + frame_size > len(data) - zeros else Damage(offset, text)
+    )
--- a/flintshift/storage/snapshot.py
+++ b/flintshift/storage/snapshot.py
@@ -1,4 +1,4 @@
-"""Whole files that appear at once or not at all: written anew, synced, renamed or linked, folder synced."""
+"""Complete files that appear at once or not at all: written anew, synced, renamed or linked, then the folder synced."""
 
 from __future__ import annotations
 
@@ -7,71 +7,70 @@
 from flintshift.storage import frames
 from flintshift.storage.files import Files
 
-UNFINISHED_SUFFIX = (
-    ".new"  # the ending of a file that is being written; left by a death, it is removed at the next start
-)
+UNFINISHED_SUFFIX = ".new"  # of a file that is being written; one left by a crash is removed at the next start
 
 
 class DamagedError(Exception):
-    """What was kept is not what was written; the text names the file and the place."""
+    """Stored data is not what was written; the text names the file and the place."""
 
 
 def publish(files: Files, path: Path, data: bytes, durable: bool = True) -> None:
-    """Put a whole file in place of what is there."""
-    made = _written(files, path, data, durable)
-    files.rename(made, path)
+    """Write a complete file, which replaces an existing one."""
+    unfinished = _write_unfinished(files, path, data, durable)
+    files.rename(unfinished, path)
     if durable:
         files.sync_folder(path.parent)
 
 
-def publish_once(files: Files, path: Path, data: bytes, by: str) -> bool:
-    """Put a whole file where nothing is yet; False where something is, which stays as it is. Of two that do it at
-    once, each under its own name ``by``, one wins."""
-    made = _written(files, path, data, True, f".{by}")
+def publish_once(files: Files, path: Path, data: bytes, writer: str) -> bool:
+    """Write a complete file if there is none yet; returns False if there is one, which stays as it is.
+
+    Of two writers that do this at once, each under its own name ``writer``, one succeeds."""
+    unfinished = _write_unfinished(files, path, data, True, f".{writer}")
     try:
-        files.link(made, path)
+        files.link(unfinished, path)
     except FileExistsError:
         return False
     finally:
-        files.remove(made)
+        files.remove(unfinished)
     files.sync_folder(path.parent)
     return True
 
 
-def find_unfinished(names: list[str], name: str, by: int) -> list[str]:
-    """Of the names in a folder, what writers of a lower number ``by`` left of the file ``name``."""
-    ends = [
+def find_unfinished(names: list[str], name: str, below: int) -> list[str]:
+    """Return the unfinished files of ``name``, among a folder's names, of writers with a number under ``below``."""
+    candidates = [
         (one, one.removeprefix(f"{name}.").removesuffix(UNFINISHED_SUFFIX))
         for one in names
         if one.startswith(f"{name}.") and one.endswith(UNFINISHED_SUFFIX)
     ]
-    return [one for one, writer in ends if writer.isdecimal() and int(writer) < by]
+    return [one for one, writer in candidates if writer.isdecimal() and int(writer) < below]
 
 
-def _written(files: Files, path: Path, data: bytes, durable: bool, by: str = "") -> Path:
-    made = path.with_name(f"{path.name}{by}{UNFINISHED_SUFFIX}")
-    if made.name in files.names(path.parent):
-        files.remove(made)
-    file = files.create(made)
+def _write_unfinished(files: Files, path: Path, data: bytes, durable: bool, writer_suffix: str = "") -> Path:
+    unfinished = path.with_name(f"{path.name}{writer_suffix}{UNFINISHED_SUFFIX}")
+    if unfinished.name in files.names(path.parent):
+        files.remove(unfinished)
+    file = files.create(unfinished)
     try:
         file.append(data)
         if durable:
             file.sync()
     finally:
         file.close()
-    return made
+    return unfinished
 
 
 def seal(kind: int, epoch: int, sequence: int, payload: bytes) -> bytes:
-    """A file's content with checksum, epoch and sequence: one frame."""
+    """Encode a file's content with checksum, epoch and sequence, as one frame."""
     return frames.pack(sequence, epoch, kind, payload)
 
 
 def unseal(path: Path, data: bytes, kind: int) -> frames.Record:
-    """The frame of a sealed file.
+    """Decode the one frame of a file that was written with ``seal``.
 
     Raises:
-        DamagedError: it is not one whole frame of that kind.
+        DamagedError: it is not one complete frame of that kind.
     """
     match list(frames.unpack(data)):
         case [frames.Record() as record] if record.kind == kind:
@@ -80,8 +79,8 @@
 
 
 def remove_unfinished(files: Files, folder: Path) -> list[str]:
-    """Remove what a death left unfinished; returns the names."""
-    left = [name for name in files.names(folder) if name.endswith(UNFINISHED_SUFFIX)]
-    for name in left:
+    """Remove files that a crash left unfinished; returns their names."""
+    unfinished = [name for name in files.names(folder) if name.endswith(UNFINISHED_SUFFIX)]
+    for name in unfinished:
         files.remove(folder / name)
-    return left
+    return unfinished
