--- a/tests/storage/sim_files.py
+++ b/tests/storage/sim_files.py
@@ -1,5 +1,5 @@
-"""A file system in memory behind the seam: it stops at a chosen operation, refuses at chosen ones, and after a stop
-shows what a disk might hold: unsynced writes lost, kept, or torn."""
+"""A file system in memory that replaces ``Files``: it stops at a chosen operation, fails at chosen ones, and after a
+stop shows what a disk might hold: unsynced writes lost, kept or truncated."""
 
 from __future__ import annotations
 
@@ -11,68 +11,71 @@
 
 
 class StoppedError(Exception):
-    """The machine stopped here; nothing more is done. (No OSError: no code may take it for a refusal.)"""
+    """The machine has stopped; no operation follows. (Not an OSError, as no code may take it for a disk failure.)"""
 
 
 @dataclass
 class Node:
-    """A file's bytes as they stand, and as the last sync left them."""
+    """A file's current bytes, and its bytes at the last sync."""
 
     data: bytearray = field(default_factory=bytearray)
     synced: bytes = b""
 
 
 class SimFiles:
-    """``stop_at``: the operation, counted from 1, at which the machine stops; ``after``: it is done first.
-    ``refuse``: operations that fail, by number, with the error to raise."""
+    """A simulated file system with failures.
 
-    def __init__(self, stop_at=0, after=False, refuse=None):
-        self.stop_at, self.stop_after, self.failures = stop_at, after, refuse or {}
+    ``stop_at``: the operation, counted from 1, at which the machine stops; ``stop_after``: that operation is done
+    first. ``failures``: operations that fail, by number, with the error number to raise."""
+
+    def __init__(self, stop_at=0, stop_after=False, failures=None):
+        self.stop_at, self.stop_after, self.failures = stop_at, stop_after, failures or {}
         self.current_files: dict[Path, Node] = {}
         self.synced_files: dict[Path, Node] = {}
         self.folders: set[Path] = set()
         self.operation_count, self.stopped, self.operations = 0, False, []
         self.locks: set[Path] = set()
-        self.times: dict[Path, float] = {}
+        self.write_times_ms: dict[Path, float] = {}
         self.now_ms = 0.0
 
-    def run_operation(self, what, path, do=lambda: None, partial=lambda: None):
+    def run_operation(self, name, path, apply=lambda: None, apply_partly=lambda: None):
+        """Count an operation, and apply it unless it is to fail or the machine is to stop at it."""
         if self.stopped:
             raise StoppedError
         self.operation_count += 1
-        self.operations.append((what, path.name))
+        self.operations.append((name, path.name))
         if self.operation_count in self.failures:
-            partial()
+            apply_partly()
             raise OSError(self.failures[self.operation_count], "refused here")
         if self.operation_count == self.stop_at:
             if self.stop_after:
-                do()
+                apply()
             else:
-                partial()
+                apply_partly()
             self.stopped = True
             raise StoppedError
-        return do()
-
-    def after_crash(self, how):
-        """The disk after the stop, for the next life."""
-        next_ = SimFiles()
-        next_.folders = set(self.folders)
-        names = self.synced_files if how == "lost" else self.current_files
-        for path, node in names.items():
+        return apply()
+
+    def after_crash(self, outcome):
+        """Return the disk as the next start finds it after the stop."""
+        disk = SimFiles()
+        disk.folders = set(self.folders)
+        files = self.synced_files if outcome == "lost" else self.current_files
+        for path, node in files.items():
             data = bytes(node.data)
-            if how == "lost":
+            if outcome == "lost":
                 data = node.synced
-            elif how == "torn":
-                grown = data[len(node.synced) :] if data.startswith(node.synced) else b""
-                data = data[: len(data) - (len(grown) + 1) // 2]
-            elif how == "zeros":  # the length reached the disk, the pages did not
-                grown = len(data) - len(node.synced) if data.startswith(node.synced) else 0
-                data = data[: len(data) - grown // 2] + bytes(grown // 2)
-            next_.current_files[path] = next_.synced_files[path] = Node(bytearray(data), data)
-        next_.times, next_.now_ms = dict(self.times), self.now_ms
-        return next_
-
-    # The seam.
+            elif outcome == "truncated":
+                unsynced = data[len(node.synced) :] if data.startswith(node.synced) else b""
+                data = data[: len(data) - (len(unsynced) + 1) // 2]
+            elif outcome == "zeros":  # the length reached the disk, the pages did not
+                unsynced = len(data) - len(node.synced) if data.startswith(node.synced) else 0
+                data = data[: len(data) - unsynced // 2] + bytes(unsynced // 2)
+            disk.current_files[path] = disk.synced_files[path] = Node(bytearray(data), data)
+        disk.write_times_ms, disk.now_ms = dict(self.write_times_ms), self.now_ms
+        return disk
+
+    # The methods of ``Files``.
 
     def make_folder(self, path):
         self.folders.add(path)
@@ -91,57 +94,57 @@
         return bytes(self.current_files[path].data)
 
     def age_ms(self, path, now_ms):
-        return now_ms - self.times.get(path, 0.0)
+        return now_ms - self.write_times_ms.get(path, 0.0)
 
     def create(self, path):
         if path in self.current_files:
-            raise FileExistsError(errno.EEXIST, "there is one", str(path))
+            raise FileExistsError(errno.EEXIST, "the file exists", str(path))
 
-        def do():
+        def apply():
             self.current_files[path] = Node()
-            self.times[path] = self.now_ms
+            self.write_times_ms[path] = self.now_ms
 
-        self.run_operation("create", path, do)
+        self.run_operation("create", path, apply)
         return SimFile(self, path, self.current_files[path])
 
-    def extend(self, path):
+    def open_for_append(self, path):
         return SimFile(self, path, self.current_files[path])
 
     def truncate(self, path, size):
         node = self.current_files[path]
 
-        def do():
+        def apply():
             del node.data[size:]
             node.synced = bytes(node.data)
 
-        self.run_operation("truncate", path, do)
+        self.run_operation("truncate", path, apply)
 
     def rename(self, path, to):
-        def do():
+        def apply():
             if path in self.current_files:
                 self.current_files[to] = self.current_files.pop(path)
-                self.times[to] = self.now_ms
+                self.write_times_ms[to] = self.now_ms
                 return
             for one in [one for one in self.current_files if path in one.parents]:  # a folder
                 self.current_files[to / one.relative_to(path)] = self.current_files.pop(one)
 
-        self.run_operation("rename", to, do)
+        self.run_operation("rename", to, apply)
 
     def link(self, path, to):
         if to in self.current_files:
-            raise FileExistsError(errno.EEXIST, "there is one", str(to))
+            raise FileExistsError(errno.EEXIST, "the file exists", str(to))
         self.run_operation("link", to, lambda: self.current_files.__setitem__(to, self.current_files[path]))
 
     def remove(self, path):
         self.run_operation("remove", path, lambda: self.current_files.pop(path))
 
     def sync_folder(self, folder):
-        def do():
+        def apply():
             for path in [path for path in self.synced_files if path.parent == folder]:
                 del self.synced_files[path]
             self.synced_files.update({path: node for path, node in self.current_files.items() if path.parent == folder})
 
-        self.run_operation("sync_folder", folder, do)
+        self.run_operation("sync_folder", folder, apply)
 
     def lock(self, path):
         if path in self.locks:
@@ -149,32 +152,34 @@
         self.locks.add(path)
         files = self
 
-        class Held:
+        class SimLock:
             def close(self):
                 files.locks.discard(path)
 
-        return Held()
+        return SimLock()
 
 
 class SimFile:
+    """An open file of ``SimFiles``."""
+
     def __init__(self, files, path, node):
         self.files, self.path, self.node = files, path, node
 
     def append(self, data):
-        def do():
+        def apply():
             self.node.data += data
-            self.files.times[self.path] = self.files.now_ms
+            self.files.write_times_ms[self.path] = self.files.now_ms
 
-        def partial():
+        def apply_partly():
             self.node.data += data[: len(data) // 2]
 
-        self.files.run_operation("append", self.path, do, partial)
+        self.files.run_operation("append", self.path, apply, apply_partly)
 
-    def cut(self, size):
-        def do():
+    def truncate(self, size):
+        def apply():
             del self.node.data[size:]
 
-        self.files.run_operation("cut", self.path, do)
+        self.files.run_operation("cut", self.path, apply)
 
     def sync(self):
         self.files.run_operation("sync", self.path, lambda: setattr(self.node, "synced", bytes(self.node.data)))
@@ -183,4 +188,4 @@
         pass
 
 
-CRASH_OUTCOMES = ("lost", "kept", "torn", "zeros")
+CRASH_OUTCOMES = ("lost", "kept", "truncated", "zeros")
--- a/tests/usage/test_ledger_stops.py
+++ b/tests/usage/test_ledger_stops.py
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize("after", [False, True], ids=["before", "after"])
-@pytest.mark.parametrize("how", ["lost", "kept", "torn", "zeros"])
+@pytest.mark.parametrize("how", ["lost", "kept", "truncated", "zeros"])
 def test_a_stop_at_every_operation(how, after):
     count = SimFiles()
     run(count)
@@ -221,7 +221,7 @@
         for second in range(1, 200):
             files = SimFiles(first, True)
             life = run(files)
-            left = files.after_crash("torn")
+            left = files.after_crash("truncated")
             left.stop_at = second
             try:
                 asyncio.run(settle(left, BEGIN + 10_000))
@@ -282,7 +282,7 @@
 
 
 def test_with_process_death_alone_a_lost_tail_invents_nothing():
-    for how in ("lost", "torn", "zeros"):
+    for how in ("lost", "truncated", "zeros"):
         for stop_at in range(8, 70, 3):
             files = SimFiles(stop_at, True)
             lives = []
