--- a/flintshift/lifecycle/starting.py
+++ b/flintshift/lifecycle/starting.py
@@ -77,9 +77,8 @@
         folder, began_ms = self.options.folder, self.began_ms
         if folder is not None and began_ms is not None:
             self.began_ms = None
-            self._keep(
-                folder, self._lives(folder).with_success(began_ms)
-            )  # an upgrade's other process may have begun a life
+            # an upgrade's other process may have begun a life
+            self._keep(folder, self._lives(folder).with_success(began_ms))
 
     def _lives(self, folder: Path) -> StartHistory:
         try:
--- a/flintshift/startup/__init__.py
+++ b/flintshift/startup/__init__.py
@@ -1,1 +1,1 @@
-"""How a node asks of services that it shares with hundreds of others: when first, how often, and when again."""
+"""How a node limits its calls to services that it shares with hundreds of other nodes: at its start, and on retries."""
