--- a/flintshift/startup/registration.py
+++ b/flintshift/startup/registration.py
@@ -1,5 +1,5 @@
-"""The list planner: says wherever this node is listed that it serves, again and again, and that it leaves. When is said
-by `reports`.
+"""The list planner: reports to each list service, repeatedly, that this node serves, and at the end that it leaves.
+`reports` decides when.
 """
 
 from __future__ import annotations
@@ -25,8 +25,10 @@
 
 
 class ListService(Protocol):
+    """A service that lists the nodes that serve."""
+
     async def report(self, serving: bool) -> bool:
-        """Say it once; True when it was taken."""
+        """Send one report; returns whether the service took it."""
         ...
 
 
@@ -35,41 +37,45 @@
 
 
 class Registration:
-    """``nodes``: how many report to the same lists, as far as the settings tell."""
+    """Keeps this node registered with its list services.
+
+    ``nodes``: how many nodes report to the same lists, by the settings."""
 
     def __init__(self, lists: Sequence[ListService], limits: Limits, nodes: int, uniform: Uniform) -> None:
-        pace = ReportTiming(
+        timing = ReportTiming(
             limits.report_every_ms,
             retry_ms=limits.report_again_ms,
             max_retry_ms=limits.report_again_most_ms,
             nodes=nodes,
         )
-        self.accepted_reports = 0  # reports, since the start
+        self.accepted_reports = 0  # since the start
         self.lists = [
-            (listed, ReportSchedule(pace, uniform), Mailbox[StatusChanged](limits.list_box)) for listed in lists
+            (service, ReportSchedule(timing, uniform), Mailbox[StatusChanged](limits.list_box)) for service in lists
         ]
 
     def announce(self, serving: bool | None, last: bool = False) -> None:
-        """From now on say this, again and again; None: nothing. The last word is said until it was taken once."""
-        for _, _, box in self.lists:
-            if not box.offer(StatusChanged(serving, last)):  # only the newest word counts: the oldest makes room for it
-                box.take_now()
-                box.offer(StatusChanged(serving, last))
+        """Report this from now on, repeatedly; None: report nothing. The last report is repeated until it is taken."""
+        for _, _, mailbox in self.lists:
+            if not mailbox.offer(StatusChanged(serving, last)):  # full: the oldest is dropped, only the newest counts
+                mailbox.take_now()
+                mailbox.offer(StatusChanged(serving, last))
 
     async def run(self) -> None:
         async with anyio.create_task_group() as tasks:
-            for one in self.lists:
-                tasks.start_soon(self._keep, *one)
+            for entry in self.lists:
+                tasks.start_soon(self._keep_reporting, *entry)
 
-    async def _keep(self, listed: ListService, reports: ReportSchedule, box: Mailbox[StatusChanged]) -> None:
-        event: Event = await box.take()
+    async def _keep_reporting(
+        self, service: ListService, schedule: ReportSchedule, mailbox: Mailbox[StatusChanged]
+    ) -> None:
+        event: Event = await mailbox.take()
         while True:
             wait_s: float | None = None
-            for action in reports.handle(now_ms(), event):
+            for action in schedule.handle(now_ms(), event):
                 match action:
                     case SendReport(serving):
                         began_ms = now_ms()
-                        taken = await listed.report(serving)
+                        taken = await service.report(serving)
                         self.accepted_reports += taken
                         event = ReportAnswered(taken, began_ms)
                         break
@@ -78,4 +84,4 @@
             else:
                 event = Tick()
                 with anyio.move_on_after(wait_s):
-                    event = await box.take()
+                    event = await mailbox.take()
--- a/flintshift/startup/reports.py
+++ b/flintshift/startup/reports.py
@@ -1,11 +1,12 @@
-"""When a node reports to a list service that hundreds of others report to, without I/O.
-
-- The first report comes at a moment drawn from a window that grows with the fleet. Nothing is lost by it where the
-  service lists a node by itself for a while.
-- Then each comes about one period after the one before, drawn too, so that nodes which fell in step fall out of it.
-- What was not taken is said again after growing, drawn waits: soon enough that an entry does not lapse for one report
-  that was lost, and, after some, at under half the steady rate, so that a service which collapsed can come back.
-- A word that changes something passes at once, whatever the waits say.
+"""When a node reports to a list service that hundreds of other nodes report to, without I/O.
+
+- The first report comes at a random time in a window that grows with the fleet. Nothing is lost by that delay if the
+  service lists a node for a while by itself.
+- Each further report comes about one period after the one before, with random variation, so that nodes which happen to
+  report at the same time drift apart.
+- A report that was not taken is retried after growing, random delays: soon enough that an entry does not lapse because
+  of one lost report, and after some retries at less than half the steady rate, so that a collapsed service can recover.
+- A changed status is reported at once, whatever the delays.
 """
 
 from __future__ import annotations
@@ -15,30 +16,33 @@
 
 from flintshift.startup.backoff import Backoff, Uniform
 
-CROWD = 8  # nodes: from so many on, first reports are spread over a whole period
+FULL_SPREAD_NODES = 8  # from this fleet size on, first reports are spread over a whole period
 
 
 @dataclass(frozen=True, slots=True)
 class ReportTiming:
-    """Milliseconds, but for ``spread``, a share of the period."""
+    """Times in milliseconds; ``spread`` is a share of the period."""
 
-    period_ms: float = 800.0  # the period of a word that is repeated
-    spread: float = 0.05  # a period is drawn between so much less and so much more
-    retry_ms: float = 100.0  # the first wait after a report that was not taken
-    max_retry_ms: float = 2800.0  # under the 3 s after which a list forgets a node: it reports in time at the return
-    nodes: int = 1  # of the fleet, this one too, as the settings tell
+    period_ms: float = 800.0  # between reports of an unchanged status
+    spread: float = 0.05  # a period is varied at random by up to this share, both ways
+    retry_ms: float = 100.0  # the first delay after a report that was not taken
+    max_retry_ms: float = (
+        2800.0  # under the 3 s after which a list drops a node: it reports in time once a list is back
+    )
+    nodes: int = 1  # of the fleet, including this one, by the settings
 
     @property
     def window_ms(self) -> float:
-        return self.period_ms * min(1.0, max(0, self.nodes - 1) / (CROWD - 1))
+        """The window of the first report."""
+        return self.period_ms * min(1.0, max(0, self.nodes - 1) / (FULL_SPREAD_NODES - 1))
 
 
-# What is told.
+# Events.
 
 
 @dataclass(frozen=True, slots=True)
 class StatusChanged:
-    """From now on report this; None: nothing. ``last``: no more once it was taken."""
+    """Report this status from now on; None: report nothing. ``last``: no more reports once this one was taken."""
 
     serving: bool | None
     last: bool = False
@@ -46,8 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportAnswered:
+    """A report has ended, with or without an answer."""
+
     taken: bool
-    began_ms: float  # an answer that is late or never comes must not delay the next report
+    began_ms: float  # of the report: an answer that is late or never comes must not delay the next report
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,12 +64,12 @@
 Event = StatusChanged | ReportAnswered | Tick
 
 
-# What it answers.
+# Actions.
 
 
 @dataclass(frozen=True, slots=True)
 class SendReport:
-    """Report this now; what becomes of it is told by `ReportAnswered`."""
+    """Report this now; the outcome comes as `ReportAnswered`."""
 
     serving: bool
 
@@ -77,52 +83,53 @@
 
 
 class ReportSchedule:
-    """One list service's. No event but `StatusChanged` comes while a report is under way."""
+    """The schedule of reports to one list service. While a report is in progress, only `StatusChanged` events come."""
 
-    def __init__(self, pace: ReportTiming, uniform: Uniform) -> None:
-        self.pace, self.uniform = pace, uniform
-        self.waits = Backoff(pace.retry_ms, pace.max_retry_ms, uniform)
-        self.word = StatusChanged(None)
-        self.began = False  # a word was given before
+    def __init__(self, timing: ReportTiming, uniform: Uniform) -> None:
+        self.timing, self.uniform = timing, uniform
+        self.backoff = Backoff(timing.retry_ms, timing.max_retry_ms, uniform)
+        self.status = StatusChanged(None)
+        self.began = False  # a status to report was set before
         self.due_ms = math.inf
-        self.under_way = False
+        self.in_progress = False
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
+        """Handle an event; returns a report that is due now, or when to wake up."""
         match event:
             case StatusChanged():
-                self._said(now_ms, event)
+                self._on_status(now_ms, event)
             case ReportAnswered(taken, began_ms):
-                self.under_way = False
-                self._answered(now_ms, taken, began_ms)
+                self.in_progress = False
+                self._on_answer(now_ms, taken, began_ms)
             case Tick():
                 pass
-        if self.under_way or self.word.serving is None or self.due_ms == math.inf:
+        if self.in_progress or self.status.serving is None or self.due_ms == math.inf:
             return []
         if now_ms < self.due_ms:
             return [WakeAt(self.due_ms)]
-        self.under_way = True
-        return [SendReport(self.word.serving)]
+        self.in_progress = True
+        return [SendReport(self.status.serving)]
 
-    def _said(self, now_ms: float, event: StatusChanged) -> None:
-        changed, before = event != self.word, self.word
-        self.word = event
+    def _on_status(self, now_ms: float, event: StatusChanged) -> None:
+        changed, before = event != self.status, self.status
+        self.status = event
         if event.serving is None:
             self.due_ms = math.inf
         elif not self.began and event.serving:
-            self.due_ms = now_ms + self.uniform(0.0, self.pace.window_ms)
+            self.due_ms = now_ms + self.uniform(0.0, self.timing.window_ms)
         elif changed or before.last:
             self.due_ms = now_ms
         self.began = self.began or event.serving is not None
 
-    def _answered(self, now_ms: float, taken: bool, began_ms: float) -> None:
+    def _on_answer(self, now_ms: float, taken: bool, began_ms: float) -> None:
         if self.due_ms > began_ms:
-            return  # what was said meanwhile is due at its own time
+            return  # a status that was set meanwhile is due at its own time
         if not taken:
-            self.due_ms = now_ms + self.waits.next_ms()
+            self.due_ms = now_ms + self.backoff.next_ms()
             return
-        self.waits.reset()
+        self.backoff.reset()
         self.due_ms = (
             math.inf
-            if self.word.last
-            else began_ms + self.pace.period_ms * self.uniform(1.0 - self.pace.spread, 1.0 + self.pace.spread)
+            if self.status.last
+            else began_ms + self.timing.period_ms * self.uniform(1.0 - self.timing.spread, 1.0 + self.timing.spread)
         )
