--- a/flintshift/peers/__init__.py
+++ b/flintshift/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Who the other members are, and who of them lives. Pure."""
+"""The other members of the fleet and which of their processes are alive, without I/O."""
--- a/tests/peers/test_members.py
+++ b/tests/peers/test_members.py
@@ -1,11 +1,11 @@
-"""Who lives: beats, leases and accusations, heart by heart on one clock."""
+"""Failure detection by heartbeats, leases and accusations, in a simulated fleet on one clock."""
 
 from __future__ import annotations
 
 import pytest
 
 from flintshift.peers.members import (
-    MOST,
+    MAX_PROCESSES,
     Accuse,
     Accused,
     Died,
@@ -20,148 +20,151 @@
 )
 
 HALLS = {"n1": "a", "n2": "a", "n3": "b", "n4": "b", "n5": "c"}
-PACE = HeartbeatTiming(beat_ms=200.0, lease_ms=1000.0, tell_ms=1000.0, forget_ms=10_000.0)
+TIMING = HeartbeatTiming(heartbeat_ms=200.0, lease_ms=1000.0, repeat_ms=1000.0, forget_ms=10_000.0)
 
 
 class Fleet:
-    """All members' hearts; ``deaf`` holds pairs (sender, receiver) between which nothing passes."""
+    """All members; ``disconnected`` has pairs (sender, receiver) between which no message passes."""
 
     def __init__(self):
-        self.now, self.deaf, self.silent = 0.0, set(), set()
-        self.hearts = {name: Membership(f"{name}#1", HALLS, PACE, 0.0) for name in HALLS}
-        self.seen: list[tuple[str, object]] = []
+        self.now, self.disconnected, self.silent = 0.0, set(), set()
+        self.members = {name: Membership(f"{name}#1", HALLS, TIMING, 0.0) for name in HALLS}
+        self.actions: list[tuple[str, object]] = []
 
     def step(self, by_ms=50.0):
         self.now += by_ms
-        for name, heart in self.hearts.items():
+        for name, member in self.members.items():
             if name not in self.silent:
-                self.act(name, heart.handle(self.now, Tick()))
+                self.act(name, member.handle(self.now, Tick()))
 
     def act(self, name, actions):
         for action in actions:
             match action:
                 case SendHeartbeat(to):
-                    self.pass_on(name, to, MessageReceived(self.hearts[name].me))
+                    self.deliver(name, to, MessageReceived(self.members[name].identity))
                 case Accuse(identity, lapsed):
-                    for other in self.hearts:
+                    for other in self.members:
                         if other != name:
-                            self.pass_on(name, other, Accused(name, identity, lapsed))
+                            self.deliver(name, other, Accused(name, identity, lapsed))
                 case _:
-                    self.seen.append((name, action))
+                    self.actions.append((name, action))
 
-    def pass_on(self, sender, to, event):
-        if (sender, to) not in self.deaf and to not in self.silent:
-            self.act(to, self.hearts[to].handle(self.now, event))
+    def deliver(self, sender, to, event):
+        if (sender, to) not in self.disconnected and to not in self.silent:
+            self.act(to, self.members[to].handle(self.now, event))
 
-    def until(self, ms):
+    def run_until(self, ms):
         while self.now < ms:
             self.step()
 
-    def of(self, kind):
-        return [(name, action) for name, action in self.seen if isinstance(action, kind)]
+    def actions_of(self, kind):
+        return [(name, action) for name, action in self.actions if isinstance(action, kind)]
 
 
-def test_the_ring_takes_halls_in_turn_and_beats_are_three_a_member():
+def test_the_ring_alternates_halls_and_each_member_sends_three_heartbeats():
     assert ring(HALLS) == ["n1", "n3", "n5", "n2", "n4"]
     fleet = Fleet()
-    beats = [
+    heartbeats = [
         action
         for _ in range(20)
-        for heart in fleet.hearts.values()
-        for action in heart.handle(fleet.now, Tick())
+        for member in fleet.members.values()
+        for action in member.handle(fleet.now, Tick())
         if isinstance(action, SendHeartbeat)
     ]
-    assert len(beats) == 3 * len(HALLS)  # one period, however often the clock ticks in it
+    assert len(heartbeats) == 3 * len(HALLS)  # of one period, however many ticks it has
 
 
-def test_a_fleet_in_which_nothing_happens_suspects_nobody():
+def test_a_healthy_fleet_suspects_no_process():
     fleet = Fleet()
-    fleet.until(60_000)
-    assert fleet.of(Suspected) == fleet.of(Died) == []
+    fleet.run_until(60_000)
+    assert fleet.actions_of(Suspected) == fleet.actions_of(Died) == []
 
 
-def test_a_death_is_known_to_all_within_two_leases_and_by_its_watchers_word():
+def test_all_members_know_of_a_death_within_two_leases_from_its_watchers():
     fleet = Fleet()
-    fleet.until(2000)
+    fleet.run_until(2000)
     fleet.silent.add("n2")
-    fleet.until(2000 + 2 * PACE.lease_ms)
-    died = fleet.of(Died)
+    fleet.run_until(2000 + 2 * TIMING.lease_ms)
+    died = fleet.actions_of(Died)
     assert {name for name, _ in died} == {"n1", "n3", "n4", "n5"}
     assert all(len(action.accusers) >= 2 for _, action in died)
-    assert not fleet.hearts["n1"].is_alive("n2#1", fleet.now)
+    assert not fleet.members["n1"].is_alive("n2#1", fleet.now)
 
 
-def test_one_watcher_behind_a_cut_kills_nobody():
+def test_one_watcher_behind_a_partition_declares_no_process_dead():
     fleet = Fleet()
-    fleet.until(2000)
-    watcher = fleet.hearts["n1"].watchers["n1"][0]
-    fleet.deaf.add(("n1", watcher))
-    fleet.until(8000)
-    assert {name for name, _ in fleet.of(Suspected)} == {watcher}
-    assert fleet.of(Died) == []
-    fleet.deaf.clear()
-    fleet.until(9000)
-    assert [name for name, _ in fleet.of(Returned)] == [watcher]
-
-
-def test_a_paused_process_returns_under_its_identity_and_a_new_one_is_another():
+    fleet.run_until(2000)
+    watcher = fleet.members["n1"].watchers["n1"][0]
+    fleet.disconnected.add(("n1", watcher))
+    fleet.run_until(8000)
+    assert {name for name, _ in fleet.actions_of(Suspected)} == {watcher}
+    assert fleet.actions_of(Died) == []
+    fleet.disconnected.clear()
+    fleet.run_until(9000)
+    assert [name for name, _ in fleet.actions_of(Returned)] == [watcher]
+
+
+def test_a_paused_process_returns_under_its_identity_and_a_restarted_one_is_another():
     fleet = Fleet()
-    fleet.until(2000)
+    fleet.run_until(2000)
     fleet.silent.add("n2")
-    fleet.until(5000)
+    fleet.run_until(5000)
     fleet.silent.clear()
-    fleet.until(6000)
+    fleet.run_until(6000)
     assert all(
-        fleet.hearts[name].is_alive("n2#1", fleet.now)
+        fleet.members[name].is_alive("n2#1", fleet.now)
         for name in ("n1", "n3", "n4", "n5")
-        if (name in fleet.hearts["n2"].watchers["n2"])
+        if (name in fleet.members["n2"].watchers["n2"])
     )
     fleet.silent.add("n2")
-    fleet.until(9000)
+    fleet.run_until(9000)
     fleet.silent.clear()
-    fleet.hearts["n2"] = Membership("n2#2", HALLS, PACE, fleet.now)
-    fleet.until(10_000)
-    watcher = fleet.hearts["n2"].watchers["n2"][0]
-    assert fleet.hearts[watcher].is_alive("n2#2", fleet.now) and not fleet.hearts[watcher].is_alive("n2#1", fleet.now)
+    fleet.members["n2"] = Membership("n2#2", HALLS, TIMING, fleet.now)
+    fleet.run_until(10_000)
+    watcher = fleet.members["n2"].watchers["n2"][0]
+    assert fleet.members[watcher].is_alive("n2#2", fleet.now) and not fleet.members[watcher].is_alive("n2#1", fleet.now)
 
 
 @pytest.mark.parametrize("identity", ["n9#1", "n1#1", "", "#"])
-def test_strangers_and_the_process_itself_are_not_followed(identity):
-    heart = Membership("n1#1", HALLS, PACE, 0.0)
-    assert heart.handle(1.0, MessageReceived(identity)) == []
-    assert heart.handle(1.0, Accused("n2", identity, True)) == []
-    assert heart.processes == {}
-
-
-def test_who_was_never_heard_of_is_given_two_leases_from_the_start():
-    heart = Membership("n1#2", HALLS, PACE, 0.0)
-    assert heart.is_alive("n3#1", 1999.0) and not heart.is_alive("n3#1", 2000.0)
-    assert not heart.is_alive("n1#1", 1.0)  # this member's own former process
-    assert heart.is_alive("n1#2", 1e9)
-
-
-def test_a_member_in_a_crash_loop_fills_no_table():
-    heart = Membership("n1#1", HALLS, PACE, 0.0)
-    for life in range(MOST + 50):
-        heart.handle(float(life), MessageReceived(f"n2#{life}"))
-    assert len(heart.processes) == MOST and f"n2#{MOST + 49}" in heart.processes and "n2#0" not in heart.processes
+def test_unknown_members_and_the_process_itself_are_not_tracked(identity):
+    member = Membership("n1#1", HALLS, TIMING, 0.0)
+    assert member.handle(1.0, MessageReceived(identity)) == []
+    assert member.handle(1.0, Accused("n2", identity, True)) == []
+    assert member.processes == {}
+
+
+def test_a_process_never_heard_from_counts_as_alive_for_two_leases_from_the_start():
+    member = Membership("n1#2", HALLS, TIMING, 0.0)
+    assert member.is_alive("n3#1", 1999.0) and not member.is_alive("n3#1", 2000.0)
+    assert not member.is_alive("n1#1", 1.0)  # this member's own former process
+    assert member.is_alive("n1#2", 1e9)
+
+
+def test_a_member_in_a_crash_loop_does_not_exceed_the_table():
+    member = Membership("n1#1", HALLS, TIMING, 0.0)
+    for number in range(MAX_PROCESSES + 50):
+        member.handle(float(number), MessageReceived(f"n2#{number}"))
+    assert (
+        len(member.processes) == MAX_PROCESSES
+        and f"n2#{MAX_PROCESSES + 49}" in member.processes
+        and "n2#0" not in member.processes
+    )
 
 
-def test_a_member_that_starts_takes_former_processes_for_dead_and_tells_nobody_of_it_as_news():
+def test_a_member_that_starts_does_not_report_processes_that_died_before():
     fleet = Fleet()
-    fleet.until(3000.0)
+    fleet.run_until(3000.0)
     fleet.silent.add("n3")
-    fleet.until(6000.0)
-    assert {name for name, _ in fleet.of(Died)} >= {"n1", "n2"}
-    fleet.hearts["n2"] = Membership(
-        "n2#2", HALLS, PACE, fleet.now
-    )  # started again: it never heard the process that died
-    fleet.seen.clear()
-    fleet.until(9500.0)
-    assert not fleet.hearts["n2"].is_alive("n3#1", fleet.now)
-    assert [action for name, action in fleet.seen if name == "n2" and isinstance(action, Suspected | Died)] == []
+    fleet.run_until(6000.0)
+    assert {name for name, _ in fleet.actions_of(Died)} >= {"n1", "n2"}
+    # n2 is restarted: it never heard from the dead process.
+    fleet.members["n2"] = Membership("n2#2", HALLS, TIMING, fleet.now)
+    fleet.actions.clear()
+    fleet.run_until(9500.0)
+    assert not fleet.members["n2"].is_alive("n3#1", fleet.now)
+    assert [action for name, action in fleet.actions if name == "n2" and isinstance(action, Suspected | Died)] == []
     fleet.silent.discard("n3")  # it was only paused
-    fleet.until(10_500.0)
+    fleet.run_until(10_500.0)
     fleet.silent.add("n3")
-    fleet.until(13_500.0)
-    assert any(name == "n2" and isinstance(action, Died) for name, action in fleet.seen)  # now it is
+    fleet.run_until(13_500.0)
+    assert any(name == "n2" and isinstance(action, Died) for name, action in fleet.actions)  # now its death is reported
