--- a/flintshift/discovery/__init__.py
+++ b/flintshift/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service records followed: what is known of the servers that a list names."""
+"""Discovery of servers by service records: which servers are known from a list that is polled."""
--- a/flintshift/discovery/known_servers.py
+++ b/flintshift/discovery/known_servers.py
@@ -1,8 +1,7 @@
-"""Which servers are known of a list that is looked at again and again, without I/O.
+"""The servers known from a list that is polled repeatedly, without I/O.
 
-A list that names nobody any longer, without an error, may have lost its entries: it is believed after some looks in a
-row.
-Until then the servers known before stand. A run that goes to one that is really gone is refused by its address.
+A list that becomes empty without an error may have lost its entries: it is believed after some empty polls in a row.
+Until then the servers known before are kept. A run that goes to one that no longer exists is refused by its address.
 """
 
 from __future__ import annotations
@@ -13,22 +12,24 @@
 
 
 class KnownServers(Generic[T]):
-    """``empty_looks``: in a row, after which a list that names nobody is believed."""
+    """The servers that the list names.
 
-    def __init__(self, empty_looks: int) -> None:
-        self.empty_looks = empty_looks
+    ``max_empty_polls``: the empty polls in a row after which an empty list is believed."""
+
+    def __init__(self, max_empty_polls: int) -> None:
+        self.max_empty_polls = max_empty_polls
         self.servers: list[T] = []
-        self.empty = 0  # looks in a row that found none, while some were known
+        self.empty_polls = 0  # in a row, while some servers were known
 
     @property
     def empty_unconfirmed(self) -> bool:
-        """The last look found nobody, and is not believed yet."""
-        return self.empty > 0
+        """Whether the last poll found no servers, and that is not believed yet."""
+        return self.empty_polls > 0
 
     def record_poll(self, found: list[T]) -> bool:
-        """A look without an error found these; True where it found nobody, and some were known."""
+        """Record what a poll without an error found; returns whether it found no servers while some were known."""
         vanished = bool(self.servers) and not found
-        self.empty = self.empty + 1 if vanished else 0
-        if found or self.empty >= self.empty_looks:
-            self.servers, self.empty = found, 0
+        self.empty_polls = self.empty_polls + 1 if vanished else 0
+        if found or self.empty_polls >= self.max_empty_polls:
+            self.servers, self.empty_polls = found, 0
         return vanished
--- a/tests/discovery/test_known_servers.py
+++ b/tests/discovery/test_known_servers.py
@@ -1,4 +1,4 @@
-"""What is known of a list that loses its entries without an error."""
+"""The servers known from a list that loses its entries without an error."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from flintshift.discovery.known_servers import KnownServers
 
 NONE, A, B = [], ["a"], ["b"]
-# What each look found; what is known after it.
-LOOKS = [
+# What each poll found, and the servers known after it.
+POLLS = [
     ([NONE, A], [NONE, A]),
     ([A, NONE, NONE, NONE], [A, A, A, NONE]),
     ([A, NONE, NONE, A, NONE, NONE, NONE], [A, A, A, A, A, A, NONE]),
@@ -17,11 +17,11 @@
 ]
 
 
-@pytest.mark.parametrize(("found", "known"), LOOKS)
-def test_a_list_that_names_nobody_any_longer_is_believed_at_the_third_look_in_a_row(found, known):
-    servers = KnownServers(empty_looks=3)
-    for now, then in zip(found, known, strict=True):
+@pytest.mark.parametrize(("found", "known"), POLLS)
+def test_an_empty_list_is_believed_at_the_third_poll_in_a_row(found, known):
+    servers = KnownServers(max_empty_polls=3)
+    for polled, expected in zip(found, known, strict=True):
         before = servers.servers
-        assert servers.record_poll(now) is (bool(before) and not now)
-        assert servers.servers == then
-        assert servers.empty_unconfirmed is (not now and bool(then))
+        assert servers.record_poll(polled) is (bool(before) and not polled)
+        assert servers.servers == expected
+        assert servers.empty_unconfirmed is (not polled and bool(expected))
