--- a/tests/copies/test_store.py
+++ b/tests/copies/test_store.py
@@ -158,10 +158,8 @@
     files = founded()
     store = opened(files)
     store.write([entry(1)], NOW)
-    files.failures = {
-        files.operation_count + 1: error,
-        files.operation_count + 3: error,
-    }  # the write, and the one behind its repair
+    # the write, and the one behind its repair
+    files.failures = {files.operation_count + 1: error, files.operation_count + 3: error}
     with pytest.raises(OSError, match="refused"):
         store.write([entry(2)], NOW)
     store.write([entry(3)], NOW)
--- a/tests/copies/test_use_copies_refusals.py
+++ b/tests/copies/test_use_copies_refusals.py
@@ -334,9 +334,8 @@
         holder.asked(word)
     table, recovered = holder.copies.holder.held_logs.table, holder.copies.holder._recovered
     holder.copies.holder._recovered = lambda log, replica: False
-    holder.files.failures |= {
-        holder.files.operation_count + step: errno.EIO for step in range(1, 9)
-    }  # the write and its retries
+    # the write and its retries
+    holder.files.failures |= {holder.files.operation_count + step: errno.EIO for step in range(1, 9)}
     holder.asked(written)
     assert not table[LOG].known and not table[LOG].sure
     holder.copies.holder._recovered = recovered
--- a/tests/startup/test_reconnects.py
+++ b/tests/startup/test_reconnects.py
@@ -1,4 +1,4 @@
-"""Whoever reconnects or looks again takes drawn, growing waits: the drivers, by the ranges that they draw from."""
+"""Reconnects and repeated polls use random, growing delays: checked by the ranges that the drivers draw from."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 pytestmark = pytest.mark.anyio
 
 
-class Draws:
-    """A uniform draw that keeps the ranges it was asked for, and gives the upper end."""
+class RecordedDraws:
+    """A uniform draw that records its ranges and returns the upper end."""
 
     def __init__(self):
         self.ranges: list[tuple[float, float]] = []
@@ -26,19 +26,19 @@
         return high
 
 
-async def test_a_pool_that_is_away_is_tried_after_waits_that_grow_and_are_drawn():
-    async def told(report):
+async def test_a_pool_that_is_down_is_retried_after_growing_random_delays():
+    async def ignore(report):
         pass
 
-    draws, limits = Draws(), Limits(backoff_ms=4.0, backoff_most_ms=40.0)
-    pool = PoolLink(("127.0.0.1", free_ports(1)[0]), [], limits, Counters(), told, draws)
+    draws, limits = RecordedDraws(), Limits(backoff_ms=4.0, backoff_most_ms=40.0)
+    pool = PoolLink(("127.0.0.1", free_ports(1)[0]), [], limits, Counters(), ignore, draws)
     with anyio.move_on_after(0.5):
         await pool.run()
     assert draws.ranges[:3] == [(6.0, 12.0), (18.0, 36.0), (20.0, 40.0)] and set(draws.ranges[3:]) == {(20.0, 40.0)}
 
 
-async def test_a_resolver_that_names_nobody_is_asked_after_growing_waits_and_what_is_known_stands(monkeypatch):
-    waited, draws = [], Draws()
+async def test_a_resolver_that_names_no_servers_is_polled_after_growing_delays_and_known_servers_are_kept(monkeypatch):
+    delays_ms, draws = [], RecordedDraws()
     browser = Browser(None, "_uwsgi._tcp", "desks.example", Limits(), Counters(), draws)
     answers = [[], OSError(), [], ["server"], OSError(), OSError(), ["server"], []]
 
@@ -49,7 +49,7 @@
         return answer
 
     async def sleep(seconds):
-        waited.append(round(seconds * 1000))
+        delays_ms.append(round(seconds * 1000))
         if not answers:
             raise EOFError
 
@@ -57,6 +57,6 @@
     monkeypatch.setattr(dnssd.anyio, "sleep", sleep)
     with pytest.raises(EOFError):
         await browser.run()
-    # Nobody is known: 1.5 s and on. Then the period, also while the resolver fails; and from the first wait again.
-    assert waited == [1500, 4500, 5000, 5250, 5250, 5250, 5250, 1500]
+    # No servers are known: from 1.5 s on. Then the period, also while the resolver fails; then the first delay again.
+    assert delays_ms == [1500, 4500, 5000, 5250, 5250, 5250, 5250, 1500]
     assert (750.0, 1500.0) in draws.ranges and (0.95, 1.05) in draws.ranges
--- a/tests/startup/test_starts.py
+++ b/tests/startup/test_starts.py
@@ -1,4 +1,4 @@
-"""The phases of a start and what slows a crash loop: the hearts as tables, then a real node that dies repeatedly."""
+"""The phases of a start and the delay in a crash loop: as tables, then with a real node that is killed repeatedly."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return [one.phase for one in actions if isinstance(one, PhaseEntered)]
 
 
-def test_a_start_goes_through_its_phases_and_says_what_each_waited_for():
+def test_a_start_goes_through_its_phases_and_reports_what_each_waited_for():
     start = Phases(0.0, cold_ms=500.0)
     assert start.handle(10.0, NOTHING) == [] and not start.ready
     assert phases_of(start.handle(100.0, BOUND)) == [Phase.BOUND]
@@ -34,40 +34,40 @@
     assert start.handle(900.0, REPORTED) == [PhaseEntered(Phase.STEADY, 500.0, ("the time in which it is cold",))]
 
 
-def test_a_node_that_is_not_cold_has_no_ramp_and_a_fast_start_passes_all_at_once():
+def test_a_node_that_is_not_cold_skips_ramping_and_a_fast_start_passes_all_phases_at_once():
     assert phases_of(Phases(0.0).handle(5.0, REPORTED)) == [Phase.BOUND, Phase.RESTORED, Phase.LISTED, Phase.STEADY]
 
 
 @pytest.mark.parametrize(
-    ("seen", "phase", "late_ms", "waits_for"),
+    ("state", "phase", "bound_ms", "waits_for"),
     [
         (NOTHING, Phase.ALONE, 6000.0, "its addresses"),
         (BOUND, Phase.BOUND, 20_000.0, "the worker pool"),
         (LINKED, Phase.RESTORED, 4000.0, "a list service that takes a report"),
     ],
 )
-def test_a_phase_past_its_bound_is_told_once_and_goes_on(seen, phase, late_ms, waits_for):
+def test_an_overdue_phase_is_reported_once_and_the_start_continues(state, phase, bound_ms, waits_for):
     start = Phases(0.0)
-    start.handle(0.0, seen)
-    assert start.phase is phase and start.handle(late_ms, seen) == []
-    assert start.handle(late_ms + 1.0, seen) == [PhaseOverdue(phase, late_ms + 1.0, (waits_for,))]
-    assert start.handle(late_ms + 9000.0, seen) == []
-    assert phases_of(start.handle(late_ms + 9001.0, REPORTED))[-1] is Phase.STEADY
+    start.handle(0.0, state)
+    assert start.phase is phase and start.handle(bound_ms, state) == []
+    assert start.handle(bound_ms + 1.0, state) == [PhaseOverdue(phase, bound_ms + 1.0, (waits_for,))]
+    assert start.handle(bound_ms + 9000.0, state) == []
+    assert phases_of(start.handle(bound_ms + 9001.0, REPORTED))[-1] is Phase.STEADY
 
 
-def test_a_node_asks_nobody_before_it_listens_and_the_vault_last():
+def test_a_node_calls_no_service_before_it_listens_and_the_vault_last():
     assert services_in_use(Phase.ALONE) == [] and "list service" not in services_in_use(Phase.BOUND)
     assert "vault" not in services_in_use(Phase.RESTORED) and services_in_use(Phase.STEADY)[-1] == "vault"
     bounds = PhaseBounds()
     assert bounds.bind_ms + bounds.restore_ms + bounds.list_ms <= 30_000.0
 
 
-def lives(*well, every_ms=1000.0):
-    return StartHistory([ProcessStart(number * every_ms, one) for number, one in enumerate(well)])
+def history(*successes, every_ms=1000.0):
+    return StartHistory([ProcessStart(number * every_ms, success) for number, success in enumerate(successes)])
 
 
 @pytest.mark.parametrize(
-    ("before", "failures", "least", "most"),
+    ("before", "failures", "min_ms", "max_ms"),
     [
         ((), 0, 0, 0),
         ((False,), 1, 0, 0),
@@ -79,16 +79,19 @@
         ((True, False, False, False), 3, 1000, 2000),
     ],
 )
-def test_lives_that_end_badly_one_after_the_other_make_the_next_one_wait(before, failures, least, most):
-    loop, now = lives(*before), 1000.0 * len(before)
-    assert loop.count_failures(now) == failures
-    assert (loop.wait_ms(now, lambda low, high: low), loop.wait_ms(now, lambda low, high: high)) == (least, most)
+def test_consecutive_failed_starts_delay_the_next_start(before, failures, min_ms, max_ms):
+    recorded, now = history(*before), 1000.0 * len(before)
+    assert recorded.count_failures(now) == failures
+    assert (recorded.wait_ms(now, lambda low, high: low), recorded.wait_ms(now, lambda low, high: high)) == (
+        min_ms,
+        max_ms,
+    )
 
 
-def test_a_life_of_long_ago_says_nothing_and_a_clock_that_went_back_forgets_none():
-    loop = lives(*(False,) * 6)
-    assert loop.count_failures(CrashLoopTiming().window_ms + 60_000.0) == 0
-    assert loop.count_failures(-3_600_000.0) == 6
+def test_old_starts_do_not_count_and_a_clock_set_back_drops_none():
+    recorded = history(*(False,) * 6)
+    assert recorded.count_failures(CrashLoopTiming().window_ms + 60_000.0) == 0
+    assert recorded.count_failures(-3_600_000.0) == 6
 
 
 @given(
@@ -106,21 +109,24 @@
         ]
     )
 )
-def test_junk_in_the_file_keeps_no_node_from_its_start(data):
+def test_a_malformed_file_does_not_prevent_a_start(data):
     assert StartHistory.decode(data).wait_ms(0.0, lambda low, high: high) == 0.0
 
 
-def test_lives_are_kept_as_they_were_and_not_without_end():
-    loop = lives(True, False).with_start(5000.0)
-    assert StartHistory.decode(loop.encode()).starts == loop.starts
-    assert loop.with_success(5000.0).failures(6000.0) == 0 and loop.with_success(1000.0).failures(6000.0) == 1
+def test_a_history_is_stored_unchanged_and_its_length_is_bounded():
+    recorded = history(True, False).with_start(5000.0)
+    assert StartHistory.decode(recorded.encode()).starts == recorded.starts
+    assert (
+        recorded.with_success(5000.0).count_failures(6000.0) == 0
+        and recorded.with_success(1000.0).count_failures(6000.0) == 1
+    )
     for number in range(100):
-        loop = loop.with_start(number)
-    assert len(loop.starts) == CrashLoopTiming().max_starts
+        recorded = recorded.with_start(number)
+    assert len(recorded.starts) == CrashLoopTiming().max_starts
 
 
 @pytest.mark.anyio
-async def test_a_node_in_a_crash_loop_stays_away_and_one_that_served_starts_at_once(tmp_path):
+async def test_a_node_in_a_crash_loop_waits_and_one_that_served_starts_at_once(tmp_path):
     async def status(code):
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -136,15 +142,15 @@
         assert process.returncode == code
         return json.loads(out)
 
-    part = "startup: {enabled: true, socket: up.sock, folder: startup}\nlog: {enabled: true}\n"
-    async with Rig(tmp_path, part) as rig:
+    settings_text = "startup: {enabled: true, socket: up.sock, folder: startup}\nlog: {enabled: true}\n"
+    async with Rig(tmp_path, settings_text) as rig:
         async with asyncio.timeout(10):
-            while (told := await status(0))["phase"] != "steady":
+            while (status_document := await status(0))["phase"] != "steady":
                 await asyncio.sleep(0.05)
-        assert [one["phase"] for one in told["entered"]] == ["bound", "restored", "listed", "steady"]
+        assert [one["phase"] for one in status_document["entered"]] == ["bound", "restored", "listed", "steady"]
         await rig.kill()
         (tmp_path / "up.sock").unlink()
-        for _ in range(3):  # each dies before it serves: its pool is not there
+        for _ in range(3):  # each is killed before it serves, as its pool is down
             await rig.pool.stop()
             rig.process = await rig._spawn(rig.command())
             async with asyncio.timeout(10):
@@ -152,10 +158,10 @@
                     await asyncio.sleep(0.05)
             await rig.kill()
             (tmp_path / "up.sock").unlink()
-        rig.process = await rig._spawn(rig.command())  # a notice to leave while it stays away
-        lives = tmp_path / "startup" / "lives.json"
+        rig.process = await rig._spawn(rig.command())  # it is told to leave while it waits
+        history_file = tmp_path / "startup" / "lives.json"
         async with asyncio.timeout(10):
-            while len(json.loads(lives.read_text())) < 5:
+            while len(json.loads(history_file.read_text())) < 5:
                 await asyncio.sleep(0.01)
         assert await rig.leave() == 0 and not (tmp_path / "up.sock").exists()
         rig.pool.port = 0
@@ -164,12 +170,13 @@
         assert (await status(0))["crash_loop_wait_ms"] == 0
         await rig.kill()
         (tmp_path / "up.sock").unlink()
-        lives.write_text(json.dumps(json.loads(lives.read_text())[:4]))  # as if it had not been told to leave
+        # As if it had not been told to leave.
+        history_file.write_text(json.dumps(json.loads(history_file.read_text())[:4]))
         began = asyncio.get_running_loop().time()
         await rig.start()
         assert asyncio.get_running_loop().time() - began > 1.0
-        told = await status(0)
-        assert told["lives_that_ended_badly"] == 3 and told["crash_loop_wait_ms"] >= 1000
+        status_document = await status(0)
+        assert status_document["lives_that_ended_badly"] == 3 and status_document["crash_loop_wait_ms"] >= 1000
         await asyncio.sleep(0.3)
         assert await rig.leave() == 0
         await rig.start()
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -239,14 +239,14 @@
 def test_a_folder_is_locked_for_other_processes_until_its_process_ends(tmp_path):
     program = (
         "import sys, time; from pathlib import Path; from flintshift.storage.files import DiskFiles;"
-        "lock = DiskFiles().lock(Path(sys.argv[1])); print('locked', flush=True); time.sleep(60)"
+        "lock = DiskFiles().lock(Path(sys.argv[1])); print('held', flush=True); time.sleep(60)"
     )
     with subprocess.Popen(
         [sys.executable, "-c", program, str(tmp_path / "LOCK")],
         stdout=subprocess.PIPE,
         cwd=Path(__file__).parent.parent.parent,
     ) as holder:
-        assert holder.stdout.readline() == b"locked\n"
+        assert holder.stdout.readline() == b"held\n"
         with pytest.raises(LockedError, match="another process works in this folder"):
             DiskFiles().lock(tmp_path / "LOCK")
         holder.kill()
