--- a/flintshift/lifecycle/start_permits.py
+++ b/flintshift/lifecycle/start_permits.py
@@ -52,7 +52,7 @@
 
     def may_go(self) -> bool:
         """Ask, if it has not been asked."""
-        self._act(self.starter.request(self._now(), self.reached))
+        self._act(self.starter.request_permit(self._now(), self.reached))
         return self.starter.proceeded
 
     def tick(self) -> None:
--- a/flintshift/startup/permits.py
+++ b/flintshift/startup/permits.py
@@ -100,7 +100,7 @@
     answered_ms: float = 0.0  # the granter's last answer, or its first request if it has not answered
     silent: set[str] = field(default_factory=set)  # members in reach that did not answer
 
-    def request(self, now_ms: float, reached: set[str]) -> list[Action]:
+    def request_permit(self, now_ms: float, reached: set[str]) -> list[Action]:
         """Begin to request a permit, unless this has begun."""
         if self.requested_ms is None:
             self.requested_ms = self.next_request_ms = now_ms
--- a/tests/startup/test_permits.py
+++ b/tests/startup/test_permits.py
@@ -53,7 +53,7 @@
         for name, requester in self.requesters.items():
             if name in self.down or name in self.paused:
                 continue
-            self.act(name, requester.request(self.now, self.reached(name)))
+            self.act(name, requester.request_permit(self.now, self.reached(name)))
             if name in self.proceeded and name not in self.steady and self.now - self.proceeded[name][0] >= RAMP_MS:
                 self.steady.add(name)
                 self.act(name, requester.finish())
@@ -137,7 +137,7 @@
     requester = PermitRequester("n1", ("n1", "n2"), random.Random(1).uniform)
     now, proceeded = 0.0, []
     while not proceeded and now < 60_000.0:
-        for action in requester.request(now, {"n2"}):
+        for action in requester.request_permit(now, {"n2"}):
             if isinstance(action, SendPermitRequest):
                 requester.on_permit(now, action.to, Permit(action.request.number, False))
             else:
@@ -149,7 +149,7 @@
 @pytest.mark.parametrize("permit", [Permit(0, True), Permit(2, True), Permit(1, False)])
 def test_an_answer_to_another_request_or_a_refusal_does_not_let_a_start_proceed(permit):
     requester = PermitRequester("n1", ("n1", "n2"), random.Random(1).uniform)
-    actions = requester.request(0.0, {"n2"})
+    actions = requester.request_permit(0.0, {"n2"})
     assert isinstance(actions[0], SendPermitRequest)
     assert requester.on_permit(1.0, actions[0].to, permit) == [] and not requester.proceeded
     assert requester.on_permit(1.0, "n9", Permit(1, True)) == []  # an answer from a member that was not asked
@@ -186,7 +186,7 @@
         )
         now, proceeded = 0.0, []
         while not proceeded and now < 60_000.0:
-            for action in requester.request(now, set(names) - {last}):
+            for action in requester.request_permit(now, set(names) - {last}):
                 if isinstance(action, Proceed):
                     proceeded.append((now, action.cause))
                 elif action.to not in silent:
