--- a/flintshift/lifecycle/books.py
+++ b/flintshift/lifecycle/books.py
@@ -121,7 +121,9 @@
         attempt.ticket = self.ledger.claim(
             bytes.fromhex(attempt.id),
             self._row(attempt, front) + GONE,
-            FLAG_NO_ANSWER | (FLAG_FURTHER_TRY if attempt.marked_repeat else 0) | (FLAG_KEPT_RESULT if attempt.reuses_result else 0),
+            FLAG_NO_ANSWER
+            | (FLAG_FURTHER_TRY if attempt.marked_repeat else 0)
+            | (FLAG_KEPT_RESULT if attempt.reuses_result else 0),
             int(attempt.run_ms * 1000),
             attempt.call_count,
             len(attempt.body),
@@ -160,7 +162,7 @@
 
             reach = folder.reach
             folder.granted_position = position_before_grant(
-                files, options.folder, life, (reach.epoch, reach.following - 1)
+                files, options.folder, life, (reach.epoch, reach.next_sequence - 1)
             )
             if not reach.epoch:
                 folder.log.epoch = max(int(now / 1000), above + 1)
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -229,7 +229,7 @@
 
     def _watch_start(self, options: StartupOptions) -> None:
         from flintshift.lifecycle.starting import Starting
-        from flintshift.startup.phases import Seen
+        from flintshift.startup.phases import NodeState
 
         settings = self.config.settings
         if options.at_once is not None and self.copying is not None:
@@ -238,11 +238,11 @@
         starting = self.starting = Starting(
             options,
             settings.cold_ms if settings.cold else 0.0,
-            lambda: Seen(
+            lambda: NodeState(
                 self.bound,
                 self.decisions.serving_status.workers_up,
-                self.registration.taken > 0,
-                permits is None or permits.starter.went,
+                self.registration.accepted_reports > 0,
+                permits is None or permits.starter.proceeded,
             ),
             permits.done if permits is not None else lambda: None,
             self.uniform,
@@ -420,7 +420,7 @@
         ):
             return  # told again once it may
         if posture.workers_up or posture.draining:
-            self.registration.say(not (posture.draining or posture.out_of_service), last=posture.draining)
+            self.registration.announce(not (posture.draining or posture.out_of_service), last=posture.draining)
 
     def give_up(self, error: OSError) -> None:
         """End at once: this process has taken no client."""
@@ -437,7 +437,7 @@
         """Another process of this node accepts from now on; what is open here goes on to its next answer."""
         for front, _ in self.fronts:
             front.leave()
-        self.registration.say(None)
+        self.registration.announce(None)
 
     async def _listeners(self) -> list[Acceptor]:
         if self.upgrade is None:
--- a/flintshift/lifecycle/taken_ledgers.py
+++ b/flintshift/lifecycle/taken_ledgers.py
@@ -20,7 +20,7 @@
 from flintshift.replication.logs import LogId
 from flintshift.settings.options import UsageOptions
 from flintshift.storage.files import Files
-from flintshift.storage.log import BrokenError
+from flintshift.storage.log import BrokenLogError
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage.folder import unacknowledged
 from flintshift.usage.messages import Append, OwnerDied
@@ -28,7 +28,7 @@
 from flintshift.usage.records import Entry, Opened, Published
 from flintshift.usage.replica import Replica
 
-REFUSED = (OSError, BrokenError, DamagedError)
+REFUSED = (OSError, BrokenLogError, DamagedError)
 
 
 class TakenLedger:
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -259,7 +259,8 @@
             learned = self.decisions.controller.learned_estimates()
             self._step(
                 Used(
-                    Load(used.concurrency, used.memory, used.calls, connections), Learned(learned.run_limit, learned.run_ms)
+                    Load(used.concurrency, used.memory, used.calls, connections),
+                    Learned(learned.run_limit, learned.run_ms),
                 )
             )
 
@@ -307,7 +308,9 @@
                 for front, _ in self.node.fronts:
                     front.others = others
             case Learn(learned):
-                self.decisions.pending.append(at.LearnedStateReceived(api.LearnedEstimates(learned.limit, learned.run_ms)))
+                self.decisions.pending.append(
+                    at.LearnedStateReceived(api.LearnedEstimates(learned.limit, learned.run_ms))
+                )
             case LosePeer(partial):
                 self._lose(partial)
             case Serve(out):
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/use_copies.py
@@ -59,7 +59,7 @@
         assert self.ledger is not None
         folder = self.ledger.folder
         own = self.holder.held_logs.own_log = self.name, folder.accounts.state.life
-        self.writer = self._writer_of(own, epoch, (epoch, folder.log.following - 1), folder.granted_position)
+        self.writer = self._writer_of(own, epoch, (epoch, folder.log.next_sequence - 1), folder.granted_position)
 
     def _writer_of(
         self, log: LogId, epoch: int, last: logs.LogPosition, before: logs.LogPosition | None = None
@@ -135,7 +135,7 @@
             self.again_ms = now
             self.holder.read_again()
         own, ledger = self.writer, self.ledger
-        if own is not None and ledger is not None and own.last[0] != own.epoch and not ledger.commit.stalls:
+        if own is not None and ledger is not None and own.last[0] != own.epoch and not ledger.commit.writes_blocked:
             ledger.write_empty_record()
         self.taken.go_on()
         if now >= self.retired_ms + RETIRE_INTERVAL_MS:
--- a/flintshift/replication/store.py
+++ b/flintshift/replication/store.py
@@ -20,7 +20,7 @@
 from flintshift.replication.registers import Entry
 from flintshift.storage import snapshot
 from flintshift.storage.files import Files
-from flintshift.storage.log import Log, Reach, records, segment_name, segments
+from flintshift.storage.log import Log, LogPosition, list_segments, read_records, segment_name
 from flintshift.storage.snapshot import DamagedError
 
 ENTRY_KIND, STORE_KIND = 1, 2
@@ -84,7 +84,7 @@
         self.lock = files.lock(folder / "LOCK")
         self.segment_expiry_ms: dict[int, float] = {}  # by a segment's first sequence: when its last register expires
         try:
-            snapshot.sweep(files, folder)
+            snapshot.remove_unfinished(files, folder)
             self.recovered = self._open(now_ms, unix_ms, synced)
         except BaseException:
             self.lock.close()
@@ -114,7 +114,7 @@
         if STORE_FILE not in self.files.names(self.folder):
             return empty, "its disk is empty"
         try:
-            record = snapshot.opened(self.folder / STORE_FILE, self.files.read(self.folder / STORE_FILE), STORE_KIND)
+            record = snapshot.unseal(self.folder / STORE_FILE, self.files.read(self.folder / STORE_FILE), STORE_KIND)
             state = msgspec.msgpack.decode(record.payload, type=StoreState)
         except (DamagedError, msgspec.DecodeError) as error:
             return empty, f"its disk is damaged: {error}"
@@ -128,33 +128,33 @@
         ``same_boot``: the monotonic clock has run on since they were written. Otherwise their age is unknown, and each
         entry is kept for its whole time again: longer than promised, never shorter.
         """
-        found = segments(self.files, self.folder / "log")
+        found = list_segments(self.files, self.folder / "log")
         first = found[0][0] if found else 1
-        reach, latest = Reach(first, 0), dict[tuple[str, str], Entry]()
-        for record in records(self.files, self.folder / "log", first, reach):
+        reach, latest = LogPosition(first, 0), dict[tuple[str, str], Entry]()
+        for record in read_records(self.files, self.folder / "log", first, reach):
             if record.kind == ENTRY_KIND:
                 entry, written_ms = self.unpack(record.payload)
                 elapsed_ms = max(0.0, now_ms - written_ms) if same_boot else 0.0
                 latest[entry.key] = msgspec.structs.replace(entry, remaining_ms=entry.remaining_ms - elapsed_ms)
-        self.log = Log(self.files, self.folder / "log", reach.epoch + 1, reach.following)
+        self.log = Log(self.files, self.folder / "log", reach.epoch + 1, reach.next_sequence)
         self.log.resume(reach)
         entries = [entry for entry in latest.values() if entry.remaining_ms > 0]
         expiry_ms = now_ms + max((entry.remaining_ms for entry in entries), default=0.0)
-        self.segment_expiry_ms = {start: expiry_ms for start, _ in segments(self.files, self.folder / "log")}
+        self.segment_expiry_ms = {start: expiry_ms for start, _ in list_segments(self.files, self.folder / "log")}
         return entries
 
     def _clear_log(self) -> None:
         """Removes the segments of an unusable store, which would be taken for those of the new one."""
-        for _, name in segments(self.files, self.folder / "log"):
+        for _, name in list_segments(self.files, self.folder / "log"):
             self.files.remove(self.folder / "log" / name)
         self.log = Log(self.files, self.folder / "log", 1, 1)
-        self.log.begin()
+        self.log.begin_segment()
         self.segment_expiry_ms = {1: 0.0}
 
     def write_state(self, state: StoreState) -> None:
         """Writes the state to the disk. ``self.state`` changes only if the disk accepts it."""
         data = msgspec.msgpack.encode(state)
-        snapshot.publish(self.files, self.folder / STORE_FILE, snapshot.sealed(STORE_KIND, 1, 1, data))
+        snapshot.publish(self.files, self.folder / STORE_FILE, snapshot.seal(STORE_KIND, 1, 1, data))
         self.state = state
 
     def write(self, entries: Iterable[Entry], now_ms: float) -> None:
@@ -163,7 +163,7 @@
         They survive the death of the process from then on, and that of the system after the log's ``sync``.
 
         Raises:
-            OSError, BrokenError: the disk rejected the write; every further one fails until ``reopen``.
+            OSError, BrokenLogError: the disk rejected the write; every further one fails until ``reopen``.
         """
         written = list(entries)
         self.log.append_with_retry([(ENTRY_KIND, self.pack(entry, now_ms)) for entry in written])
@@ -174,12 +174,12 @@
 
     def rotate(self, now_ms: float) -> int:
         """Begins a new segment, removes the segments in which everything has expired, and returns their number."""
-        self.log.begin()
-        self.segment_expiry_ms[self.log.following] = 0.0
+        self.log.begin_segment()
+        self.segment_expiry_ms[self.log.next_sequence] = 0.0
         expired = [
             start
             for start, expiry_ms in self.segment_expiry_ms.items()
-            if expiry_ms <= now_ms and start != self.log.following
+            if expiry_ms <= now_ms and start != self.log.next_sequence
         ]
         removed = 0
         for start in sorted(expired):
@@ -218,12 +218,12 @@
     Raises:
         OSError, DamagedError: the store can't be read or is damaged; the text says where.
     """
-    record = snapshot.opened(folder / STORE_FILE, files.read(folder / STORE_FILE), STORE_KIND)
+    record = snapshot.unseal(folder / STORE_FILE, files.read(folder / STORE_FILE), STORE_KIND)
     state = msgspec.msgpack.decode(record.payload, type=StoreState)
-    found = segments(files, folder / "log")
+    found = list_segments(files, folder / "log")
     first = found[0][0] if found else 1
     count, keys = 0, set()
-    for entry_record in records(files, folder / "log", first, Reach(first, 0)):
+    for entry_record in read_records(files, folder / "log", first, LogPosition(first, 0)):
         count += 1
         try:
             keys.add(unpack(entry_record.payload)[0].key)
@@ -242,4 +242,4 @@
         raise FileExistsError(f"{folder} is not empty; founding the store again would forget what it promised")
     files.make_folder(folder / "log")
     data = msgspec.msgpack.encode(StoreState(int(now_ms), True, "", boot))
-    snapshot.publish(files, folder / STORE_FILE, snapshot.sealed(STORE_KIND, 1, 1, data))
+    snapshot.publish(files, folder / STORE_FILE, snapshot.seal(STORE_KIND, 1, 1, data))
--- a/flintshift/usage/folder.py
+++ b/flintshift/usage/folder.py
@@ -21,7 +21,7 @@
 from flintshift.proto import usage_pb2 as pb
 from flintshift.storage import snapshot
 from flintshift.storage.files import Files, Lock
-from flintshift.storage.log import BrokenError, Log, Reach, batches, segments
+from flintshift.storage.log import BrokenLogError, Log, LogPosition, list_segments, read_batches
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage import documents
 from flintshift.usage.accounts import Bounds, UnpublishedDocument, UsageAccounts
@@ -60,7 +60,7 @@
     )
 
 
-def load(files: Files, folder: Path, bounds: Bounds | None = None) -> tuple[UsageAccounts, Reach, Recovery]:
+def load(files: Files, folder: Path, bounds: Bounds | None = None) -> tuple[UsageAccounts, LogPosition, Recovery]:
     """Recover the accounts from the folder. Nothing is changed, so a folder in use can be read too.
 
     Raises:
@@ -75,12 +75,12 @@
             gc.enable()
 
 
-def _load(files: Files, folder: Path, bounds: Bounds | None) -> tuple[UsageAccounts, Reach, Recovery]:
+def _load(files: Files, folder: Path, bounds: Bounds | None) -> tuple[UsageAccounts, LogPosition, Recovery]:
     accounts, recovery, epoch = UsageAccounts(bounds or Bounds()), Recovery(), 0
     for sequence in snapshot_sequences(files, folder):
         path = folder / "snapshots" / snapshot_name(sequence)
         try:
-            record = snapshot.opened(path, files.read(path), SNAPSHOT_KIND)
+            record = snapshot.unseal(path, files.read(path), SNAPSHOT_KIND)
             accounts, epoch = UsageAccounts.load(record.payload, bounds), record.epoch
         except (DamagedError, ValueError) as error:
             recovery.warnings.append(f"{error}; an older one is used")
@@ -90,9 +90,9 @@
     else:
         if recovery.warnings:
             raise DamagedError(f"{folder}: no snapshot can be used: {'; '.join(recovery.warnings)}")
-    reach = Reach(accounts.state.sequence + 1, max(accounts.state.epoch, epoch))
+    reach = LogPosition(accounts.state.sequence + 1, max(accounts.state.epoch, epoch))
     apply_claim, decode = accounts.apply_claim, unpack_claim
-    for batch in batches(files, folder / "log", reach.following, reach):
+    for batch in read_batches(files, folder / "log", reach.next_sequence, reach):
         try:
             for sequence, epoch, kind, payload in batch:
                 if kind == CLAIM_KIND:  # nearly all records are claims; this short path halves the recovery time
@@ -103,9 +103,9 @@
             raise DamagedError(f"{folder}: record {sequence} can't be used: {error}") from error
         accounts.state.sequence = sequence
         recovery.records += len(batch)
-    if reach.following == 1 and any(name.endswith(documents.SUFFIX) for name in files.names(folder / "documents")):
+    if reach.next_sequence == 1 and any(name.endswith(documents.SUFFIX) for name in files.names(folder / "documents")):
         raise DamagedError(f"{folder}: documents are present, but the log and the snapshots are missing")
-    recovery.truncated_bytes = reach.torn
+    recovery.truncated_bytes = reach.truncated_bytes
     return accounts, reach, recovery
 
 
@@ -120,10 +120,10 @@
         self.lock: Lock = files.lock(folder / "LOCK")
         try:
             for name in ("", "snapshots", "documents"):
-                snapshot.sweep(files, folder / name)
+                snapshot.remove_unfinished(files, folder / name)
             self.accounts, self.reach, self.recovery = load(files, folder, bounds)
             self.recovery.in_doubt = len(self.accounts.state.waiting)
-            self.log = Log(files, folder / "log", self.reach.epoch + 1, self.reach.following)
+            self.log = Log(files, folder / "log", self.reach.epoch + 1, self.reach.next_sequence)
             self.log.resume(self.reach)
         except BaseException:
             self.lock.close()
@@ -139,7 +139,7 @@
         """
         self.log.close()
         self.accounts, self.reach, self.recovery = load(self.files, self.folder, self.accounts.bounds)
-        self.log = Log(self.files, self.folder / "log", max(self.log.epoch, self.reach.epoch), self.reach.following)
+        self.log = Log(self.files, self.folder / "log", max(self.log.epoch, self.reach.epoch), self.reach.next_sequence)
         self.log.resume(self.reach)
 
     def open(
@@ -173,7 +173,7 @@
         """Write records, then apply them.
 
         Raises:
-            OSError, BrokenError: the disk refused; nothing was applied.
+            OSError, BrokenLogError: the disk refused; nothing was applied.
         """
         first = self.log.append([pack(entry) for entry in entries])
         self.apply(first, entries)
@@ -186,7 +186,7 @@
     def snapshot_now(self) -> bytes:
         """Return the contents of a snapshot of the current state."""
         state = self.accounts.state
-        return snapshot.sealed(SNAPSHOT_KIND, self.log.epoch, state.sequence, self.accounts.dump())
+        return snapshot.seal(SNAPSHOT_KIND, self.log.epoch, state.sequence, self.accounts.dump())
 
     def write_snapshot(self, sequence: int, data: bytes) -> None:
         """Write a snapshot that ``snapshot_now`` made."""
@@ -203,7 +203,7 @@
         try:
             if not self.log.broken and self.log.file is not None:
                 self.log.sync()
-        except (OSError, BrokenError):
+        except (OSError, BrokenLogError):
             pass  # claims that are lost here are in doubt at the next start
         finally:
             self.log.close()
@@ -254,7 +254,7 @@
     ]
     stored_segments = [
         StoredSegment(name, first, files.age_ms(folder / "log" / name, now_ms))
-        for first, name in segments(files, folder / "log")
+        for first, name in list_segments(files, folder / "log")
     ]
     removal = plan_removal(
         stored_documents, stored_segments, snapshot_sequences(files, folder), retention_ms, bool(sinks), closed_to_ms
--- a/flintshift/usage/ledger.py
+++ b/flintshift/usage/ledger.py
@@ -2,8 +2,8 @@
 
 A claim is written before the answer is sent, and a mark afterwards. A crash between them leaves the request in doubt,
 listed by its id: it is neither counted nor dropped silently. Claims and marks that arrive in one iteration of the
-event loop are written by one system call (group commit). Where ``holds`` is set (durability power-cut), answers also
-wait for the sync that follows within ``sync_ms``; else that sync runs after they are sent.
+event loop are written by one system call (group commit). Where ``hold_answers`` is set (durability power-cut), answers
+also wait for the sync that follows within ``sync_ms``; else that sync runs after they are sent.
 
 While the disk refuses, use is recorded in memory and the gap is reported. As soon as the disk accepts writes again,
 the accounts are written as a snapshot, so that only a crash during the gap loses records.
@@ -25,26 +25,26 @@
 from flintshift.storage import snapshot
 from flintshift.storage.commit import (
     BeginSegment,
-    Commit,
     CommitAction,
     CommitLimits,
-    Done,
     GapBegan,
     GapEnded,
-    Leaving,
+    GroupCommit,
     Operation,
-    Refused,
-    Release,
+    OperationCompleted,
+    OperationFailed,
+    ReleaseAnswers,
     Reopen,
-    Stalled,
-    StillRefused,
+    ReopenFailed,
+    ResumeWrites,
+    ShuttingDown,
     Sync,
-    SyncWanted,
+    SyncRequested,
+    TimerFired,
     WakeAt,
-    Woken,
-    Write,
+    WriteBlocked,
 )
-from flintshift.storage.log import BrokenError
+from flintshift.storage.log import BrokenLogError
 from flintshift.usage.accounts import UsageAccounts
 from flintshift.usage.corrections import from_json, with_closed_totals
 from flintshift.usage.folder import LedgerFolder, retire
@@ -144,7 +144,7 @@
     ) -> None:
         self.folder, self.accounts = folder, folder.accounts
         self.policy = LedgerPolicy(folder.accounts, grace_ms)
-        self.commit = Commit(limits, folder.log.following - 1)
+        self.commit = GroupCommit(limits, folder.log.next_sequence - 1)
         self.reject_on_disk_failure, self.retention_ms, self.sinks = reject_on_disk_failure, retention_ms, sinks
         self.clock, self.wall_ms, self.steady_ms, self.log_event = clock, wall_ms, steady_ms, log_event
         self.claims: list[QueuedClaim] = []  # not written yet
@@ -247,8 +247,8 @@
 
     def _flush(self) -> None:
         self.flush_scheduled = False
-        if self.commit.stalls:
-            self._perform(self.commit.handle(self.steady_ms(), Stalled()))
+        if self.commit.writes_blocked:
+            self._perform(self.commit.handle(self.steady_ms(), WriteBlocked()))
             return
         if self._ledger_time() >= self.period_end_ms:
             self._handle_event(Tick())
@@ -256,7 +256,7 @@
         delivered, self.delivered = self.delivered, []
         undelivered, self.undelivered = self.undelivered, []
         late_runs, self.late_runs = self.late_runs, []
-        sequence, period = self.folder.log.following, self.accounts.state.current or 0
+        sequence, period = self.folder.log.next_sequence, self.accounts.state.current or 0
         entries: list[Entry] = []
         if self.new_row_lists is not None:  # before the records that are numbered by it
             entries.append(self.new_row_lists)
@@ -275,7 +275,7 @@
                 )
             )
         entries += late_runs
-        wait_for_storage = self.commit.limits.holds or self.replication is not None
+        wait_for_storage = self.commit.limits.hold_answers or self.replication is not None
         if wait_for_storage:  # before the write, which may already release them
             self.pending_answers += [(queued[0].sequence, queued) for queued in claims if queued[2] is not None]
         if entries:
@@ -290,15 +290,15 @@
     def _write(self, entries: list[Entry], requests: int = 0) -> None:
         """Write records and apply them; during a gap, only apply them."""
         log, items = self.folder.log, [pack(entry) for entry in entries]
-        first = log.following
+        first = log.next_sequence
         actions: list[CommitAction] = []
         if self.commit.gap is None:
             try:
                 log.append_with_retry(items)
-            except (OSError, BrokenError) as error:
-                actions = self.commit.handle(self.steady_ms(), Refused(str(error), write=True))
+            except (OSError, BrokenLogError) as error:
+                actions = self.commit.handle(self.steady_ms(), OperationFailed(str(error), write=True))
         if self.commit.gap is not None:
-            log.following = first + len(items)
+            log.next_sequence = first + len(items)
             if self.backlog is not None:
                 self.backlog += items
                 if len(self.backlog) > MAX_BACKLOG_RECORDS:  # the next attempt begins with a new snapshot
@@ -306,7 +306,7 @@
         self.folder.apply(first, entries)
         if self.replication is not None:
             self.replication.on_written(first, items, requests > 0)
-        actions += self.commit.wrote(self.steady_ms(), first + len(items) - 1, log.size, requests)
+        actions += self.commit.on_write(self.steady_ms(), first + len(items) - 1, log.size, requests)
         if actions:
             self._perform(actions)
 
@@ -317,10 +317,10 @@
                 case Sync() | BeginSegment() | Reopen():
                     self.disk_operation = action
                     self._notify_disk_changed()
-                case Release(upto):
+                case ReleaseAnswers(upto):
                     self.synced_through = self.synced_through if upto == math.inf else upto
                     self.release_answers()
-                case Write():
+                case ResumeWrites():
                     if not self.flush_scheduled:
                         self._flush_soon()
                 case WakeAt(at_ms):
@@ -337,7 +337,7 @@
                     elapsed_ms = self.steady_ms() - since_ms
                     self._handle_event(DiskRecovered(int(self._ledger_time() - elapsed_ms), requests, cause))
                     self.log_event("info", "usage.disk_back", requests_in_memory=requests)
-                case StillRefused(cause):
+                case ReopenFailed(cause):
                     self.log_event("warning", "usage.disk_still_refuses", cause=cause)
 
     def earliest_deadline_ms(self) -> float:
@@ -350,7 +350,7 @@
             self.pending_answers,
             self.replication.replicated_through if self.replication is not None else math.inf,
         )
-        if self.commit.limits.holds and self.commit.gap is None:
+        if self.commit.limits.hold_answers and self.commit.gap is None:
             upto = min(upto, self.synced_through)
         while waiting and waiting[0][0] <= upto:
             deliver = waiting.popleft()[1][2]
@@ -369,7 +369,7 @@
 
     def _on_timer(self) -> None:
         self.timer = None
-        self._perform(self.commit.handle(self.steady_ms(), Woken()))
+        self._perform(self.commit.handle(self.steady_ms(), TimerFired()))
 
     def _notify_disk_changed(self) -> None:
         changed, self.disk_changed = self.disk_changed, anyio.Event()
@@ -380,7 +380,7 @@
         operation, self.disk_operation = self.disk_operation, None
         if operation is None:
             return
-        event: Done | Refused = Done()
+        event: OperationCompleted | OperationFailed = OperationCompleted()
         commit = self.commit
         try:
             match operation:
@@ -390,8 +390,8 @@
                     await self._begin_segment()
                 case Reopen():
                     await self._reopen()
-        except (OSError, BrokenError) as error:
-            event = Refused(str(error))
+        except (OSError, BrokenLogError) as error:
+            event = OperationFailed(str(error))
         except BaseException:  # cancelled by the exit: the operation is still pending, and ``close`` repeats it
             if commit is self.commit:
                 self.disk_operation = operation
@@ -405,7 +405,7 @@
     async def _begin_segment(self) -> None:
         """Begin a segment, and remember the current accounts as the snapshot from which recovery begins."""
         folder, sequence, data = self.folder, self.accounts.state.sequence, self.folder.snapshot_now()
-        await anyio.to_thread.run_sync(folder.log.begin, sequence + 1)
+        await anyio.to_thread.run_sync(folder.log.begin_segment, sequence + 1)
         if folder is self.folder:
             self.pending_snapshot = sequence, data
 
@@ -414,15 +414,15 @@
         log, sequence, data = self.folder.log, self.accounts.state.sequence, self.folder.snapshot_now()
         self.backlog, log.broken = [], True
         await anyio.to_thread.run_sync(self.folder.write_snapshot, sequence, data)
-        await anyio.to_thread.run_sync(log.begin, sequence + 1)
+        await anyio.to_thread.run_sync(log.begin_segment, sequence + 1)
         if self.backlog is None:
             raise TimeoutError(f"over {MAX_BACKLOG_RECORDS:,} records arrived during the attempt")
-        following, log.following = log.following, sequence + 1
+        following, log.next_sequence = log.next_sequence, sequence + 1
         try:
             if self.backlog:
                 log.append(self.backlog)
         finally:
-            log.following = following
+            log.next_sequence = following
 
     async def _wait_for_disk_operation(self) -> None:
         """Run the next disk operation, or wait until one was set or has ended."""
@@ -434,13 +434,13 @@
 
     async def _wait_until_writable(self) -> None:
         """Wait while a segment is begun, during which nothing may be written."""
-        while self.commit.stalls:
+        while self.commit.writes_blocked:
             await self._wait_for_disk_operation()
 
     async def _sync_all(self) -> bool:
         """Sync all records; return False during a gap, and if another ledger has begun meanwhile."""
         last_sequence, commit = self.accounts.state.sequence, self.commit
-        self._perform(commit.handle(self.steady_ms(), SyncWanted(last_sequence)))
+        self._perform(commit.handle(self.steady_ms(), SyncRequested(last_sequence)))
         while commit is self.commit and commit.gap is None and commit.synced < last_sequence:
             await self._wait_for_disk_operation()
         return commit is self.commit and commit.gap is None
@@ -451,7 +451,7 @@
         if step is not None:
             self.log_event("warning", "usage.clock_stepped", by_ms=step.by_ms)
             self.unrecorded_steps_ms.append(step.by_ms)
-        while self.unrecorded_steps_ms and not self.commit.stalls:
+        while self.unrecorded_steps_ms and not self.commit.writes_blocked:
             self._handle_event(ClockAdjusted(self.unrecorded_steps_ms.pop(0)), now)
         return now
 
@@ -492,7 +492,7 @@
         await self._wait_until_writable()
         self._handle_event(Tick())
         if self.commit.gap is not None:
-            self._perform(self.commit.handle(self.steady_ms(), Woken()))
+            self._perform(self.commit.handle(self.steady_ms(), TimerFired()))
         await self._publish_documents()
         await self._process_inbox()
         await self._write_pending_snapshot()
@@ -588,7 +588,7 @@
         self.undelivered = [ticket for ticket in self.undelivered if ticket.book is None]
         self.folder, self.accounts, self.new_row_lists = folder, folder.accounts, None
         self.policy = LedgerPolicy(folder.accounts, self.policy.grace_ms)
-        self.commit = Commit(self.commit.limits, folder.log.following - 1)
+        self.commit = GroupCommit(self.commit.limits, folder.log.next_sequence - 1)
         self.pending_snapshot = self.backlog = self.disk_operation = None
         self.period_end_ms, self.synced_through = 0, -1.0
         self._handle_event(Tick())
@@ -599,7 +599,7 @@
     async def _end_gap(self) -> None:
         """Try until the use that was recorded in memory is on the disk."""
         while self.commit.gap is not None:
-            self._perform(self.commit.handle(self.steady_ms(), Leaving()))
+            self._perform(self.commit.handle(self.steady_ms(), ShuttingDown()))
             await self._wait_for_disk_operation()
             await anyio.sleep(CLOSE_RETRY_S)
 
@@ -626,7 +626,7 @@
     async def close(self) -> None:
         """Stop cleanly: write all records, so that nothing is in doubt."""
         with anyio.move_on_after(CLOSE_TIMEOUT_S):
-            while self.commit.under_way is not None:
+            while self.commit.operation_in_progress is not None:
                 await self._wait_for_disk_operation()
         self._flush()
         with anyio.move_on_after(CLOSE_TIMEOUT_S):
--- a/flintshift/usage/replica.py
+++ b/flintshift/usage/replica.py
@@ -19,7 +19,7 @@
 
 from flintshift.storage import snapshot
 from flintshift.storage.files import Files
-from flintshift.storage.log import Log, segments
+from flintshift.storage.log import Log, list_segments
 from flintshift.storage.snapshot import DamagedError
 from flintshift.usage import documents
 from flintshift.usage.accounts import UsageAccounts
@@ -56,7 +56,7 @@
 
 def write_epoch_grant(files: Files, folder: Path, grant: EpochGrant) -> None:
     """Store a grant durably in the ledger's folder."""
-    snapshot.publish(files, folder / GRANT_FILE, snapshot.sealed(GRANT_KIND, 1, 1, msgspec.msgpack.encode(grant)))
+    snapshot.publish(files, folder / GRANT_FILE, snapshot.seal(GRANT_KIND, 1, 1, msgspec.msgpack.encode(grant)))
 
 
 def position_before_grant(files: Files, folder: Path, ledger_id: bytes, last: tuple[int, int]) -> tuple[int, int]:
@@ -67,7 +67,7 @@
     position = last
     if GRANT_FILE in files.names(folder):
         grant = msgspec.msgpack.decode(
-            snapshot.opened(folder / GRANT_FILE, files.read(folder / GRANT_FILE), GRANT_KIND).payload, type=EpochGrant
+            snapshot.unseal(folder / GRANT_FILE, files.read(folder / GRANT_FILE), GRANT_KIND).payload, type=EpochGrant
         )
         if grant.life == ledger_id and not grant.elected:
             position = grant.epoch, grant.sequence
@@ -109,7 +109,7 @@
                 (
                     folder / name,
                     msgspec.msgpack.decode(
-                        snapshot.opened(path, files.read(path), STATE_KIND).payload, type=ReplicaState
+                        snapshot.unseal(path, files.read(path), STATE_KIND).payload, type=ReplicaState
                     ),
                 )
             )
@@ -145,7 +145,7 @@
     @property
     def last(self) -> tuple[int, int]:
         """Epoch and sequence of the last record."""
-        return self.ledger.reach.epoch, self.ledger.log.following - 1
+        return self.ledger.reach.epoch, self.ledger.log.next_sequence - 1
 
     def save_state(self, **changes: object) -> None:
         """Change the stored state durably.
@@ -154,7 +154,7 @@
         """
         state = msgspec.structs.replace(self.state, **changes)
         snapshot.publish(
-            self.files, self.folder / STATE_FILE, snapshot.sealed(STATE_KIND, 1, 1, msgspec.msgpack.encode(state))
+            self.files, self.folder / STATE_FILE, snapshot.seal(STATE_KIND, 1, 1, msgspec.msgpack.encode(state))
         )
         self.state = state
 
@@ -162,7 +162,7 @@
     def writable(self) -> bool:
         """The contents of the log are known, and it can be appended to."""
         log = self.ledger.log
-        return log.file is not None and (not log.broken or log.torn)
+        return log.file is not None and (not log.broken or log.append_failed)
 
     @property
     def complete(self) -> bool:
@@ -192,12 +192,12 @@
         """Append records from the owner and apply them.
 
         Raises:
-            OSError, BrokenError: the disk refused.
+            OSError, BrokenLogError: the disk refused.
             DamagedError: the records can't be decoded, or do not follow the last one here.
         """
         items, log = list(records), self.ledger.log
-        if first != log.following:
-            raise DamagedError(f"{self.folder}: record {first} arrived where {log.following} was expected")
+        if first != log.next_sequence:
+            raise DamagedError(f"{self.folder}: record {first} arrived where {log.next_sequence} was expected")
         try:
             entries = [unpack(kind, payload) for kind, payload in items]
         except ValueError as error:
@@ -236,7 +236,7 @@
         Returns the sequence of the first one, and the encoded records for the other replicas.
         """
         items = [pack(entry) for entry in entries]  # type: ignore[arg-type]
-        first = self.ledger.log.following
+        first = self.ledger.log.next_sequence
         self.append(self.ledger.log.epoch, first, items)
         return first, items
 
@@ -244,12 +244,12 @@
         """Write a snapshot, begin a segment after it, and remove what is older."""
         sequence = self.ledger.accounts.state.sequence
         self.ledger.write_snapshot(sequence, self.ledger.snapshot_now())
-        self.ledger.log.begin()
+        self.ledger.log.begin_segment()
         self._remove_all_but(sequence)
 
     def _remove_all_but(self, sequence: int) -> None:
         """Remove all snapshots but this one, and the segments that it makes unnecessary."""
-        for first, name in segments(self.files, self.folder / "log"):
+        for first, name in list_segments(self.files, self.folder / "log"):
             if first <= sequence:
                 self.files.remove(self.folder / "log" / name)
         for snapshot_sequence in snapshot_sequences(self.files, self.folder):
@@ -273,7 +273,7 @@
         self.save_state(sure=False)
         ledger, files, folder = self.ledger, self.files, self.folder
         ledger.log.close()
-        for _, name in segments(files, folder / "log"):
+        for _, name in list_segments(files, folder / "log"):
             files.remove(folder / "log" / name)
         for name, document in received.documents:
             if documents.NAME_PATTERN.fullmatch(name):
@@ -283,7 +283,7 @@
         ledger.accounts, ledger.reach.epoch = accounts, epoch
         ledger.log = Log(files, folder / "log", epoch, sequence + 1)
         ledger.write_snapshot(sequence, ledger.snapshot_now())
-        ledger.log.begin()
+        ledger.log.begin_segment()
         self._remove_all_but(sequence)
         self.sync_failed = False
 
--- a/flintshift/usage/sinks.py
+++ b/flintshift/usage/sinks.py
@@ -52,7 +52,7 @@
         """Write the document, unless a file of this name exists; then compare the two."""
         self.files.make_folder(self.folder)
         existing = self.files.names(self.folder)
-        for unfinished in snapshot.unfinished(existing, name, epoch):  # left by a crash during this delivery
+        for unfinished in snapshot.find_unfinished(existing, name, epoch):  # left by a crash during this delivery
             self.files.remove(self.folder / unfinished)
         if name not in existing and snapshot.publish_once(self.files, self.folder / name, data, str(epoch)):
             return Delivered("folder", name)
--- a/tests/replication/test_store.py
+++ b/tests/replication/test_store.py
@@ -13,7 +13,7 @@
 from flintshift.replication.messages import NO_BALLOT, Value
 from flintshift.replication.registers import Entry
 from flintshift.replication.store import ReplicaFolder, create_empty_store, examine_store
-from flintshift.storage.log import BrokenError
+from flintshift.storage.log import BrokenLogError
 from flintshift.storage.snapshot import DamagedError
 from flintshift.wire.peer_codec import entry_bytes, entry_from
 
@@ -93,15 +93,15 @@
 
 
 def flip_bit(files, path, offset):
-    files.names_now[path].data[offset] ^= 1
+    files.current_files[path].data[offset] ^= 1
 
 
 def test_a_flipped_bit_is_detected_and_the_store_begins_empty_without_a_vote():
     files = create_store()
     store = open_folder(files)
     store.write([entry(1), entry(2)], NOW_MS)
-    log = next(path for path in files.names_now if path.suffix == ".log")
-    for offset in range(12, len(files.names_now[log].data) - 1, 7):
+    log = next(path for path in files.current_files if path.suffix == ".log")
+    for offset in range(12, len(files.current_files[log].data) - 1, 7):
         flip_bit(files, log, offset)
         with pytest.raises(DamagedError):
             examine_store(files, FOLDER, entry_from)
@@ -130,16 +130,16 @@
 
     written = []
     undisturbed = create_store()
-    first_operation = undisturbed.count
+    first_operation = undisturbed.operation_count
     write_and_rotate(undisturbed)
-    for stop_at in range(first_operation + 1, undisturbed.count + 1):
+    for stop_at in range(first_operation + 1, undisturbed.operation_count + 1):
         for after in (False, True):
             written = []
             files = create_store(SimFiles())
-            files.stop_at, files.after = stop_at, after
+            files.stop_at, files.stop_after = stop_at, after
             with pytest.raises(StoppedError):
                 write_and_rotate(files)
-            reopened = open_folder(files.survived("kept"))
+            reopened = open_folder(files.after_crash("kept"))
             assert reopened.state.votes, (stop_at, after)
             assert set(written) <= {found.key[1] for found in reopened.recovered.entries} <= {"k1", "k2"}
 
@@ -149,10 +149,10 @@
     files = create_store()
     store = open_folder(files)
     store.write([entry(1)], NOW_MS)
-    files.refuse = {files.count + 1: error}
+    files.failures = {files.operation_count + 1: error}
     with pytest.raises(OSError, match="refused"):
         store.log.sync()
-    with pytest.raises(BrokenError):
+    with pytest.raises(BrokenLogError):
         store.write([entry(3)], NOW_MS)
     store.reopen([entry(1), entry(3)], NOW_MS)
     store.close()
@@ -164,7 +164,10 @@
     files = create_store()
     store = open_folder(files)
     store.write([entry(1)], NOW_MS)
-    files.refuse = {files.count + 1: error, files.count + 3: error}  # the write, and its retry after the repair
+    files.failures = {
+        files.operation_count + 1: error,
+        files.operation_count + 3: error,
+    }  # the write, and its retry after the repair
     with pytest.raises(OSError, match="refused"):
         store.write([entry(2)], NOW_MS)
     store.write([entry(3)], NOW_MS)
--- a/tests/replication/test_store_refusals.py
+++ b/tests/replication/test_store_refusals.py
@@ -78,7 +78,7 @@
 
     def reject(self, *operations):
         """Makes these of the following disk operations fail, counted from 1."""
-        self.files.refuse = {self.files.count + operation: errno.EIO for operation in operations}
+        self.files.failures = {self.files.operation_count + operation: errno.EIO for operation in operations}
 
     def reject_all(self):
         self.reject(*range(1, 10_000))
@@ -95,7 +95,7 @@
         return self.host.sent[-1].verdict
 
     def keys_after_restart(self):
-        self.files.refuse = {}
+        self.files.failures = {}
         self.store.close()
         return {key[1] for key in self.open_store().registers.table}
 
@@ -125,15 +125,15 @@
     member.reject_all()
     assert await member.vote("k1") is Verdict.ABSENT
     assert ReachabilityChanged("n1", False, 0) in member.host.events
-    attempts, count = 0, member.files.count
+    attempts, count = 0, member.files.operation_count
     for _ in range(200):  # 10 s
         member.host.now += 50.0
         assert not member.store.usable(member.host.now)
-        attempts += member.files.count > count
-        count = member.files.count
+        attempts += member.files.operation_count > count
+        count = member.files.operation_count
     assert 8 <= attempts <= 20
     assert member.logged.count("copies.disk_refuses") == 1
-    member.files.refuse = {}
+    member.files.failures = {}
     for _ in range(21):
         member.host.now += 50.0
         member.store.usable(member.host.now)
@@ -166,10 +166,10 @@
 
 def count_refill_operations():
     member = EmptyMember()
-    first_operation = member.files.count
+    first_operation = member.files.operation_count
     member.tick()
     assert member.state.votes
-    return member.files.count - first_operation
+    return member.files.operation_count - first_operation
 
 
 @pytest.mark.parametrize("operation", range(1, count_refill_operations() + 1))
@@ -190,7 +190,7 @@
     for _ in range(60):
         member.tick()
     assert not member.state.votes
-    member.files.refuse = {}
+    member.files.failures = {}
     for _ in range(40):  # 2 s; the longest delay between two attempts is 1 s
         member.tick()
     assert member.store.registers.votes_on_all_keys and member.state.votes
--- a/tests/replication/test_usage_replica_refusals.py
+++ b/tests/replication/test_usage_replica_refusals.py
@@ -108,33 +108,33 @@
 
 def count_life_cycle_operations():
     holder = Holder()
-    first_operation = holder.files.count
+    first_operation = holder.files.operation_count
     for message in holder.life_cycle():
         holder.send(message)
-    return holder.files.count - first_operation
+    return holder.files.operation_count - first_operation
 
 
 @pytest.mark.parametrize("operation", range(1, count_life_cycle_operations() + 1))
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO], ids=["full", "io"])
 def test_any_single_rejected_operation_leaves_state_and_disk_consistent(operation, error):
     holder = Holder()
-    holder.files.refuse = {holder.files.count + operation: error}
+    holder.files.failures = {holder.files.operation_count + operation: error}
     for message in holder.life_cycle():
         holder.send(message)
         holder.assert_consistent()
-    holder.files.refuse = {}
-    reopened = Holder(holder.files.survived("kept"))
+    holder.files.failures = {}
+    reopened = Holder(holder.files.after_crash("kept"))
     reopened.assert_consistent()
 
 
 @pytest.mark.parametrize("operation", range(1, count_life_cycle_operations() + 1))
 def test_after_any_single_rejected_operation_the_writer_completes_the_replica(operation):
     holder = Holder()
-    holder.files.refuse = {holder.files.count + operation: errno.EIO}
+    holder.files.failures = {holder.files.operation_count + operation: errno.EIO}
     messages = list(holder.life_cycle())[:3]
     for message in messages:
         holder.send(message)
-    holder.files.refuse = {}
+    holder.files.failures = {}
     status = holder.send(logs.Join(LOG, EPOCH, (EPOCH, 2)))
     if status.verdict is logs.ReplicaVerdict.NO_VOTE:  # a second join follows
         status = holder.send(logs.Join(LOG, EPOCH, (EPOCH, 2)))
@@ -151,11 +151,11 @@
     holder = Holder()
     for message in list(holder.life_cycle())[:3]:
         holder.send(message)
-    holder.files.refuse = {holder.files.count + operation: errno.EIO for operation in range(1, 1000)}
+    holder.files.failures = {holder.files.operation_count + operation: errno.EIO for operation in range(1, 1000)}
     higher_join = logs.Join(LOG, EPOCH + 1, (EPOCH, 2))
     assert holder.send(higher_join) is None
     assert holder.send(higher_join) is None  # nothing of it was persisted
-    holder.files.refuse = {}
+    holder.files.failures = {}
     assert holder.send(higher_join).verdict is logs.ReplicaVerdict.GRANTED
     state = dict(on_disk.list_replicas(holder.files, holder.copies.holder.folder)).popitem()[1]
     assert (state.promised, state.by) == (EPOCH + 1, WRITER)
@@ -163,11 +163,11 @@
 
 def test_a_replica_whose_folder_cannot_be_created_is_not_held_and_can_be_joined_later():
     holder = Holder()
-    holder.files.refuse = {holder.files.count + operation: errno.ENOSPC for operation in range(1, 1000)}
+    holder.files.failures = {holder.files.operation_count + operation: errno.ENOSPC for operation in range(1, 1000)}
     assert holder.send(logs.Join(LOG, EPOCH, (EPOCH, 1))) is None
     assert holder.copies.holder.held_logs.table == {} and holder.copies.holder.replicas == {}
     assert holder.send(logs.Append(LOG, EPOCH, 2, (TURNED,))).verdict is logs.ReplicaVerdict.NO_VOTE
-    holder.files.refuse = {}
+    holder.files.failures = {}
     assert holder.send(logs.Join(LOG, EPOCH, (EPOCH, 1))).verdict is logs.ReplicaVerdict.GRANTED
 
 
@@ -177,16 +177,16 @@
         holder.send(message)
     holder.copies.close()
     files = holder.files
-    first_operation = files.count
+    first_operation = files.operation_count
     Holder(files).copies.close()
-    for operation in range(1, files.count - first_operation + 1):
-        files.refuse = {files.count + operation: errno.EIO}
+    for operation in range(1, files.operation_count - first_operation + 1):
+        files.failures = {files.operation_count + operation: errno.EIO}
         try:
             reopened = Holder(files)
         except OSError:
-            files.refuse = {}
+            files.failures = {}
             reopened = Holder(files)  # as a start does: the failed attempt must leave nothing behind
-        files.refuse = {}
+        files.failures = {}
         reopened.assert_consistent()
         assert reopened.copies.holder.held_logs.table[LOG].last == (EPOCH, 2)
         reopened.copies.close()
@@ -199,10 +199,10 @@
     holder = Holder()
     for message in list(holder.life_cycle())[:2]:
         holder.send(message)
-    holder.files.refuse = {holder.files.count + operation: errno.EIO for operation in range(1, 1000)}
+    holder.files.failures = {holder.files.operation_count + operation: errno.EIO for operation in range(1, 1000)}
     assert holder.send(logs.Append(LOG, EPOCH, 2, (TURNED,))) is None
     if rejected == 1:
-        holder.files.refuse = {}
+        holder.files.failures = {}
     statuses = []
     for _ in range(40):  # 2 s
         holder.now += 50.0
@@ -230,13 +230,15 @@
         holder.copies.tick()
         takeover_joins = [answer for answer in holder.answers if isinstance(answer, logs.Join) and answer.takes_over]
     holder.answers.clear()
-    holder.files.refuse = {holder.files.count + operation: errno.ENOSPC for operation in range(1, count + 1)}
+    holder.files.failures = {
+        holder.files.operation_count + operation: errno.ENOSPC for operation in range(1, count + 1)
+    }
     holder.copies.answered(
         "n3", logs.ReplicaStatus(LOG, logs.ReplicaVerdict.GRANTED, takeover_joins[0].epoch, (EPOCH, 2))
     )
     holder.now += 50.0
     holder.copies.tick()
-    holder.files.refuse = {}
+    holder.files.failures = {}
     for _ in range(10):
         holder.now += 50.0
         holder.copies.tick()
@@ -256,16 +258,18 @@
     *messages, log_finished = list(holder.life_cycle())
     for message in messages:
         holder.send(message)
-    holder.files.refuse = {holder.files.count + operation: errno.ENOSPC for operation in range(1, count + 1)}
+    holder.files.failures = {
+        holder.files.operation_count + operation: errno.ENOSPC for operation in range(1, count + 1)
+    }
     holder.send(log_finished)
     holder.assert_consistent()
-    holder.files.refuse = {}
+    holder.files.failures = {}
     for _ in range(20):  # 1 s
         holder.now += 50.0
         holder.copies.tick()
     holder.assert_consistent()
     assert holder.copies.holder.held_logs.table[LOG].finished
-    assert Holder(holder.files.survived("kept")).copies.holder.held_logs.table[LOG].finished
+    assert Holder(holder.files.after_crash("kept")).copies.holder.held_logs.table[LOG].finished
 
 
 def test_a_rejected_operation_on_one_ledger_does_not_affect_another():
@@ -275,7 +279,7 @@
     for message in holder.life_cycle():
         holder.send(message)
     holder.copies.holder.held_logs.config = HolderConfig(max_logs=1)
-    holder.files.refuse = {holder.files.count + 1: errno.EIO}
+    holder.files.failures = {holder.files.operation_count + 1: errno.EIO}
     other_log = "n1", b"m" * 16
     status = holder.send(logs.Join(other_log, EPOCH, (EPOCH, 1)))
     holder.assert_consistent()
@@ -291,13 +295,13 @@
     holder = Holder(life.files, name="n1", folder=FOLDER)
     holder.copies.write(ledger)
     former_life = ledger.accounts.state.life
-    life.files.refuse = {life.files.count + operation: errno.ENOSPC for operation in range(1, count + 1)}
+    life.files.failures = {life.files.operation_count + operation: errno.ENOSPC for operation in range(1, count + 1)}
     writer = holder.copies.writer
     holder.copies.reach("n2", True)
     holder.copies.answered(
         "n2", logs.ReplicaStatus(writer.log, logs.ReplicaVerdict.AHEAD, writer.epoch, (writer.epoch + 1, 9))
     )
-    life.files.refuse = {}
+    life.files.failures = {}
     for _ in range(3):
         holder.now += 50.0
         holder.copies.tick()
@@ -316,16 +320,16 @@
         holder.send(message)
     held_logs = holder.copies.holder.held_logs
     assert held_logs.table[LOG].complete
-    holder.files.refuse[holder.files.count + 1] = errno.EIO
+    holder.files.failures[holder.files.operation_count + 1] = errno.EIO
     await holder.copies.holder.sync()
     assert not held_logs.table[LOG].complete
-    holder.files.refuse[holder.files.count + 1] = errno.EIO
+    holder.files.failures[holder.files.operation_count + 1] = errno.EIO
     holder.send(higher_join)
     assert not held_logs.table[LOG].complete
     holder.copies.asked(WRITER, logs.Join(LOG, EPOCH + 1, (EPOCH, 2)))
     holder.copies.asked(WRITER, logs.SnapshotPart(LOG, EPOCH + 1, (EPOCH + 1, 1), 0, False, snapshot_of_first_record()))
     assert held_logs.table[LOG].complete  # it got a snapshot
-    holder.files.refuse[holder.files.count + 1] = errno.EIO
+    holder.files.failures[holder.files.operation_count + 1] = errno.EIO
     holder.send(logs.Join(LOG, EPOCH + 2, (EPOCH + 1, 1)))
     assert held_logs.table[LOG].complete  # and it stays complete
 
@@ -337,9 +341,8 @@
         holder.send(message)
     table, recovered = holder.copies.holder.held_logs.table, holder.copies.holder._recovered
     holder.copies.holder._recovered = lambda log, replica: False
-    holder.files.refuse |= {
-        holder.files.count + operation: errno.EIO for operation in range(1, 9)
-    }  # the write and its retries
+    # the write and its retries
+    holder.files.failures |= {holder.files.operation_count + operation: errno.EIO for operation in range(1, 9)}
     holder.send(append)
     assert not table[LOG].readable and not table[LOG].complete
     holder.copies.holder._recovered = recovered
@@ -358,10 +361,12 @@
     join, snapshot, append, *_ = holder.life_cycle()
     for message in (join, snapshot, append):
         holder.send(message)
-    holder.files.refuse |= {holder.files.count + operation: errno.EIO for operation in range(1, rejected + 1)}
+    holder.files.failures |= {
+        holder.files.operation_count + operation: errno.EIO for operation in range(1, rejected + 1)
+    }
     await holder.copies.holder.sync()
     holder.copies.close()
-    reopened = Holder(holder.files.survived("kept"))
+    reopened = Holder(holder.files.after_crash("kept"))
     assert not reopened.copies.holder.held_logs.table[LOG].complete
 
 
@@ -376,8 +381,8 @@
         raise OSError(errno.EIO, "refused here")
 
     replica.recover = unreadable
-    replica.ledger.log.broken, replica.ledger.log.torn = True, False
-    holder.files.refuse |= {holder.files.count + operation: errno.EIO for operation in range(1, 9)}
+    replica.ledger.log.broken, replica.ledger.log.append_failed = True, False
+    holder.files.failures |= {holder.files.operation_count + operation: errno.EIO for operation in range(1, 9)}
     holder.send(append)
     for _ in range(3):
         holder.now += AGAIN_MS
--- a/tests/storage/sim_files.py
+++ b/tests/storage/sim_files.py
@@ -1,5 +1,5 @@
-"""A file system in memory behind the seam: it stops at a chosen operation, refuses at chosen ones, and after a stop
-shows what a disk might hold: unsynced writes lost, kept, or torn."""
+"""A file system in memory that replaces ``Files``: it stops at a chosen operation, fails at chosen ones, and after a
+stop shows what a disk might hold: unsynced writes lost, kept or truncated."""
 
 from __future__ import annotations
 
@@ -11,68 +11,71 @@
 
 
 class StoppedError(Exception):
-    """The machine stopped here; nothing more is done. (No OSError: no code may take it for a refusal.)"""
+    """The machine has stopped; no operation follows. (Not an OSError, as no code may take it for a disk failure.)"""
 
 
 @dataclass
 class Node:
-    """A file's bytes as they stand, and as the last sync left them."""
+    """A file's current bytes, and its bytes at the last sync."""
 
     data: bytearray = field(default_factory=bytearray)
     synced: bytes = b""
 
 
 class SimFiles:
-    """``stop_at``: the operation, counted from 1, at which the machine stops; ``after``: it is done first.
-    ``refuse``: operations that fail, by number, with the error to raise."""
+    """A simulated file system with failures.
 
-    def __init__(self, stop_at=0, after=False, refuse=None):
-        self.stop_at, self.after, self.refuse = stop_at, after, refuse or {}
-        self.names_now: dict[Path, Node] = {}
-        self.names_synced: dict[Path, Node] = {}
+    ``stop_at``: the operation, counted from 1, at which the machine stops; ``stop_after``: that operation is done
+    first. ``failures``: operations that fail, by number, with the error number to raise."""
+
+    def __init__(self, stop_at=0, stop_after=False, failures=None):
+        self.stop_at, self.stop_after, self.failures = stop_at, stop_after, failures or {}
+        self.current_files: dict[Path, Node] = {}
+        self.synced_files: dict[Path, Node] = {}
         self.folders: set[Path] = set()
-        self.count, self.stopped, self.log = 0, False, []
+        self.operation_count, self.stopped, self.operations = 0, False, []
         self.locks: set[Path] = set()
-        self.times: dict[Path, float] = {}
+        self.write_times_ms: dict[Path, float] = {}
         self.now_ms = 0.0
 
-    def step(self, what, path, do=lambda: None, partial=lambda: None):
+    def run_operation(self, name, path, apply=lambda: None, apply_partly=lambda: None):
+        """Count an operation, and apply it unless it is to fail or the machine is to stop at it."""
         if self.stopped:
             raise StoppedError
-        self.count += 1
-        self.log.append((what, path.name))
-        if self.count in self.refuse:
-            partial()
-            raise OSError(self.refuse[self.count], "refused here")
-        if self.count == self.stop_at:
-            if self.after:
-                do()
+        self.operation_count += 1
+        self.operations.append((name, path.name))
+        if self.operation_count in self.failures:
+            apply_partly()
+            raise OSError(self.failures[self.operation_count], "refused here")
+        if self.operation_count == self.stop_at:
+            if self.stop_after:
+                apply()
             else:
-                partial()
+                apply_partly()
             self.stopped = True
             raise StoppedError
-        return do()
-
-    def survived(self, how):
-        """The disk after the stop, for the next life."""
-        next_ = SimFiles()
-        next_.folders = set(self.folders)
-        names = self.names_synced if how == "lost" else self.names_now
-        for path, node in names.items():
+        return apply()
+
+    def after_crash(self, outcome):
+        """Return the disk as the next start finds it after the stop."""
+        disk = SimFiles()
+        disk.folders = set(self.folders)
+        files = self.synced_files if outcome == "lost" else self.current_files
+        for path, node in files.items():
             data = bytes(node.data)
-            if how == "lost":
+            if outcome == "lost":
                 data = node.synced
-            elif how == "torn":
-                grown = data[len(node.synced) :] if data.startswith(node.synced) else b""
-                data = data[: len(data) - (len(grown) + 1) // 2]
-            elif how == "zeros":  # the length reached the disk, the pages did not
-                grown = len(data) - len(node.synced) if data.startswith(node.synced) else 0
-                data = data[: len(data) - grown // 2] + bytes(grown // 2)
-            next_.names_now[path] = next_.names_synced[path] = Node(bytearray(data), data)
-        next_.times, next_.now_ms = dict(self.times), self.now_ms
-        return next_
-
-    # The seam.
+            elif outcome == "truncated":
+                unsynced = data[len(node.synced) :] if data.startswith(node.synced) else b""
+                data = data[: len(data) - (len(unsynced) + 1) // 2]
+            elif outcome == "zeros":  # the length reached the disk, the pages did not
+                unsynced = len(data) - len(node.synced) if data.startswith(node.synced) else 0
+                data = data[: len(data) - unsynced // 2] + bytes(unsynced // 2)
+            disk.current_files[path] = disk.synced_files[path] = Node(bytearray(data), data)
+        disk.write_times_ms, disk.now_ms = dict(self.write_times_ms), self.now_ms
+        return disk
+
+    # The methods of ``Files``.
 
     def make_folder(self, path):
         self.folders.add(path)
@@ -81,67 +84,67 @@
         if self.stopped:
             raise StoppedError
         depth = len(folder.parts)
-        return sorted({path.parts[depth] for path in self.names_now if folder in path.parents})
+        return sorted({path.parts[depth] for path in self.current_files if folder in path.parents})
 
     def read(self, path):
         if self.stopped:
             raise StoppedError
-        if path not in self.names_now:
+        if path not in self.current_files:
             raise FileNotFoundError(errno.ENOENT, "no such file", str(path))
-        return bytes(self.names_now[path].data)
+        return bytes(self.current_files[path].data)
 
     def age_ms(self, path, now_ms):
-        return now_ms - self.times.get(path, 0.0)
+        return now_ms - self.write_times_ms.get(path, 0.0)
 
     def create(self, path):
-        if path in self.names_now:
-            raise FileExistsError(errno.EEXIST, "there is one", str(path))
+        if path in self.current_files:
+            raise FileExistsError(errno.EEXIST, "the file exists", str(path))
 
-        def do():
-            self.names_now[path] = Node()
-            self.times[path] = self.now_ms
+        def apply():
+            self.current_files[path] = Node()
+            self.write_times_ms[path] = self.now_ms
 
-        self.step("create", path, do)
-        return SimFile(self, path, self.names_now[path])
+        self.run_operation("create", path, apply)
+        return SimFile(self, path, self.current_files[path])
 
-    def extend(self, path):
-        return SimFile(self, path, self.names_now[path])
+    def open_for_append(self, path):
+        return SimFile(self, path, self.current_files[path])
 
     def truncate(self, path, size):
-        node = self.names_now[path]
+        node = self.current_files[path]
 
-        def do():
+        def apply():
             del node.data[size:]
             node.synced = bytes(node.data)
 
-        self.step("truncate", path, do)
+        self.run_operation("truncate", path, apply)
 
     def rename(self, path, to):
-        def do():
-            if path in self.names_now:
-                self.names_now[to] = self.names_now.pop(path)
-                self.times[to] = self.now_ms
+        def apply():
+            if path in self.current_files:
+                self.current_files[to] = self.current_files.pop(path)
+                self.write_times_ms[to] = self.now_ms
                 return
-            for one in [one for one in self.names_now if path in one.parents]:  # a folder
-                self.names_now[to / one.relative_to(path)] = self.names_now.pop(one)
+            for one in [one for one in self.current_files if path in one.parents]:  # a folder
+                self.current_files[to / one.relative_to(path)] = self.current_files.pop(one)
 
-        self.step("rename", to, do)
+        self.run_operation("rename", to, apply)
 
     def link(self, path, to):
-        if to in self.names_now:
-            raise FileExistsError(errno.EEXIST, "there is one", str(to))
-        self.step("link", to, lambda: self.names_now.__setitem__(to, self.names_now[path]))
+        if to in self.current_files:
+            raise FileExistsError(errno.EEXIST, "the file exists", str(to))
+        self.run_operation("link", to, lambda: self.current_files.__setitem__(to, self.current_files[path]))
 
     def remove(self, path):
-        self.step("remove", path, lambda: self.names_now.pop(path))
+        self.run_operation("remove", path, lambda: self.current_files.pop(path))
 
     def sync_folder(self, folder):
-        def do():
-            for path in [path for path in self.names_synced if path.parent == folder]:
-                del self.names_synced[path]
-            self.names_synced.update({path: node for path, node in self.names_now.items() if path.parent == folder})
+        def apply():
+            for path in [path for path in self.synced_files if path.parent == folder]:
+                del self.synced_files[path]
+            self.synced_files.update({path: node for path, node in self.current_files.items() if path.parent == folder})
 
-        self.step("sync_folder", folder, do)
+        self.run_operation("sync_folder", folder, apply)
 
     def lock(self, path):
         if path in self.locks:
@@ -149,38 +152,40 @@
         self.locks.add(path)
         files = self
 
-        class Held:
+        class SimLock:
             def close(self):
                 files.locks.discard(path)
 
-        return Held()
+        return SimLock()
 
 
 class SimFile:
+    """An open file of ``SimFiles``."""
+
     def __init__(self, files, path, node):
         self.files, self.path, self.node = files, path, node
 
     def append(self, data):
-        def do():
+        def apply():
             self.node.data += data
-            self.files.times[self.path] = self.files.now_ms
+            self.files.write_times_ms[self.path] = self.files.now_ms
 
-        def partial():
+        def apply_partly():
             self.node.data += data[: len(data) // 2]
 
-        self.files.step("append", self.path, do, partial)
+        self.files.run_operation("append", self.path, apply, apply_partly)
 
-    def cut(self, size):
-        def do():
+    def truncate(self, size):
+        def apply():
             del self.node.data[size:]
 
-        self.files.step("cut", self.path, do)
+        self.files.run_operation("cut", self.path, apply)
 
     def sync(self):
-        self.files.step("sync", self.path, lambda: setattr(self.node, "synced", bytes(self.node.data)))
+        self.files.run_operation("sync", self.path, lambda: setattr(self.node, "synced", bytes(self.node.data)))
 
     def close(self):
         pass
 
 
-HOWS = ("lost", "kept", "torn", "zeros")
+CRASH_OUTCOMES = ("lost", "kept", "truncated", "zeros")
--- a/tests/usage/test_folder.py
+++ b/tests/usage/test_folder.py
@@ -8,7 +8,7 @@
 from storage.sim_files import SimFiles
 
 from flintshift.storage.files import DiskFiles
-from flintshift.storage.log import segments
+from flintshift.storage.log import list_segments
 from flintshift.storage.snapshot import DamagedError, publish
 from flintshift.usage import documents
 from flintshift.usage.folder import LedgerFolder, load, read_documents, retire, snapshot_sequences
@@ -31,7 +31,7 @@
             ledger_folder.append([action.entry])
         ledger_folder.append([Claim(number.to_bytes(8, "big"), 0, FLAG_NO_ANSWER, 1, 0, 1, 1)])
         sequence, data = ledger_folder.accounts.state.sequence, ledger_folder.snapshot_now()
-        ledger_folder.log.begin()
+        ledger_folder.log.begin_segment()
         ledger_folder.write_snapshot(sequence, data)
     ledger_folder.write_documents(ledger_folder.accounts.state.documents)
     return ledger_folder
@@ -46,7 +46,7 @@
 def count_files(files):
     return (
         len(read_documents(files, FOLDER)),
-        len(segments(files, FOLDER / "log")),
+        len(list_segments(files, FOLDER / "log")),
         len(snapshot_sequences(files, FOLDER)),
     )
 
@@ -69,7 +69,7 @@
     remaining = list(read_documents(files, FOLDER))
     assert remaining == names[2:] and removal.retired_before_ms == 2000
     first_needed = read_documents(files, FOLDER)[remaining[0]].first_sequence
-    assert segments(files, FOLDER / "log")[0][0] <= first_needed
+    assert list_segments(files, FOLDER / "log")[0][0] <= first_needed
     assert removal.segments and load(files, FOLDER)[0].state == state
 
 
@@ -91,7 +91,7 @@
     make_ledger(files)
     state = load(files, FOLDER)[0].state
     newest = FOLDER / "snapshots" / f"{snapshot_sequences(files, FOLDER)[0]:016x}.snapshot"
-    files.names_now[newest].data[30] ^= 1
+    files.current_files[newest].data[30] ^= 1
     accounts, _, recovery = load(files, FOLDER)
     assert accounts.state == state and "an older one is used" in recovery.warnings[0]
 
--- a/tests/usage/test_ledger_leaves.py
+++ b/tests/usage/test_ledger_leaves.py
@@ -2,8 +2,8 @@
 
 A node that stops cancels the task that runs disk operations, and closes the ledger. If a sync, or the snapshot that
 ends a gap, was running in a thread, its result was dropped: `Ledger.run_disk_operation` forgot the cancelled operation
-while `Commit` still took it for running. `close` then waited 2 s for it, three times in a gap (2.0 s and 6.0 s in all),
-wrote no clean end, and lost the use that was recorded in memory, although the disk accepted writes again.
+while `GroupCommit` still took it for running. `close` then waited 2 s for it, three times in a gap (2.0 s and 6.0 s in
+all), wrote no clean end, and lost the use that was recorded in memory, although the disk accepted writes again.
 """
 
 from __future__ import annotations
@@ -73,13 +73,13 @@
 
 async def test_use_recorded_in_a_gap_is_written_although_its_snapshot_was_cancelled_at_exit(monkeypatch):
     files = SimFiles()
-    simulated = SimulatedLedger(files, START_MS, reopen_ms=10.0)
+    simulated = SimulatedLedger(files, START_MS, reopen_interval_ms=10.0)
     await simulated.tick()
-    files.refuse = {files.count + offset: errno.ENOSPC for offset in range(1, 1000)}
+    files.failures = {files.operation_count + offset: errno.ENOSPC for offset in range(1, 1000)}
     simulated.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
     simulated.ledger._flush()
     assert simulated.ledger.commit.gap is not None
-    files.refuse = {}
+    files.failures = {}
     simulated.at_ms += 100
     slow_sync = SlowSync(monkeypatch)
     simulated.ledger._on_timer()
--- a/tests/usage/test_ledger_refusals.py
+++ b/tests/usage/test_ledger_refusals.py
@@ -25,13 +25,13 @@
     files = SimFiles()
     simulated = SimulatedLedger(files, START_MS, durability="process-death", reject_on_disk_failure=True)
     await simulated.tick()
-    files.refuse = {files.count + 1: error}
+    files.failures = {files.operation_count + 1: error}
     simulated.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
     simulated.ledger._flush()
     assert not simulated.ledger.rejects_work
     assert "usage.disk_refused" not in [event for event, _ in simulated.events]
     accounts, reach, _ = load(files, FOLDER)
-    assert reach.torn == 0
+    assert reach.truncated_bytes == 0
     assert sum(row[0] for period in accounts.state.periods.values() for row in period.rows.values()) == 1
 
 
@@ -39,7 +39,7 @@
     files = SimFiles()
     simulated = SimulatedLedger(files, START_MS, durability="process-death", reject_on_disk_failure=True)
     await simulated.tick()
-    files.refuse = {files.count + offset: errno.ENOSPC for offset in (1, 2, 3)}
+    files.failures = {files.operation_count + offset: errno.ENOSPC for offset in (1, 2, 3)}
     simulated.ledger.claim(b"a" * 8, ROW + GONE, FLAG_NO_ANSWER, 10, 1, 2, 5, None)
     simulated.ledger._flush()
     assert simulated.ledger.rejects_work
--- a/tests/usage/test_ledger_stops.py
+++ b/tests/usage/test_ledger_stops.py
@@ -19,7 +19,7 @@
 from storage.sim_files import SimFiles, StoppedError
 
 from flintshift.proto import usage_pb2 as pb
-from flintshift.storage.commit import CommitLimits, Refused
+from flintshift.storage.commit import CommitLimits, OperationFailed
 from flintshift.storage.snapshot import DamagedError, publish
 from flintshift.usage import documents
 from flintshift.usage.corrections import to_json
@@ -48,7 +48,7 @@
         clock = LedgerClock(at_ms, steady_ms(), ledger_folder.accounts.state.last_ms)
         self.events = []
         commit_limits = CommitLimits(
-            **{"holds": durability == "power-cut", "sync_ms": 0.0, "segment_bytes": 300, **limits}
+            **{"hold_answers": durability == "power-cut", "sync_ms": 0.0, "segment_bytes": 300, **limits}
         )
         self.ledger = Ledger(
             ledger_folder,
@@ -66,7 +66,7 @@
         self.delivered = set()
 
     async def flush(self):
-        while self.ledger.commit.stalls:
+        while self.ledger.commit.writes_blocked:
             await self.ledger.run_disk_operation()
         self.ledger._flush()
         self.ledger.flush_scheduled = True
@@ -88,7 +88,7 @@
             deliver = None if final else partial(self.delivered.add, number)
             tickets[number] = self.ledger.claim(number.to_bytes(8, "big"), row, flags, 10, 1, 1 << number, 5, deliver)
         await self.flush()
-        if self.ledger.commit.limits.holds:
+        if self.ledger.commit.limits.hold_answers:
             await self.ledger._sync_all()
         for number, ticket in tickets.items():
             if not final and number in self.delivered:
@@ -202,21 +202,21 @@
     files = SimFiles()
     simulated = run_script(files)
     assert simulated.delivered == {1, 2, 4, 5, 6}
-    kinds = {what for what, _ in files.log}
+    kinds = {what for what, _ in files.operations}
     assert kinds == {"create", "append", "sync", "sync_folder", "rename", "link", "remove"}
     assert verify(files, simulated) == {1, 2, 3, 4, 5, 6, 40}
 
 
 @pytest.mark.parametrize("after", [False, True], ids=["before", "after"])
-@pytest.mark.parametrize("survival", ["lost", "kept", "torn", "zeros"])
+@pytest.mark.parametrize("survival", ["lost", "kept", "truncated", "zeros"])
 def test_a_stop_at_every_operation(survival, after):
     uninterrupted = SimFiles()
     run_script(uninterrupted)
-    assert uninterrupted.count > 60
-    for stop_at in range(1, uninterrupted.count + 1):
+    assert uninterrupted.operation_count > 60
+    for stop_at in range(1, uninterrupted.operation_count + 1):
         files = SimFiles(stop_at, after)
         simulated = run_script(files)
-        verify(files.survived(survival), simulated)
+        verify(files.after_crash(survival), simulated)
 
 
 def test_a_second_stop_at_every_operation_of_the_recovery():
@@ -226,14 +226,14 @@
         for second_stop in range(1, 200):
             files = SimFiles(first_stop, True)
             simulated = run_script(files)
-            files_after_first = files.survived("torn")
+            files_after_first = files.after_crash("truncated")
             files_after_first.stop_at = second_stop
             try:
                 asyncio.run(recover_and_export(files_after_first, START_MS + 10_000))
-                operations_of_recovery = files_after_first.count
+                operations_of_recovery = files_after_first.operation_count
             except (StoppedError, BaseExceptionGroup):
                 assert files_after_first.stopped
-            verify(files_after_first.survived("lost"), simulated)
+            verify(files_after_first.after_crash("lost"), simulated)
             if operations_of_recovery is not None:
                 break
         assert operations_of_recovery is not None
@@ -247,15 +247,15 @@
 
     async def play(files, first_refusal):
         simulated = SimulatedLedger(files, START_MS, reject_on_disk_failure=reject_work)
-        files.refuse = dict.fromkeys(range(first_refusal, first_refusal + refusals), error)
-        files.count = 0
+        files.failures = dict.fromkeys(range(first_refusal, first_refusal + refusals), error)
+        files.operation_count = 0
         rejected = False
         for number in range(1, 7):
             await simulated.answer(number)
             rejected |= simulated.ledger.rejects_work
             simulated.at_ms += 400
             await simulated.tick()
-        files.refuse = {}
+        files.failures = {}
         for _ in range(4):  # the disk works again
             simulated.at_ms += 1500
             await simulated.tick()
@@ -287,16 +287,16 @@
 
 
 def test_with_durability_process_death_a_lost_tail_invents_nothing():
-    for survival in ("lost", "torn", "zeros"):
+    for survival in ("lost", "truncated", "zeros"):
         for stop_at in range(8, 70, 3):
             files = SimFiles(stop_at, True)
             ledgers = []
             with contextlib.suppress(StoppedError, BaseExceptionGroup):
                 asyncio.run(record_eight_requests(files, ledgers))
-            simulated = SimulatedLedger(files.survived(survival), START_MS + 10_000)
+            simulated = SimulatedLedger(files.after_crash(survival), START_MS + 10_000)
             recorded, in_doubt = recorded_and_in_doubt(simulated.files)
             assert recorded | set(in_doubt) <= set(range(1, 9))
-            simulated = SimulatedLedger(files.survived("kept"), START_MS + 10_000)
+            simulated = SimulatedLedger(files.after_crash("kept"), START_MS + 10_000)
             recorded, in_doubt = recorded_and_in_doubt(simulated.files)
             assert (ledgers[0].delivered if ledgers else set()) <= recorded | set(in_doubt)
 
@@ -321,24 +321,24 @@
     run_script(files)
     complete_state = load(files, FOLDER)[0].state
     recovery_paths = [
-        path for path in files.names_now if path.parent.name in ("log", "snapshots") and path.suffix != ".new"
+        path for path in files.current_files if path.parent.name in ("log", "snapshots") and path.suffix != ".new"
     ]
     assert len(recovery_paths) >= 3
     detected = 0
     for path in recovery_paths:
-        data = bytes(files.names_now[path].data)
+        data = bytes(files.current_files[path].data)
         for offset in range(len(data)):
-            files.names_now[path].data[offset] ^= 0x41
+            files.current_files[path].data[offset] ^= 0x41
             try:
                 assert load(files, FOLDER)[0].state == complete_state
             except DamagedError:
                 detected += 1
-            files.names_now[path].data[:] = data
+            files.current_files[path].data[:] = data
     assert detected > 30
     path = max(path for path in recovery_paths if path.parent.name == "log")
-    data, last_sequence = bytes(files.names_now[path].data), 0
+    data, last_sequence = bytes(files.current_files[path].data), 0
     for size in range(len(data) + 1):
-        files.names_now[path].data[:] = data[:size]
+        files.current_files[path].data[:] = data[:size]
         state = load(files, FOLDER)[0].state
         assert last_sequence <= state.sequence <= complete_state.sequence
         last_sequence = state.sequence
@@ -373,10 +373,10 @@
         self.disk_works = threading.Event()
         self.disk_works.set()
 
-    def step(self, what, path, do=lambda: None, partial=lambda: None):
+    def run_operation(self, what, path, do=lambda: None, partial=lambda: None):
         if what == "sync" and path.suffix == ".log":
             self.disk_works.wait(20)
-        return super().step(what, path, do, partial)
+        return super().run_operation(what, path, do, partial)
 
 
 @pytest.mark.parametrize("hang_in", ["sync", "segment", "reopen"])
@@ -389,8 +389,8 @@
             files,
             START_MS,
             steady_ms=lambda: (time.monotonic() - began_s) * 1000,
-            held_ms=50.0,
-            reopen_ms=50.0,
+            max_wait_ms=50.0,
+            reopen_interval_ms=50.0,
             segment_bytes=1 << 30,
         )
         ledger = simulated.ledger
@@ -414,7 +414,7 @@
             claim(1)
             await wait_until_delivered(1)
             if hang_in == "reopen":
-                ledger._perform(ledger.commit.handle(ledger.steady_ms(), Refused("refused here", write=True)))
+                ledger._perform(ledger.commit.handle(ledger.steady_ms(), OperationFailed("refused here", write=True)))
             files.disk_works.clear()
             if hang_in == "segment":
                 # The next write begins a segment.
@@ -459,8 +459,10 @@
         ledger._sync_all = report_sync
         ledger.commit.limits = replace(ledger.commit.limits, segment_bytes=1)
         await simulated.ledger.run_disk_operation()
-        ledger._perform(ledger.commit.wrote(simulated.at_ms, ledger.accounts.state.sequence, ledger.folder.log.size, 0))
-        assert ledger.commit.stalls
+        ledger._perform(
+            ledger.commit.on_write(simulated.at_ms, ledger.accounts.state.sequence, ledger.folder.log.size, 0)
+        )
+        assert ledger.commit.writes_blocked
         files.disk_works.clear()
         segment_task = asyncio.create_task(ledger.run_disk_operation())
         await asyncio.sleep(0.05)  # it hangs
@@ -526,10 +528,10 @@
     async def play(files):
         simulated = SimulatedLedger(files, START_MS)
         await simulated.answer(1, 2, 3)
-        files.refuse = dict.fromkeys(range(files.count, files.count + refusals), errno.EIO)
+        files.failures = dict.fromkeys(range(files.operation_count, files.operation_count + refusals), errno.EIO)
         await simulated.answer(4, 5, 6)
         await simulated.ledger.close()
-        files.refuse = {}
+        files.failures = {}
         return simulated
 
     files = SimFiles()
