--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -6,7 +6,7 @@
 
 import anyio
 import pytest
-from planning import Planner
+from planning import PlannerHarness
 
 from flintshift import benchlink
 from flintshift.core import attempts as at
@@ -24,24 +24,24 @@
 
 
 def test_there_is_one_final_answer_whatever_follows():
-    node = Planner()
+    node = PlannerHarness()
     node.submit("a")
-    node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
-    node.planner.handle(at.RunFinished("a", Outcome.ERROR))
-    node.leave("a")
-    assert node.told["a"] == [Answer(Verdict.SERVED, b"x")]
+    node.decisions.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
+    node.decisions.handle(at.RunFinished("a", Outcome.ERROR))
+    node.disconnect_caller("a")
+    assert node.answers["a"] == [Answer(Verdict.SERVED, b"x")]
     attempt = node.submit("b")
-    node.leave("b")
-    node.planner.handle(at.RunFinished("b", Outcome.OK))
-    assert "b" not in node.told and not attempt.settle(Answer(Verdict.FAILED), 0.0)
+    node.disconnect_caller("b")
+    node.decisions.handle(at.RunFinished("b", Outcome.OK))
+    assert "b" not in node.answers and not attempt.settle(Answer(Verdict.FAILED), 0.0)
 
 
 def test_the_grace_of_a_drain_counts_from_when_the_notice_was_given_not_heard():
-    node = Planner(max_notice_delay_ms=200.0)  # of the grace of 300 ms
-    node.planner.handle(at.ShutdownNotice(3000.0))
-    node.now += 150.0
+    node = PlannerHarness(max_notice_delay_ms=200.0)  # of the grace of 300 ms
+    node.decisions.handle(at.ShutdownNotice(3000.0))
+    node.now_ms += 150.0
     node.submit("late")
-    node.submit("early", arrival_ms=node.now - 100.0)
+    node.submit("early", arrival_ms=node.now_ms - 100.0)
     assert node.spawned() == ["early"] and node.verdicts("late") == [Verdict.REFUSED]
 
 
@@ -50,35 +50,35 @@
 )
 @pytest.mark.parametrize("read_late_ms", [0.0, 30.0])
 def test_what_comes_on_either_side_of_the_grace_runs_or_is_refused_by_its_door_time(after_ms, runs, read_late_ms):
-    node = Planner(max_notice_delay_ms=0.0)
+    node = PlannerHarness(max_notice_delay_ms=0.0)
     grace_ms = 300.0  # of the planner's settings
-    notice_ms = node.now
-    node.planner.handle(at.ShutdownNotice(6000.0))
+    notice_ms = node.now_ms
+    node.decisions.handle(at.ShutdownNotice(6000.0))
     door_ms = notice_ms + grace_ms + after_ms
-    node.now = door_ms + read_late_ms
+    node.now_ms = door_ms + read_late_ms
     node.submit("a", arrival_ms=door_ms)
     assert node.spawned() == (["a"] if runs else [])
     assert node.verdicts("a") == ([] if runs else [Verdict.REFUSED])
 
 
 def test_a_class_that_was_dropped_for_good_while_its_request_waited_is_refused_and_ends_nothing():
-    node = Planner()
+    node = PlannerHarness()
     late = Attempt(
         "late",
         "pay",
-        node.now,
+        node.now_ms,
         10.0,
         1,
         b"",
         request_key="k",
-        on_answer=lambda answer: node.told["late"].append(answer),
+        on_answer=lambda answer: node.answers["late"].append(answer),
     )
-    node.told["late"] = []
-    settings = node.planner.catalogue.settings
-    assert node.planner.change(replace(settings, classes=settings.classes[:1])) is None
-    node.now += 60_000.0
-    node.planner.handle(at.Tick("tick"))
-    node.planner.handle(at.Submitted(late))
+    node.answers["late"] = []
+    settings = node.decisions.catalogue.settings
+    assert node.decisions.change(replace(settings, classes=settings.classes[:1])) is None
+    node.now_ms += 60_000.0
+    node.decisions.handle(at.Tick("tick"))
+    node.decisions.handle(at.Submitted(late))
     assert node.verdicts("late") == [Verdict.REFUSED]
 
 
@@ -91,48 +91,48 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.MOOT, Outcome.UNREACHABLE])
 def test_a_run_proven_not_begun_is_refused_and_frees_its_key_and_its_followers(outcome):
-    node = Planner()
+    node = PlannerHarness()
     node.submit("a", "pay", request_key="k")
     node.submit("b", "pay", request_key="k")
-    node.planner.handle(at.RunFinished("a", outcome))
+    node.decisions.handle(at.RunFinished("a", outcome))
     assert node.verdicts("a") == node.verdicts("b") == [Verdict.REFUSED]
-    assert node.told["a"][0].retry_after_ms == 800.0
+    assert node.answers["a"][0].retry_after_ms == 800.0
     node.submit("c", "pay", request_key="k")
     assert node.spawned() == ["a", "c"]
 
 
 def test_a_command_that_no_worker_takes_refuses_the_request_and_starts_nothing():
-    node = Planner()
-    node.ports.room = False
+    node = PlannerHarness()
+    node.ports.accepts_commands = False
     node.submit("a", "pay", request_key="k")
-    assert node.verdicts("a") == [Verdict.REFUSED] and not node.planner.keys.entries
+    assert node.verdicts("a") == [Verdict.REFUSED] and not node.decisions.keys.entries
 
 
 def test_a_call_that_is_not_taken_never_ran():
-    node = Planner()
+    node = PlannerHarness()
     node.submit("a")
-    node.ports.room = False
-    node.planner.handle(at.CallRequested("a", 7, b""))
-    assert ("pass", "a", 7) in node.ports.sent
+    node.ports.accepts_commands = False
+    node.decisions.handle(at.CallRequested("a", 7, b""))
+    assert ("pass", "a", 7) in node.ports.commands
 
 
 def test_a_caller_that_goes_while_held_leaves_its_key_free():
-    node = Planner()
+    node = PlannerHarness()
     held = [f"r{turn}" for turn in range(4)]
     for request in held:
         node.submit(request, "pay", request_key=request)
     waiting = next(request for request in held if request not in node.spawned())
-    node.leave(waiting)
-    assert ("pay", waiting) not in node.planner.keys.entries and not node.verdicts(waiting)
+    node.disconnect_caller(waiting)
+    assert ("pay", waiting) not in node.decisions.keys.entries and not node.verdicts(waiting)
 
 
 def test_a_repeat_is_known_by_when_it_came_not_by_when_it_is_read():
-    node = Planner()
-    door = node.now
+    node = PlannerHarness()
+    door = node.now_ms
     node.submit("a", "pay", request_key="k")
-    node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
-    node.now += 4000.0
-    node.planner.handle(at.Tick("tick"))
+    node.decisions.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
+    node.now_ms += 4000.0
+    node.decisions.handle(at.Tick("tick"))
     node.submit("b", "pay", request_key="k", arrival_ms=door + 1999.0)
     node.submit("other", "look", request_key="k")  # keys are scoped by class
     assert node.spawned() == ["a", "other"] and node.verdicts("b") == [Verdict.SERVED]
@@ -141,14 +141,14 @@
 
 
 def test_a_full_key_table_starts_no_keyed_work_and_forgets_no_live_key():
-    node = Planner(max_keys=2)
+    node = PlannerHarness(max_keys=2)
     for request in "ab":
         node.submit(request, "pay", request_key=request)
-        node.planner.handle(at.RunFinished(request, Outcome.OK, 1.0, request.encode()))
+        node.decisions.handle(at.RunFinished(request, Outcome.OK, 1.0, request.encode()))
     node.submit("c", "pay", request_key="c")
     node.submit("d", "pay", request_key="a")
     node.submit("e")
-    assert node.verdicts("c") == [Verdict.REFUSED] and node.told["d"] == [Answer(Verdict.SERVED, b"a")]
+    assert node.verdicts("c") == [Verdict.REFUSED] and node.answers["d"] == [Answer(Verdict.SERVED, b"a")]
     assert node.spawned() == ["a", "b", "e"]
 
 
@@ -168,37 +168,39 @@
 
 
 def test_a_run_never_heard_of_again_gives_its_place_back():
-    node = Planner()
+    node = PlannerHarness()
     node.submit("a", "pay", request_key="k")
     for _ in range(40):
-        node.now += 1000.0
-        node.planner.handle(at.Tick("tick"))
-    assert node.verdicts("a") == [Verdict.FAILED] and not node.planner.attempts.by_id
-    assert not node.planner.controller.work
+        node.now_ms += 1000.0
+        node.decisions.handle(at.Tick("tick"))
+    assert node.verdicts("a") == [Verdict.FAILED] and not node.decisions.attempts.by_id
+    assert not node.decisions.controller.work
 
 
 def test_a_full_mailbox_refuses_new_work_and_keeps_room_for_the_rest():
-    node = Planner(mailbox_size=4, mailbox_reserve=2)
+    node = PlannerHarness(mailbox_size=4, mailbox_reserve=2)
     told = []
-    attempts = [Attempt(request, "look", node.now, 1.0, 1, b"", on_answer=told.append) for request in "abcd"]
+    attempts = [Attempt(request, "look", node.now_ms, 1.0, 1, b"", on_answer=told.append) for request in "abcd"]
     for attempt in attempts:
-        node.planner.submit(attempt)
+        node.decisions.submit(attempt)
     assert [answer.verdict for answer in told] == [Verdict.REFUSED, Verdict.REFUSED]
-    assert told[0].retry_after_ms == 800.0 and node.planner.mailbox.offer(at.CallerDisconnected(attempts[0]))
+    assert told[0].retry_after_ms == 800.0 and node.decisions.mailbox.offer(at.CallerDisconnected(attempts[0]))
     box = Mailbox(1)
     assert (box.offer(1), box.offer(2), box.take_now(), box.take_now()) == (True, False, 1, None)
 
 
 def test_a_full_mailbox_does_not_refuse_the_repeat_of_what_has_run():
-    node = Planner(mailbox_size=4, mailbox_reserve=2)
+    node = PlannerHarness(mailbox_size=4, mailbox_reserve=2)
     node.submit("a", "pay", request_key="k")
-    node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
+    node.decisions.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
     told = []
     for request, class_name in (("b", "look"), ("c", "look"), ("d", "pay"), ("e", "pay"), ("f", "pay")):
-        node.planner.submit(Attempt(request, class_name, node.now, 1.0, 1, b"", request_key="k", on_answer=told.append))
+        node.decisions.submit(
+            Attempt(request, class_name, node.now_ms, 1.0, 1, b"", request_key="k", on_answer=told.append)
+        )
     assert [answer.verdict for answer in told] == [Verdict.FAILED]
     for _ in range(4):
-        node.planner.handle(node.planner.mailbox.take_now())
+        node.decisions.handle(node.decisions.mailbox.take_now())
     assert told[1:] == [Answer(Verdict.SERVED, b"x")] * 2
 
 
@@ -279,14 +281,14 @@
 
 @pytest.mark.parametrize(("again", "verdict"), [(False, Verdict.REFUSED), (True, Verdict.FAILED)])
 def test_what_is_turned_away_for_want_of_a_connection_is_refused_unless_an_earlier_try_ran(again, verdict):
-    node = Planner()
+    node = PlannerHarness()
     if again:
         node.submit("first", "pay", request_key="k")
     told = []
     attempt = Attempt(
-        "second", "pay", node.now, 10.0, 1, b"", request_key="k", marked_repeat=again, on_answer=told.append
+        "second", "pay", node.now_ms, 10.0, 1, b"", request_key="k", marked_repeat=again, on_answer=told.append
     )
-    node.planner.reject(attempt)
+    node.decisions.reject(attempt)
     assert [answer.verdict for answer in told] == [verdict]
     assert "second" not in node.spawned()
     if verdict is Verdict.REFUSED:
@@ -296,19 +298,19 @@
 @pytest.mark.anyio
 async def test_a_tick_is_handled_before_what_waits_in_the_mailbox():
     """On a busy node hundreds of arrivals wait, and requests past their due time behind them."""
-    node = Planner()
+    node = PlannerHarness()
     attempt = node.submit("a")  # its run never ends
-    node.now = attempt.deadline_at_ms - 50.0
+    node.now_ms = attempt.deadline_at_ms - 50.0
     for number in range(200):
-        node.planner.submit(Attempt(f"b{number}", "look", node.now, 10.0, 1, b"", on_answer=lambda answer: None))
-    gauges = GaugePlanner(Limits(), lambda: node.now)
-    gauges.wake_at(node.now, "tick")
+        node.decisions.submit(Attempt(f"b{number}", "look", node.now_ms, 10.0, 1, b"", on_answer=lambda answer: None))
+    gauges = GaugePlanner(Limits(), lambda: node.now_ms)
+    gauges.wake_at(node.now_ms, "tick")
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(gauges.run, Ungauged(), node.planner.tick)
+        tasks.start_soon(gauges.run, Ungauged(), node.decisions.tick)
         await anyio.wait_all_tasks_blocked()
         tasks.cancel_scope.cancel()
     assert node.verdicts("a") == [Verdict.FAILED]
-    assert len(node.planner.mailbox) == 200
+    assert len(node.decisions.mailbox) == 200
 
 
 class Ungauged:
--- a/tests/core/test_repeats.py
+++ b/tests/core/test_repeats.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from planning import Planner
+from planning import PlannerHarness
 
 from flintshift.core import attempts as at
 from flintshift.core.attempts import Verdict
@@ -14,16 +14,16 @@
 
 
 def ended(node, request, outcome=Outcome.OK, result=b"x"):
-    node.planner.handle(at.RunFinished(request, outcome, 1.0, result))
+    node.decisions.handle(at.RunFinished(request, outcome, 1.0, result))
 
 
 def test_two_tries_in_the_same_instant_run_once_and_get_one_result():
-    node = Planner()
+    node = PlannerHarness()
     for name in ("a", "b", "c"):
         node.submit(name, "pay", request_key="k")
     assert node.spawned() == ["a"]
     ended(node, "a")
-    assert all(node.told[name][0].body == b"x" for name in ("a", "b", "c"))
+    assert all(node.answers[name][0].body == b"x" for name in ("a", "b", "c"))
 
 
 # What becomes of the first try while a repeat waits for it: how its run ends, whether its caller goes before, and the
@@ -41,11 +41,11 @@
 @pytest.mark.parametrize("fate", FATES)
 def test_a_repeat_shares_the_fate_of_the_first_try_that_it_waits_for(fate):
     outcome, goes, first, repeat = FATES[fate]
-    node = Planner()
+    node = PlannerHarness()
     node.submit("a", "pay", request_key="k")
     node.submit("b", "pay", request_key="k", marked_repeat=True)
     if goes:
-        node.leave("a")
+        node.disconnect_caller("a")
     ended(node, "a", outcome)
     assert node.spawned() == ["a"]
     assert node.verdicts("a") == ([first] if first else []) and node.verdicts("b") == [repeat]
@@ -65,47 +65,47 @@
 @pytest.mark.parametrize(("after_ms", "runs"), EDGES)
 @pytest.mark.parametrize("read_late_ms", [0.0, 400.0])
 def test_a_repeat_on_either_side_of_the_end_of_its_window(after_ms, runs, read_late_ms):
-    node = Planner()
+    node = PlannerHarness()
     node.submit("a", "pay", request_key="k")
     ended(node, "a")
-    door_ms = node.now + after_ms
-    node.now = door_ms + read_late_ms  # it came in time, whenever it is read
-    node.planner.handle(at.Tick("tick"))
+    door_ms = node.now_ms + after_ms
+    node.now_ms = door_ms + read_late_ms  # it came in time, whenever it is read
+    node.decisions.handle(at.Tick("tick"))
     node.submit("b", "pay", request_key="k", arrival_ms=door_ms)
     assert node.spawned() == (["a", "b"] if runs else ["a"])
-    assert runs or node.told["b"][0].body == b"x"
+    assert runs or node.answers["b"][0].body == b"x"
 
 
 @pytest.mark.parametrize("gone", [False, True])
 def test_a_try_past_a_window_that_is_shorter_than_the_run_waits_for_that_run(gone):
-    node = Planner()
+    node = PlannerHarness()
     node.submit("a", "pay", request_key="k")
     node.submit("b", "pay", request_key="k", marked_repeat=True)  # waits for the run of the first
     if gone:
-        node.leave("a")
-    node.now += WINDOW_MS + MARGIN_MS + 1.0
+        node.disconnect_caller("a")
+    node.now_ms += WINDOW_MS + MARGIN_MS + 1.0
     node.submit("c", "pay", request_key="k")  # past the window, while the run goes on
     assert node.spawned() == ["a"]
     ended(node, "a")
-    assert node.told["c"][0].body == b"x"
-    node.now += 1.0
+    assert node.answers["c"][0].body == b"x"
+    node.now_ms += 1.0
     node.submit("d", "pay", request_key="k")  # the run is over, and so is its window
     assert node.spawned() == ["a", "d"]
 
 
 def test_the_waiting_repeats_of_a_run_are_answered_with_its_end_though_later_tries_of_the_key_came():
-    node = Planner()
+    node = PlannerHarness()
     node.submit("a", "pay", request_key="k")
-    node.now += 800.0
+    node.now_ms += 800.0
     node.submit("b", "pay", request_key="k", marked_repeat=True)
-    node.now += WINDOW_MS + MARGIN_MS - 790.0
+    node.now_ms += WINDOW_MS + MARGIN_MS - 790.0
     node.submit("c", "pay", request_key="k")
     ended(node, "a")
     assert len(node.spawned()) == 1 and {len(node.verdicts(name)) for name in "abc"} == {1}
 
 
 def test_a_full_key_table_turns_away_new_keys_and_answers_the_repeats_of_those_it_holds():
-    node = Planner(max_keys=1)
+    node = PlannerHarness(max_keys=1)
     node.submit("a", "pay", request_key="k")
     ended(node, "a")
     node.submit("b", "pay", request_key="other")
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("over", [False, True])
 def test_the_same_id_twice_or_another_body_under_the_key_is_a_conflict_and_runs_nothing(over):
-    node = Planner()
+    node = PlannerHarness()
     first = node.submit("a", "pay", request_key="k")
     if over:
         ended(node, "a")
@@ -124,7 +124,7 @@
     assert node.verdicts("b") == [Verdict.CONFLICT] and node.spawned() == ["a"]
     if not over:
         told = []
-        node.told["a"] = told
+        node.answers["a"] = told
         node.submit("a", "pay", request_key="k")
         assert [answer.verdict for answer in told] == [Verdict.CONFLICT] and not first.settled
 
@@ -134,19 +134,19 @@
 def test_the_caller_of_a_second_try_under_an_open_id_goes_and_the_first_is_answered_all_the_same(
     class_name, first_running
 ):
-    node, unique = Planner(), "k" if class_name == "pay" else None
-    node.ports.room = first_running  # else its spawn finds no room, and it is refused once that is told
+    node, unique = PlannerHarness(), "k" if class_name == "pay" else None
+    node.ports.accepts_commands = first_running  # else its spawn finds no room, and it is refused once that is told
     told: list[Verdict] = []
 
     def attempt(tell):
-        return at.Attempt("a", class_name, node.now, 10.0, 1, b"", request_key=unique, on_answer=tell)
+        return at.Attempt("a", class_name, node.now_ms, 10.0, 1, b"", request_key=unique, on_answer=tell)
 
     first, second = attempt(lambda answer: told.append(answer.verdict)), attempt(lambda answer: None)
     # All three are read before the planner has its turn, as it happens while its mailbox is not empty.
     for report in (at.Submitted(first), at.Submitted(second), at.CallerDisconnected(second)):
-        node.planner.handle(report)
+        node.decisions.handle(report)
     if first_running:
         assert second.answer is not None and second.answer.verdict is Verdict.CONFLICT and not first.caller_disconnected
         ended(node, "a")
     assert told == [Verdict.SERVED if first_running else Verdict.REFUSED]
-    assert node.planner.open == 0
+    assert node.decisions.open == 0
--- a/tests/core/test_waiting_claims.py
+++ b/tests/core/test_waiting_claims.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from planning import Planner
+from planning import PlannerHarness
 
 from flintshift.core import attempts as at
 from flintshift.core.attempts import Verdict
@@ -46,32 +46,32 @@
 
 def attempt(node, told):
     return at.Attempt(
-        "a", "pay", node.now, 10.0, 1, b"", request_key="k", on_answer=lambda answer: told.append(answer.verdict)
+        "a", "pay", node.now_ms, 10.0, 1, b"", request_key="k", on_answer=lambda answer: told.append(answer.verdict)
     )
 
 
 def asking():
     """A planner whose claims are asked, and the first of two attempts under one id, which waits for the word."""
-    node, told = Planner(), []
-    node.claims = node.planner.waiting_claims.claims = Claims()
+    node, told = PlannerHarness(), []
+    node.claims = node.decisions.waiting_claims.claims = Claims()
     first, second = attempt(node, told), attempt(node, [])
     for report in (at.Submitted(first), at.Submitted(second)):
-        node.planner.handle(report)
+        node.decisions.handle(report)
     assert node.claims.asked == ["a"] and second.answer.verdict is Verdict.CONFLICT
     return node, told, second
 
 
 def test_the_caller_of_a_second_try_under_an_id_that_waits_for_a_claim_goes_and_the_first_goes_on():
     node, told, second = asking()
-    node.planner.handle(at.CallerDisconnected(second))
+    node.decisions.handle(at.CallerDisconnected(second))
     assert node.claims.left == []
-    node.planner.handle(at.ClaimAnswered("a", True))
+    node.decisions.handle(at.ClaimAnswered("a", True))
     assert node.spawned() == ["a"]
-    node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
+    node.decisions.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
     assert node.claims.kept_ends == ["a"] and told == []  # its end is to be kept first
-    node.planner.handle(at.CallerDisconnected(second))
-    node.planner.handle(at.OutcomeRecorded("a", Outcome.OK, b"x"))
-    assert told == [Verdict.SERVED] and node.planner.open == 0
+    node.decisions.handle(at.CallerDisconnected(second))
+    node.decisions.handle(at.OutcomeRecorded("a", Outcome.OK, b"x"))
+    assert told == [Verdict.SERVED] and node.decisions.open == 0
 
 
 class Ranks:
@@ -99,25 +99,25 @@
 def test_the_caller_of_what_has_run_goes_before_its_end_is_kept_and_its_place_is_given_up_once():
     node, told, _ = asking()
     ranks = Ranks()
-    node.planner.use_ranking(ranks)
-    node.planner.handle(at.ClaimAnswered("a", True))
-    node.planner.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
-    node.planner.handle(at.CallerDisconnected(node.planner.waiting_claims.awaiting_record["a"]))
+    node.decisions.use_ranking(ranks)
+    node.decisions.handle(at.ClaimAnswered("a", True))
+    node.decisions.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
+    node.decisions.handle(at.CallerDisconnected(node.decisions.waiting_claims.awaiting_record["a"]))
     assert ranks.told == ["arrived", "began", "ended"] and told == []
-    node.planner.handle(at.OutcomeRecorded("a", Outcome.OK, b"x"))
-    assert told == [] and node.planner.counters["departed"] == 1 and not node.planner.waiting_claims.awaiting_record
+    node.decisions.handle(at.OutcomeRecorded("a", Outcome.OK, b"x"))
+    assert told == [] and node.decisions.counters["departed"] == 1 and not node.decisions.waiting_claims.awaiting_record
 
 
 @pytest.mark.parametrize("again_before", [True, False])
 def test_the_caller_of_a_try_that_waits_for_a_claim_goes_and_nothing_of_it_runs(again_before):
     node, told, second = asking()
-    first = node.planner.waiting_claims.awaiting_claim["a"]
+    first = node.decisions.waiting_claims.awaiting_claim["a"]
     if again_before:
-        node.planner.handle(at.CallerDisconnected(second))
-    node.planner.handle(at.CallerDisconnected(first))
+        node.decisions.handle(at.CallerDisconnected(second))
+    node.decisions.handle(at.CallerDisconnected(first))
     assert node.claims.left == ["a"]
-    node.planner.handle(at.ClaimAnswered("a", True))  # the word comes late
-    assert node.spawned() == [] and told == [] and node.planner.open == 0
+    node.decisions.handle(at.ClaimAnswered("a", True))  # the word comes late
+    assert node.spawned() == [] and told == [] and node.decisions.open == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/planning.py
+++ b/tests/planning.py
@@ -11,35 +11,35 @@
 from flintshift.core.limits import Limits
 
 
-class Ports:
+class RecordingPorts:
     """Workers and what lies below, which take commands while `room` lasts."""
 
     def __init__(self):
-        self.sent, self.room = [], True
+        self.commands, self.accepts_commands = [], True
 
-    def take(self, *command):
-        self.sent.append(command)
-        return self.room
+    def _record(self, *command):
+        self.commands.append(command)
+        return self.accepts_commands
 
     def spawn(self, attempt):
-        return self.take("spawn", attempt.id)
+        return self._record("spawn", attempt.id)
 
     def supply(self, request, no, reply):
-        return self.take("supply", request, no, reply)
+        return self._record("supply", request, no, reply)
 
     def continue_run(self, request, no):
-        return self.take("pass", request, no)
+        return self._record("pass", request, no)
 
     def start_call(self, request, limit_ms, payload, once):
-        return self.take("ask", request)
+        return self._record("ask", request)
 
     def cancel_call(self, request):
-        self.take("unask", request)
+        self._record("unask", request)
 
 
-class Planner:
+class PlannerHarness:
     def __init__(self, **limits):
-        self.now, self.told, self.ports = 1_000_000.0, {}, Ports()
+        self.now_ms, self.answers, self.ports = 1_000_000.0, {}, RecordingPorts()
         self.attempts = {}  # by id, the one submitted last
         kinds = [
             api.RequestClass("look", 500.0, 900.0, 1.0, api.Effect.SAFE, calls=True, skip_worth=0.5),
@@ -59,33 +59,39 @@
             call_window_ms=5000.0,
         )
         sizes = Limits(**limits)
-        self.planner = Decisions(
-            Catalogue(settings, sizes), 1, sizes, Counters(), lambda: self.now, lambda at_ms, token: None, lambda: None
+        self.decisions = Decisions(
+            Catalogue(settings, sizes),
+            1,
+            sizes,
+            Counters(),
+            lambda: self.now_ms,
+            lambda at_ms, token: None,
+            lambda: None,
         )
-        self.planner.runs.workers, self.planner.runs.vault_calls = {"pool": self.ports}, self.ports
-        self.planner.handle(at.WorkersUp())
+        self.decisions.runs.workers, self.decisions.runs.vault_calls = {"pool": self.ports}, self.ports
+        self.decisions.handle(at.WorkersUp())
 
     def submit(self, request, class_name="look", **changes):
         attempt = Attempt(
             request,
             class_name,
-            changes.pop("arrival_ms", self.now),
+            changes.pop("arrival_ms", self.now_ms),
             10.0,
             1,
             b"",
             **changes,
-            on_answer=lambda answer: self.told.setdefault(request, []).append(answer),
+            on_answer=lambda answer: self.answers.setdefault(request, []).append(answer),
         )
         self.attempts[request] = attempt
-        self.planner.handle(at.Submitted(attempt))
+        self.decisions.handle(at.Submitted(attempt))
         return attempt
 
-    def leave(self, request):
+    def disconnect_caller(self, request):
         """The caller of that attempt goes."""
-        self.planner.handle(at.CallerDisconnected(self.attempts[request]))
+        self.decisions.handle(at.CallerDisconnected(self.attempts[request]))
 
     def verdicts(self, request):
-        return [answer.verdict for answer in self.told.get(request, [])]
+        return [answer.verdict for answer in self.answers.get(request, [])]
 
     def spawned(self):
-        return [command[1] for command in self.ports.sent if command[0] == "spawn"]
+        return [command[1] for command in self.ports.commands if command[0] == "spawn"]
