--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -65,9 +65,9 @@
 
 
 SAFE = api.RequestClass("look", 1000.0, 3000.0, 1.0, api.Effect.SAFE)
-DEAR = api.RequestClass("buy", 1000.0, 3000.0, 5.0, api.Effect.UNSAFE, calls=True)
+VALUABLE = api.RequestClass("buy", 1000.0, 3000.0, 5.0, api.Effect.UNSAFE, calls=True)
 KEYED = api.RequestClass("pay", 1000.0, 3000.0, 3.0, api.Effect.KEYED, repeat_window_ms=8000.0, calls=True)
-SKIPS = api.RequestClass("list", 1000.0, 3000.0, 1.0, api.Effect.SAFE, calls=True, skip_worth=0.5)
+SKIPPABLE = api.RequestClass("list", 1000.0, 3000.0, 1.0, api.Effect.SAFE, calls=True, skip_worth=0.5)
 
 
 class Server:
@@ -75,7 +75,7 @@
 
     def __init__(self, **changes: object) -> None:
         base: dict = {
-            "classes": [SAFE, DEAR, KEYED, SKIPS],
+            "classes": [SAFE, VALUABLE, KEYED, SKIPPABLE],
             "cores": 2,
             "memory_kb": 10_000.0,
             "run_factor": 4.0,
@@ -93,7 +93,7 @@
         self.control = Controller(api.Settings(**{**base, **changes}), seed=1)
         self.now = 1000.0
         self.count = 0
-        self.first = self.control.handle(self.now, api.Started())
+        self.start_actions = self.control.handle(self.now, api.Started())
 
     def step(self, event: api.Event, after_ms: float = 0.0) -> list[api.Action]:
         self.now += after_ms
@@ -107,13 +107,13 @@
     def tick(self, after_ms: float = 40.0, **gauges: float) -> list[api.Action]:
         return self.step(api.Woken("tick", api.Gauges(**gauges)), after_ms)
 
-    def ends(self, request: str, outcome: api.Outcome = api.Outcome.OK, took_ms: float = 100.0) -> list[api.Action]:
+    def end_run(self, request: str, outcome: api.Outcome = api.Outcome.OK, took_ms: float = 100.0) -> list[api.Action]:
         return self.step(api.RunEnded(request, outcome, took_ms))
 
-    def needs_call(self, request: str) -> list[api.Action]:
+    def request_call(self, request: str) -> list[api.Action]:
         return self.step(api.CallNeeded(request))
 
-    def call_ends(self, request: str, outcome: api.Outcome = api.Outcome.OK, took_ms: float = 50.0) -> list[api.Action]:
+    def end_call(self, request: str, outcome: api.Outcome = api.Outcome.OK, took_ms: float = 50.0) -> list[api.Action]:
         return self.step(api.CallEnded(request, outcome, took_ms))
 
     def fill(self, name: str = "look") -> list[str]:
@@ -127,7 +127,7 @@
 
 
 @pytest.fixture
-def make():
+def make_server():
     return Server
 
 
--- a/tests/control/steps.py
+++ b/tests/control/steps.py
@@ -23,10 +23,10 @@
 def calls_made(server, request):
     made = 0
     for _ in range(3):
-        if of(server.needs_call(request), api.SkipCall):
+        if of(server.request_call(request), api.SkipCall):
             continue
         made += 1
-        server.call_ends(request)
+        server.end_call(request)
     return made
 
 
@@ -39,5 +39,5 @@
     """Ten a second: with 500 callers one comes back after most of a minute."""
     for _ in range(40):
         request, _ = server.arrive("look")
-        server.ends(request)
+        server.end_run(request)
         server.now += 100.0
--- a/tests/control/test_fleet_sums.py
+++ b/tests/control/test_fleet_sums.py
@@ -21,7 +21,7 @@
             request, acts = server.arrive("buy")
             if api.Run(request) not in acts:
                 continue
-            for call in of(server.needs_call(request), api.Call):
+            for call in of(server.request_call(request), api.Call):
                 calls.append((server.now, server.now + call.limit_ms + LINGER_MS))
         for call in of(server.tick(busy=0.3, run_queue=1.0), api.Call):
             calls.append((server.now, server.now + call.limit_ms + LINGER_MS))
@@ -31,12 +31,14 @@
 
 @pytest.mark.parametrize("nodes", [20, 30])
 @pytest.mark.parametrize("share", [0.4, 1.0, 3.0])
-def test_a_fleet_that_starts_cold_and_is_killed_and_started_again_keeps_to_the_sum_of_its_shares(make, nodes, share):
+def test_a_fleet_that_starts_cold_and_is_killed_and_started_again_keeps_to_the_sum_of_its_shares(
+    make_server, nodes, share
+):
     draw, calls = random.Random(nodes), []
     for _ in range(nodes):
         began_ms = 1000.0
         for _ in range(2):
-            server = make(
+            server = make_server(
                 cores=6,
                 call_share=share,
                 call_window_ms=WINDOW_MS,
@@ -64,10 +66,10 @@
 
 
 @pytest.mark.parametrize("nodes", [20, 30])
-def test_a_fleet_that_is_flooded_while_it_is_cold_lets_in_what_the_sum_of_its_cores_survives_then(make, nodes):
+def test_a_fleet_that_is_flooded_while_it_is_cold_lets_in_what_the_sum_of_its_cores_survives_then(make_server, nodes):
     draw = random.Random(nodes)
     shape = {"cores": CORES, "fall_multiple": FALL_MULTIPLE, "cold": True, "cold_from": COLD_FROM, "cold_ms": COLD_MS}
-    fleet = [make(**shape, memory_kb=1e9, servers=nodes) for _ in range(nodes)]
+    fleet = [make_server(**shape, memory_kb=1e9, servers=nodes) for _ in range(nodes)]
     for server in fleet:  # as after an upgrade: what the process before had learned was of a warm machine
         server.step(api.Learned(100.0, {}))
     born = {id(server): server.now for server in fleet}
@@ -79,7 +81,7 @@
             for request, end in list(known.items()):
                 if end <= server.now:
                     del known[request]
-                    known.update({act.request: server.now + 400.0 for act in of(server.ends(request), api.Run)})
+                    known.update({act.request: server.now + 400.0 for act in of(server.end_run(request), api.Run)})
             for _ in range(draw.randrange(8)):
                 request, acts = server.arrive("look")
                 known.update({act.request: server.now + 400.0 for act in of(acts, api.Run)})
--- a/tests/control/test_late_ticks.py
+++ b/tests/control/test_late_ticks.py
@@ -35,20 +35,20 @@
 
 
 @pytest.mark.parametrize("gap_ms", [40.0, 70.0, 130.0, 210.0, 310.0, 470.0, 690.0])
-def test_a_request_is_answered_before_its_due_time_however_far_apart_looks_come(make, gap_ms):
-    server = make()
+def test_a_request_is_answered_before_its_due_time_however_far_apart_looks_come(make_server, gap_ms):
+    server = make_server()
     request, _ = server.arrive("look")
     assert open_until(server, request, gap_ms) < DEADLINE_MS
 
 
-def test_looks_that_come_in_time_leave_a_request_all_of_its_time_but_two_of_them(make):
-    server = make()
+def test_looks_that_come_in_time_leave_a_request_all_of_its_time_but_two_of_them(make_server):
+    server = make_server()
     request, _ = server.arrive("look")
     assert open_until(server, request, 40.0) == DEADLINE_MS - 2 * 40.0
 
 
-def test_one_pause_of_the_process_takes_no_time_from_requests_that_come_after_it(make):
-    server = make()
+def test_one_pause_of_the_process_takes_no_time_from_requests_that_come_after_it(make_server):
+    server = make_server()
     server.tick(12_000.0)
     request, _ = server.arrive("look")
     assert open_until(server, request, 40.0) == DEADLINE_MS - 2 * 40.0
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -126,8 +126,8 @@
     assert (await rig.ask("http", "submit-time-next", fields=job())).status == 200
 
 
-def test_the_module_goes_on_by_new_settings_and_open_work_by_those_it_came_with(make):
-    server = make(cores=8)
+def test_the_module_goes_on_by_new_settings_and_open_work_by_those_it_came_with(make_server):
+    server = make_server(cores=8)
     kept, _ = server.arrive("look")
     faster = api.RequestClass("look", 300.0, 390.0, 1.0, api.Effect.SAFE)
     new = api.RequestClass("glance", 500.0, 900.0, 1.0, api.Effect.SAFE)
@@ -141,15 +141,15 @@
     assert server.control.run_ms.keys() == {"look", "glance"}  # and of `buy`, of which nothing is open, nothing is kept
     server.step(api.Changed(old))
     assert server.control.run_ms.keys() == {"look", "buy", "pay", "list", "glance"}
-    server.ends(added)  # a run whose class was dropped meanwhile
+    server.end_run(added)  # a run whose class was dropped meanwhile
 
 
-def test_a_short_share_of_the_crowd_is_kept_to_and_leaves_no_mark_and_what_was_learned_goes_over(make):
-    server = make(cores=8, memory_kb=1e6)
+def test_a_short_share_of_the_crowd_is_kept_to_and_leaves_no_mark_and_what_was_learned_goes_over(make_server):
+    server = make_server(cores=8, memory_kb=1e6)
     for _ in range(80):  # the limit rises under load that the cores carry
         server.fill()
         server.tick(run_queue=4.0, busy=0.5)
-    taught, older = make(cores=8, memory_kb=1e6), server.control.learned()
+    taught, older = make_server(cores=8, memory_kb=1e6), server.control.learned()
     assert older.limit > 1.3 * taught.control.limit
     full = taught.control.set
     taught.step(api.Changed(replace(full, crowd_share=0.1)))  # of 40
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from conftest import DEAR, KEYED, SAFE, SKIPS, Server
+from conftest import KEYED, SAFE, SKIPPABLE, VALUABLE, Server
 
 from flintshift import interface as api
 from flintshift.control import Stage
@@ -12,7 +12,7 @@
 
 CALL_ENDS = [Outcome.OK] * 6 + [Outcome.TIMED_OUT, Outcome.REJECTED, Outcome.ERROR]
 RUN_ENDS = [Outcome.OK] * 9 + [Outcome.ERROR]
-KINDS = {kind.name: kind for kind in (SAFE, DEAR, KEYED, SKIPS)}
+KINDS = {kind.name: kind for kind in (SAFE, VALUABLE, KEYED, SKIPPABLE)}
 
 
 class Day:
