--- a/tests/handover/site.py
+++ b/tests/handover/site.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from pathlib import Path
 
-from standins import BYTES, ROOT, SETTINGS, Caller, control_call, job, platform_file, scripted_pool
+from standins import REQUEST_BYTES, ROOT, SETTINGS, Caller, control_call, platform_file, request_fields, scripted_pool
 
 from flintshift.lab.peers import Names, Vault
 from flintshift.lab.ports import free_ports
@@ -107,7 +107,7 @@
         """A caller's connection, which has brought a request already: so it is accepted, and may rest."""
         caller = Caller(*await asyncio.open_connection("127.0.0.1", self.port))
         if spoken:
-            caller.send(BYTES["http"]("", b"", {}, method="GET", path="/ping"))
+            caller.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
             assert (await caller.reply()).status == 200
         return caller
 
@@ -120,8 +120,8 @@
 
 
 def submit(caller, unique, body=b"12:01.5", class_name="submit-time", **changes):
-    fields = job(class_name, **({"X-Unique": unique} if unique else {}), **changes)
-    caller.send(BYTES["http"](class_name, body, fields))
+    fields = request_fields(class_name, **({"X-Unique": unique} if unique else {}), **changes)
+    caller.send(REQUEST_BYTES["http"](class_name, body, fields))
     return fields["X-Job-Id"]
 
 
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -8,7 +8,7 @@
 
 import pytest
 from handover.site import Site, ask, submit
-from standins import BYTES
+from standins import REQUEST_BYTES
 
 from benchmarks.upgrade import measure
 from flintshift.wire.handover import meeting_path
@@ -228,7 +228,7 @@
         while (await new.call())[1] != "the node is out of service":
             await asyncio.sleep(0.01)
     caller = await site.connect(spoken=False)
-    caller.send(BYTES["http"]("", b"", {}, method="GET", path="/ping"))
+    caller.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
     assert (await caller.reply()).status == 503
     assert (await old.call("POST", "/control/in-service"))[0] == 200  # at the older's door: it is passed on
     await new.until_ready()
--- a/tests/lifecycle/test_configuration.py
+++ b/tests/lifecycle/test_configuration.py
@@ -11,7 +11,7 @@
 
 import pytest
 import uvloop
-from standins import BYTES, ROOT, SETTINGS, job
+from standins import REQUEST_BYTES, ROOT, SETTINGS, request_fields
 
 from flintshift.__main__ import main
 from flintshift.lifecycle.start_retry import ToldToLeaveError
@@ -20,9 +20,9 @@
 
 
 async def test_a_new_configuration_under_load_moves_the_links_and_runs_go_on(rig):
-    before, after = job("race-results"), job("race-results")
+    before, after = request_fields("race-results"), request_fields("race-results")
     callers = [await rig.connect("http"), await rig.connect("http")]
-    callers[0].send(BYTES["http"]("race-results", b"", before))
+    callers[0].send(REQUEST_BYTES["http"]("race-results", b"", before))
     await rig.pool.log.until(lambda entry: entry["t"] == "spawn")
     rig.config.write_text("{")
     rig.process.send_signal(signal.SIGHUP)
@@ -33,7 +33,7 @@
     old = list(rig.pool.links)
     rig.process.send_signal(signal.SIGHUP)
     binds = await rig.pool.log.until(lambda entry: entry["t"] == "bind", 2)
-    callers[1].send(BYTES["http"]("race-results", b"", after))
+    callers[1].send(REQUEST_BYTES["http"]("race-results", b"", after))
     await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 2)
     rig.pool.tell(before["X-Job-Id"], "blocked", {"b64": ""})  # told on both links, taken once
     await rig.vault.log.until(lambda entry: entry[0] == "ask")
@@ -47,7 +47,7 @@
     assert len([entry for entry in rig.vault.log.entries if entry[0] == "ask"]) == 1
     assert (await rig.ask("http", path="/ping", method="GET")).status == 200
     rig.pool.plan = {}
-    (await rig.connect("http")).send(BYTES["http"]("race-results", b"", job("race-results")))
+    (await rig.connect("http")).send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
     await rig.leave()
     rig.process.send_signal(signal.SIGHUP)  # in a drain too
     assert await asyncio.wait_for(rig.process.wait(), 10) == 0
--- a/tests/lifecycle/test_descriptors.py
+++ b/tests/lifecycle/test_descriptors.py
@@ -11,7 +11,7 @@
 
 import anyio
 import pytest
-from standins import BYTES, Caller, job
+from standins import REQUEST_BYTES, Caller, request_fields
 from test_signals import site, started  # noqa: F401
 
 from flintshift.core.limits import Limits
@@ -104,7 +104,7 @@
     that refuses, and never by a reset."""
     for _ in range(40):
         caller = Caller(*await asyncio.open_connection(host, port))
-        caller.send(BYTES["http"]("race-results", b"", job("race-results")))
+        caller.send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
         status = (await caller.reply()).status
         caller.writer.close()
         if status not in REFUSED:
--- a/tests/lifecycle/test_drains.py
+++ b/tests/lifecycle/test_drains.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from standins import BYTES, Caller, job
+from standins import REQUEST_BYTES, Caller, request_fields
 from test_signals import site, started  # noqa: F401
 
 from flintshift import interface as api
@@ -35,8 +35,8 @@
 
     async def running(self):
         """A request whose run has begun: its caller and its id."""
-        caller, fields = await self.connect(), job("race-results")
-        caller.send(BYTES["http"]("race-results", b"", fields))
+        caller, fields = await self.connect(), request_fields("race-results")
+        caller.send(REQUEST_BYTES["http"]("race-results", b"", fields))
         await self.pool.log.until(lambda entry: entry.get("rid") == fields["X-Job-Id"])
         return caller, fields["X-Job-Id"]
 
@@ -92,7 +92,7 @@
 
 async def in_pieces(served):
     caller = await served.connect()
-    whole = BYTES["http"]("race-results", b"", job("race-results"))
+    whole = REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results"))
     caller.send(whole[:30])
     await asyncio.sleep(0.02)
     asyncio.get_running_loop().call_later(0.05, caller.send, whole[30:])
@@ -101,7 +101,7 @@
 
 async def right_after_the_accept(served):
     caller = await served.connect()
-    caller.send(BYTES["http"]("", b"", {}, method="GET", path="/ping"))
+    caller.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
     return caller, {200, 503}
 
 
@@ -122,7 +122,7 @@
     for number in (signal.SIGTERM, *more):
         served.process.send_signal(number)
     assert (await caller.reply()).status in statuses
-    assert await caller.ended()
+    assert await caller.is_closed()
     counters = await served.ended()
     assert balanced(counters), counters
     assert [entry for entry in served.names.log.entries if entry[1] == "no"]  # it was told that it leaves
@@ -145,7 +145,7 @@
     while status != 200 and time.monotonic() - began < READY_S:
         try:
             caller = await again.connect()
-            caller.send(BYTES["http"]("race-results", b"", job("race-results")))
+            caller.send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
             status = (await caller.reply()).status
         except (OSError, asyncio.IncompleteReadError):
             await asyncio.sleep(0.02)
@@ -158,7 +158,7 @@
     async def burst():
         callers = [await served.connect() for _ in range(150)]
         for caller in callers:
-            caller.send(BYTES["http"]("race-results", b"", job("race-results")))
+            caller.send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
         for caller in callers:
             assert (await caller.reply()).status in (200, 429)
             caller.writer.close()
@@ -201,14 +201,14 @@
     await peers[2].log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"))
     served = Served(process, text, peers)
     waits, request = await served.running()  # an open run keeps the node past its grace
-    resting, fields = await served.connect(), job("race-results")
-    resting.send(BYTES["http"]("", b"", {}, method="GET", path="/ping"))
+    resting, fields = await served.connect(), request_fields("race-results")
+    resting.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
     assert (await resting.reply()).status == 200
     process.terminate()
     await asyncio.sleep(after_s)
     served.pool.plan = {"race-results": 0}
     fields["X-Door-Time"] = str(int(time.time() * 1000))
-    resting.send(BYTES["http"]("race-results", b"", fields))
+    resting.send(REQUEST_BYTES["http"]("race-results", b"", fields))
     reply = await resting.reply()
     ran = [entry for entry in served.pool.log.entries if entry.get("rid") == fields["X-Job-Id"]]
     assert (reply.status, bool(ran)) == ((200, True) if runs else (503, False))
@@ -236,7 +236,7 @@
     """
     config, text, _ = site
     resting = await served.connect()
-    resting.send(BYTES["http"]("", b"", {}, method="GET", path="/ping"))
+    resting.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
     assert (await resting.reply()).status == 200
     longest_ms = max(kind["deadlineMs"] for kind in json.loads(text)["settings"]["classes"])
     termination = Termination(served.process, longest_ms + AFTER_DEADLINE_MS)
@@ -265,10 +265,10 @@
     async def ask_again():
         caller, reply = await served.connect(), None
         while reply is None or "connection" not in reply.headers:
-            caller.send(BYTES["http"]("", b"", {}, method="GET", path="/ping"))
+            caller.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
             reply = await caller.reply()
         last.append(time.monotonic())
-        assert await caller.ended()
+        assert await caller.is_closed()
         caller.writer.close()
 
     callers = [asyncio.create_task(ask_again()) for _ in range(10)]
--- a/tests/lifecycle/test_signals.py
+++ b/tests/lifecycle/test_signals.py
@@ -12,7 +12,7 @@
 import time
 
 import pytest
-from standins import BYTES, ROOT, SETTINGS, job, platform_file
+from standins import REQUEST_BYTES, ROOT, SETTINGS, platform_file, request_fields
 
 from flintshift.core.limits import Limits
 from flintshift.lab.peers import Names, Pool, Vault
@@ -123,8 +123,8 @@
     await names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"))
     at = json.loads(text)["listen"].split(":")
     reader, writer = await asyncio.open_connection(*at)
-    fields = job("race-results")
-    writer.write(BYTES["http"]("race-results", b"", fields))
+    fields = request_fields("race-results")
+    writer.write(REQUEST_BYTES["http"]("race-results", b"", fields))
     await pool.log.until(lambda entry: entry["t"] == "spawn")
     process.send_signal(signal.SIGTERM)
     ended = asyncio.ensure_future(process.communicate())
@@ -145,8 +145,8 @@
     process = await started(config)
     await names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"))
     reader, writer = await asyncio.open_connection(*json.loads(text)["listen"].split(":"))
-    fields = job("race-results")
-    writer.write(BYTES["http"]("race-results", b"", fields))
+    fields = request_fields("race-results")
+    writer.write(REQUEST_BYTES["http"]("race-results", b"", fields))
     await pool.log.until(lambda entry: entry["t"] == "spawn")
     process.send_signal(signal.SIGSTOP)
     process.send_signal(signal.SIGTERM)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -65,7 +65,7 @@
     return Pool(tells=True, ends=False)
 
 
-def job(class_name="submit-time", **changes):
+def request_fields(class_name="submit-time", **changes):
     """The fields of a request; a change to None leaves a field out."""
     fields = {
         "X-Job-Id": f"{next(ids):016x}",
@@ -102,7 +102,7 @@
     return uwsgi.pack(variables.items()) + body
 
 
-BYTES = {"http": http_bytes, "uwsgi": uwsgi_bytes}
+REQUEST_BYTES = {"http": http_bytes, "uwsgi": uwsgi_bytes}
 
 
 @dataclass
@@ -128,7 +128,7 @@
         body = await self.reader.readexactly(int(headers["content-length"]))
         return Reply(int(first.split(" ")[1]), headers, body)
 
-    async def ended(self):
+    async def is_closed(self):
         try:
             return await asyncio.wait_for(self.reader.read(), 10) == b""
         except ConnectionResetError:
@@ -176,7 +176,7 @@
             await peer.start()
         self.dns = Dns(self.apps.port, tells=True)
         await self.dns.start()
-        self.ports = dict(zip((*BYTES, "control"), free_ports(3), strict=True))
+        self.ports = dict(zip((*REQUEST_BYTES, "control"), free_ports(3), strict=True))
         self.config, desks = self.folder / "config.json", self.folder / "flintshift.yaml"
         self.configure()
         desks.write_text(
@@ -240,7 +240,7 @@
 
     async def ask(self, front, class_name="submit-time", body=b"12:01.5", fields=None, **more):
         caller = await self.connect(front)
-        caller.send(BYTES[front](class_name, body, fields or job(class_name), **more))
+        caller.send(REQUEST_BYTES[front](class_name, body, fields or request_fields(class_name), **more))
         reply = await caller.reply()
         caller.writer.close()
         return reply
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 
 import pytest
-from standins import BYTES, SETTINGS, job
+from standins import REQUEST_BYTES, SETTINGS, request_fields
 
 from flintshift import interface as api
 
@@ -44,27 +44,27 @@
 
 
 async def test_a_class_that_is_added_is_taken_and_one_that_is_dropped_ends_cleanly(rig):
-    assert (await rig.ask("http", "submit-time-next", fields=job())).status == 404
+    assert (await rig.ask("http", "submit-time-next", fields=request_fields())).status == 404
     rig.pool.plan.pop("submit-time")
-    held, fields = await rig.connect("http"), job(**{"X-Unique": "k1"})
-    held.send(BYTES["http"]("submit-time", b"1", fields))
+    held, fields = await rig.connect("http"), request_fields(**{"X-Unique": "k1"})
+    held.send(REQUEST_BYTES["http"]("submit-time", b"1", fields))
     await rig.pool.log.until(lambda entry: entry["t"] == "spawn")
     await reload(rig, named("race-results", "submit-time-next"))
-    for front in BYTES:
-        assert (await rig.ask(front, "submit-time-next", fields=job())).status == 200
+    for front in REQUEST_BYTES:
+        assert (await rig.ask(front, "submit-time-next", fields=request_fields())).status == 200
     rig.pool.finish(fields["X-Job-Id"])  # what is open goes on
     first = await held.reply()
     assert first.status == 200
     rig.pool.plan["submit-time"] = 0
-    assert (await rig.ask("http", fields=job(**{"X-Unique": "k2"}))).status == 200  # callers hear of it late
+    assert (await rig.ask("http", fields=request_fields(**{"X-Unique": "k2"}))).status == 200  # callers hear of it late
     await asyncio.sleep(2.6)
-    refused = await rig.ask("http", fields=job(**{"X-Unique": "k3"}))
+    refused = await rig.ask("http", fields=request_fields(**{"X-Unique": "k3"}))
     assert refused.status == 429 and int(refused.headers["x-wait-ms"]) > 0
-    again = await rig.ask("http", body=b"1", fields=job(**{"X-Unique": "k1", "X-Again": "1"}))
+    again = await rig.ask("http", body=b"1", fields=request_fields(**{"X-Unique": "k1", "X-Again": "1"}))
     assert (again.status, again.body) == (200, first.body)  # its window is not over
     await reload(rig, named("race-results", "submit-time"))  # and added again
-    assert (await rig.ask("http", fields=job(**{"X-Unique": "k3"}))).status == 200
-    again = await rig.ask("http", body=b"1", fields=job(**{"X-Unique": "k1", "X-Again": "1"}))
+    assert (await rig.ask("http", fields=request_fields(**{"X-Unique": "k3"}))).status == 200
+    again = await rig.ask("http", body=b"1", fields=request_fields(**{"X-Unique": "k1", "X-Again": "1"}))
     assert (again.status, again.body) == (200, first.body)
     assert len([run for run in rig.pool.spawns() if run["route"] == "submit-time"]) == 3
 
@@ -93,9 +93,9 @@
     rig.process.send_signal(signal.SIGHUP)
     line = await asyncio.wait_for(rig.process.stderr.readline(), 10)
     assert line.startswith(b"flintshift: the configuration stays: ")
-    for front in BYTES:
+    for front in REQUEST_BYTES:
         assert (await rig.ask(front)).status == 200
-        assert (await rig.ask(front, "submit-time-next", fields=job())).status == 404
+        assert (await rig.ask(front, "submit-time-next", fields=request_fields())).status == 404
     counters = await rig.counters()
     assert counters["reload.unreadable"] == 1 and counters["pool.links_lost"] == 0
 
@@ -104,7 +104,7 @@
     rig.pool.plan = {}
     callers = [await rig.connect("http") for _ in range(4)]
     for caller in callers[:2]:
-        caller.send(BYTES["http"]("race-results", b"", job("race-results")))
+        caller.send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
     await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 2)
     await reload(rig, named("race-results", "submit-time-next"), twice=True)
     await rig.leave()
@@ -123,7 +123,7 @@
     rig.process.send_signal(signal.SIGHUP)
     line = await asyncio.wait_for(rig.process.stderr.readline(), 10)
     assert line.startswith(b"flintshift: limits stays as it was at the start")
-    assert (await rig.ask("http", "submit-time-next", fields=job())).status == 200
+    assert (await rig.ask("http", "submit-time-next", fields=request_fields())).status == 200
 
 
 def test_the_module_goes_on_by_new_settings_and_open_work_by_those_it_came_with(make_server):
--- a/tests/wire/fronted.py
+++ b/tests/wire/fronted.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 import anyio
-from standins import BYTES, SETTINGS, Caller, job
+from standins import REQUEST_BYTES, SETTINGS, Caller, request_fields
 
 from flintshift.core.attempts import Answer, Attempt, CallerDisconnected, Verdict
 from flintshift.core.catalogue import Catalogue
@@ -20,7 +20,7 @@
 from flintshift.wire.fields import Fields
 from flintshift.wire.http_front import HttpFront
 
-PING = BYTES["http"]("", b"", {}, method="GET", path="/ping")
+PING = REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping")
 
 
 def now_ms() -> float:
@@ -105,4 +105,4 @@
 
 
 def whole(fields=None) -> bytes:
-    return BYTES["http"]("race-results", b"", fields or job("race-results"))
+    return REQUEST_BYTES["http"]("race-results", b"", fields or request_fields("race-results"))
--- a/tests/wire/test_bad_input.py
+++ b/tests/wire/test_bad_input.py
@@ -6,12 +6,12 @@
 import time
 
 import pytest
-from standins import BYTES, http_bytes, job
+from standins import REQUEST_BYTES, http_bytes, request_fields
 
 pytestmark = pytest.mark.anyio
 
 
-FRONTS = list(BYTES)
+FRONTS = list(REQUEST_BYTES)
 
 
 def finishing(rig):
@@ -68,7 +68,7 @@
 async def test_what_a_caller_tells_of_its_patience_and_of_the_cost_has_a_status_in_each_form(rig, front):
     finishing(rig)
     for name, value, status in TOLD:
-        fields = job("race-results", **{name: value, "X-Door-Time": str(int(time.time() * 1000) - 60)})
+        fields = request_fields("race-results", **{name: value, "X-Door-Time": str(int(time.time() * 1000) - 60)})
         reply = await rig.ask(front, "race-results", fields=fields)
         assert reply.status == status, (name, value, reply)
         assert status != 400 or name in json.loads(reply.body)["error"]
@@ -83,7 +83,8 @@
         (b"POST /call/submit-time HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
         (
             b"POST /call/race-results HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n"
-            b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + http_bytes("race-results", b"", job("race-results")),
+            b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+            + http_bytes("race-results", b"", request_fields("race-results")),
             400,
         ),
         (b"GET / HTTP/1.1\r\nX: " + b"x" * 20_000, 400),
@@ -102,12 +103,12 @@
 async def test_bad_input_is_answered_plainly_runs_nothing_and_leaves_the_node_up(rig, front):
     finishing(rig)
     for class_name, body, changes, status, named in BAD:
-        reply = await rig.ask(front, class_name, body, job(class_name, **changes))
+        reply = await rig.ask(front, class_name, body, request_fields(class_name, **changes))
         assert reply.status == status and named in json.loads(reply.body)["error"], (changes, reply)
     for data, status in BROKEN[front]:
         caller = await rig.connect(front)
         caller.send(data)
         caller.writer.write_eof()
         assert (await caller.reply()).status == status, data
-        assert await caller.ended()
+        assert await caller.is_closed()
     assert not rig.runs() and (await rig.ask(front)).status == 200
--- a/tests/wire/test_closing.py
+++ b/tests/wire/test_closing.py
@@ -15,7 +15,7 @@
 import anyio
 import pytest
 from fronted import PING, Fronted, calling, now_ms, whole
-from standins import job
+from standins import request_fields
 
 from flintshift.core.attempts import Answer, Verdict
 from flintshift.core.limits import Limits
@@ -284,7 +284,7 @@
 async def test_a_pipelined_second_request_is_answered_in_turn_or_not_handed_on_where_the_first_was_the_last():
     for closes in (False, True):
         async with Fronted() as fronted:
-            first, second = job("race-results"), job("race-results")
+            first, second = request_fields("race-results"), request_fields("race-results")
             caller = await calling(fronted.connect())
             caller.send(whole(first) + whole(second))
             await fronted.until(lambda fronted=fronted: fronted.decided.taken)
--- a/tests/wire/test_connections.py
+++ b/tests/wire/test_connections.py
@@ -8,7 +8,7 @@
 
 import anyio
 import pytest
-from standins import BYTES, Caller
+from standins import REQUEST_BYTES, Caller
 
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
@@ -21,7 +21,7 @@
 pytestmark = pytest.mark.anyio
 
 
-FRONTS = list(BYTES)
+FRONTS = list(REQUEST_BYTES)
 
 
 class Desk:
@@ -38,7 +38,7 @@
             most,
             None,
         )
-        self.ping = BYTES[name]("", b"", {}, method="GET", path="/ping")
+        self.ping = REQUEST_BYTES[name]("", b"", {}, method="GET", path="/ping")
 
     async def __aenter__(self):
         listener = Acceptor(listening(("127.0.0.1", 0), 64))
@@ -93,11 +93,11 @@
         kept, idler = await desk.open(desk.ping), await desk.open(desk.ping)
         silent = await desk.open()
         new = await desk.open(desk.ping)
-        assert await silent.ended() and new
+        assert await silent.is_closed() and new
         kept.send(desk.ping)
         assert (await kept.reply()).status == 200
         busy = await desk.open(desk.ping[:9])  # half said: it stays, and so does what it displaces last
-        assert await idler.ended()
+        assert await idler.is_closed()
         kept.send(desk.ping)
         assert (await kept.reply()).status == 200
         busy.send(desk.ping[9:])
@@ -112,7 +112,7 @@
         newcomer.send(desk.ping)
         answer = await newcomer.reply()
         assert answer.status == 200 and answer.headers["connection"] == "close"
-        assert await newcomer.ended() and desk.counters["http.connections_refused"] == 1
+        assert await newcomer.is_closed() and desk.counters["http.connections_refused"] == 1
         kept[0].send(desk.ping)
         assert (await kept[0].reply()).status == 200
 
@@ -134,12 +134,12 @@
     async with Desk(front, request_read_timeout_ms=150.0) as desk:
         if front == "http":
             kept = await desk.open(desk.ping)
-        assert await (await desk.open()).ended()
+        assert await (await desk.open()).is_closed()
         half = await desk.open(desk.ping[:6])
         for place in range(6, 12):  # each piece comes in time, the whole does not
             await asyncio.sleep(0.04)
             half.send(desk.ping[place : place + 1])
-        assert (await half.reply()).status == 408 and await half.ended()
+        assert (await half.reply()).status == 408 and await half.is_closed()
         if front == "http":
             kept.send(desk.ping)
             assert (await kept.reply()).status == 200
--- a/tests/wire/test_control_front.py
+++ b/tests/wire/test_control_front.py
@@ -11,7 +11,7 @@
 
 import pytest
 from click.testing import CliRunner
-from standins import BYTES, ROOT, Rig, job
+from standins import REQUEST_BYTES, ROOT, Rig, request_fields
 
 from flintshift.cli.main import main
 
@@ -42,7 +42,7 @@
         assert await pings(rig) == [503] * 3
     assert await rig.call(*READY) == (503, "the node is out of service")
     await rig.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "no"), 2)  # it goes on reporting
-    for front in BYTES:
+    for front in REQUEST_BYTES:
         assert (await rig.ask(front)).status == 200
     for _ in range(2):
         assert (await rig.call(*IN))[0] == 200
@@ -80,7 +80,7 @@
 async def test_a_drained_node_that_is_told_to_leave_leaves_and_does_not_come_back(rig):
     rig.pool.plan = {}
     await rig.call(*OUT)
-    (await rig.connect("http")).send(BYTES["http"]("race-results", b"", job("race-results")))
+    (await rig.connect("http")).send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
     await rig.pool.log.until(lambda entry: entry["t"] == "spawn")
     rig.process.send_signal(signal.SIGTERM)
     while (await rig.call(*READY))[1] != "the node leaves":
@@ -114,7 +114,7 @@
     caller.send(sent)
     reply = await asyncio.wait_for(caller.reply(), 1)
     assert reply.status == status and reply.body.endswith(b"\n") and reply.body.count(b"\n") == 1
-    await asyncio.wait_for(caller.ended(), 1)
+    await asyncio.wait_for(caller.is_closed(), 1)
     assert (await pings(rig))[0] == 200
 
 
@@ -127,7 +127,7 @@
         assert (await rig.call(*READY))[0] == 200
         assert time.monotonic() - began < 1
     for caller in halves:
-        await asyncio.wait_for(caller.ended(), 2)
+        await asyncio.wait_for(caller.is_closed(), 2)
     assert (await rig.counters())["control.displaced"] >= 100  # no more than 32 are held at once
     assert (await pings(rig))[0] == 200  # half a call has no effect
 
--- a/tests/wire/test_fields.py
+++ b/tests/wire/test_fields.py
@@ -4,7 +4,7 @@
 
 import pytest
 from fronted import Fronted, calling
-from standins import BYTES, job
+from standins import REQUEST_BYTES, request_fields
 
 from flintshift.core.attempts import Answer, Verdict
 
@@ -26,8 +26,8 @@
         fronted.front.fields.catalogue.clubs.add(NAME)
         fronted.decided.at_once = Answer(Verdict.SERVED, b"1")
         caller = await calling(fronted.connect())
-        fields = job("race-results", **{"X-Team": "TEAM"})
-        caller.send(BYTES["http"]("race-results", b"", fields).replace(b"TEAM", told.encode(encoding)))
+        fields = request_fields("race-results", **{"X-Team": "TEAM"})
+        caller.send(REQUEST_BYTES["http"]("race-results", b"", fields).replace(b"TEAM", told.encode(encoding)))
         assert (await caller.reply()).status == status
         assert [attempt.tenant for attempt in fronted.decided.taken] == ([NAME] if status == 200 else [])
         caller.writer.close()
--- a/tests/wire/test_full_table.py
+++ b/tests/wire/test_full_table.py
@@ -14,7 +14,7 @@
 
 import pytest
 from fronted import Fronted, calling, whole
-from standins import job
+from standins import request_fields
 
 from flintshift.core.attempts import Answer, Verdict
 
@@ -35,7 +35,7 @@
         fronted.front.most = 2
         others = [await busy(fronted) for _ in range(2)]
         newcomer = await calling(fronted.connect())
-        fields = job("race-results")
+        fields = request_fields("race-results")
         newcomer.send(whole(fields))
         answer = await newcomer.reply()
         assert answer.status in (429, 503) and answer.headers["x-wait-ms"] == "300"
@@ -59,7 +59,7 @@
         replies = [asyncio.ensure_future(newcomer.reply()) for newcomer in newcomers]
         await asyncio.sleep(0.1)
         assert len(fronted.front.connections) == 9 and not any(reply.done() for reply in replies)
-        assert await silent.ended()  # it gives way, as it never spoke
+        assert await silent.is_closed()  # it gives way, as it never spoke
         assert {(await reply).status for reply in replies} <= {429, 503}
         fronted.decided.taken[0].settle(Answer(Verdict.SERVED, b"x"), 0.0)
         assert (await others[0].reply()).status == 200
--- a/tests/wire/test_pieces.py
+++ b/tests/wire/test_pieces.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from standins import BYTES, job
+from standins import REQUEST_BYTES, request_fields
 
 pytestmark = pytest.mark.anyio
 DUE_S = 1.5 + 0.13  # the classes' deadline, with the slack that sockets get
@@ -22,11 +22,13 @@
         await asyncio.sleep(0)
 
 
-@pytest.mark.parametrize("front", list(BYTES))
+@pytest.mark.parametrize("front", list(REQUEST_BYTES))
 async def test_a_caller_in_pieces_is_served(rig, front):
     rig.pool.plan, rig.apps.took_ms = {"race-results": 0}, 1
     caller = await rig.connect(front)
-    await in_pieces(caller.writer, BYTES[front]("race-results", bytes(range(256)), job("race-results")))
+    await in_pieces(
+        caller.writer, REQUEST_BYTES[front]("race-results", bytes(range(256)), request_fields("race-results"))
+    )
     assert (await caller.reply()).status == 200
 
 
@@ -56,7 +58,7 @@
     rig.vault.serve = reply
     caller = await rig.connect("http")
     for _ in range(3):
-        caller.send(BYTES["http"]("race-results", b"", job("race-results")))
+        caller.send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
         assert (await caller.reply()).status == 200
     supplied = [entry for entry in rig.pool.log.entries if entry["t"] == "supply"]
     assert len(supplied) == 3 and {entry["b64"] for entry in supplied} == {base64.b64encode(b"reply").decode()}
@@ -86,8 +88,8 @@
 @pytest.mark.parametrize("leaves", [True, False])
 @pytest.mark.parametrize("size", [0, 1, 25, -2, -1])
 async def test_a_pool_that_stops_in_a_notice_is_read_again_or_answered_for_in_time(rig, size, leaves):
-    caller, fields = await rig.connect("http"), job("race-results")
-    caller.send(BYTES["http"]("race-results", b"", fields))
+    caller, fields = await rig.connect("http"), request_fields("race-results")
+    caller.send(REQUEST_BYTES["http"]("race-results", b"", fields))
     await rig.pool.log.until(lambda entry: entry["t"] == "spawn")
     whole, links, cut_short = rig.pool.say, set(rig.pool.links), set()
 
--- a/tests/wire/test_pool_links.py
+++ b/tests/wire/test_pool_links.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 import pytest
-from standins import BYTES, job
+from standins import REQUEST_BYTES, request_fields
 
 pytestmark = pytest.mark.anyio
 
@@ -29,8 +29,8 @@
     finishing(rig)
     await rig.ask("http")
     rig.pool.plan = {}
-    fields, caller = job(), await rig.connect("http")
-    caller.send(BYTES["http"]("submit-time", b"1", fields))
+    fields, caller = request_fields(), await rig.connect("http")
+    caller.send(REQUEST_BYTES["http"]("submit-time", b"1", fields))
     await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 2)
     rig.pool.cut()
     rig.pool.finish(fields["X-Job-Id"])  # told to nobody: it comes after the next bind
@@ -42,10 +42,10 @@
 
 async def test_what_may_never_have_reached_the_pool_is_sent_again_where_that_is_safe(rig):
     # A spawn does nothing where it runs and is `late` where it ran, so both classes have theirs again.
-    tries = {"race-results": job("race-results"), "submit-time": job()}
+    tries = {"race-results": request_fields("race-results"), "submit-time": request_fields()}
     callers = [await rig.connect("http") for _ in tries]
     for caller, (class_name, fields) in zip(callers, tries.items(), strict=True):
-        caller.send(BYTES["http"](class_name, b"", fields))
+        caller.send(REQUEST_BYTES["http"](class_name, b"", fields))
     await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 2)
     rig.pool.cut()
     again = await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 4)
--- a/tests/wire/test_targets.py
+++ b/tests/wire/test_targets.py
@@ -4,7 +4,7 @@
 
 import pytest
 from fronted import Fronted, calling
-from standins import BYTES, job
+from standins import REQUEST_BYTES, request_fields
 
 from flintshift.core.attempts import Answer, Verdict
 
@@ -36,7 +36,7 @@
         fronted.decided.at_once = Answer(Verdict.SERVED, b"1")
         caller = await calling(fronted.connect())
         for _ in range(2):
-            caller.send(BYTES["http"]("", b"", job("race-results"), path=target))
+            caller.send(REQUEST_BYTES["http"]("", b"", request_fields("race-results"), path=target))
             assert (await caller.reply()).status == status
         assert not fronted.counters["http.faults"]
         caller.writer.close()
