--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -1,4 +1,4 @@
-"""The core with stand-ins for its ports: the guards that no bench is needed to see, and the parsers."""
+"""The core with stand-ins for its ports: guards that can be tested without a running node, and the parsers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from flintshift.wire.outcomes import OUTCOMES
 
 
-def test_there_is_one_final_answer_whatever_follows():
+def test_later_reports_do_not_change_the_final_answer():
     node = PlannerHarness()
     node.submit("a")
     node.decisions.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
@@ -36,8 +36,8 @@
     assert "b" not in node.answers and not attempt.settle(Answer(Verdict.FAILED), 0.0)
 
 
-def test_the_grace_of_a_drain_counts_from_when_the_notice_was_given_not_heard():
-    node = PlannerHarness(max_notice_delay_ms=200.0)  # of the grace of 300 ms
+def test_the_drain_grace_begins_when_the_notice_is_sent():
+    node = PlannerHarness(max_notice_delay_ms=200.0)  # of the grace period of 300 ms
     node.decisions.handle(at.ShutdownNotice(3000.0))
     node.now_ms += 150.0
     node.submit("late")
@@ -49,19 +49,19 @@
     ("after_ms", "runs"), [(-250.0, True), (-1.0, True), (0.0, True), (1.0, False), (50.0, False), (2000.0, False)]
 )
 @pytest.mark.parametrize("read_late_ms", [0.0, 30.0])
-def test_what_comes_on_either_side_of_the_grace_runs_or_is_refused_by_its_door_time(after_ms, runs, read_late_ms):
+def test_an_attempt_near_the_end_of_the_drain_grace_is_judged_by_its_arrival_time(after_ms, runs, read_late_ms):
     node = PlannerHarness(max_notice_delay_ms=0.0)
     grace_ms = 300.0  # of the planner's settings
     notice_ms = node.now_ms
     node.decisions.handle(at.ShutdownNotice(6000.0))
-    door_ms = notice_ms + grace_ms + after_ms
-    node.now_ms = door_ms + read_late_ms
-    node.submit("a", arrival_ms=door_ms)
+    arrival_ms = notice_ms + grace_ms + after_ms
+    node.now_ms = arrival_ms + read_late_ms
+    node.submit("a", arrival_ms=arrival_ms)
     assert node.spawned() == (["a"] if runs else [])
     assert node.verdicts("a") == ([] if runs else [Verdict.REFUSED])
 
 
-def test_a_class_that_was_dropped_for_good_while_its_request_waited_is_refused_and_ends_nothing():
+def test_a_request_whose_class_expires_while_it_waits_is_refused():
     node = PlannerHarness()
     late = Attempt(
         "late",
@@ -82,15 +82,15 @@
     assert node.verdicts("late") == [Verdict.REFUSED]
 
 
-def test_what_has_run_is_never_turned_away():
-    told = []
-    attempt = Attempt("a", "pay", 0.0, 1.0, 1, b"", ran=True, on_answer=told.append)
+def test_an_attempt_that_ran_fails_instead_of_being_refused():
+    answers = []
+    attempt = Attempt("a", "pay", 0.0, 1.0, 1, b"", ran=True, on_answer=answers.append)
     assert attempt.settle(Answer(Verdict.REFUSED, retry_after_ms=5.0), 1.0)
-    assert told == [Answer(Verdict.FAILED)]
+    assert answers == [Answer(Verdict.FAILED)]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.MOOT, Outcome.UNREACHABLE])
-def test_a_run_proven_not_begun_is_refused_and_frees_its_key_and_its_followers(outcome):
+def test_a_run_that_never_began_is_refused_and_frees_its_key_and_followers(outcome):
     node = PlannerHarness()
     node.submit("a", "pay", request_key="k")
     node.submit("b", "pay", request_key="k")
@@ -101,14 +101,14 @@
     assert node.spawned() == ["a", "c"]
 
 
-def test_a_command_that_no_worker_takes_refuses_the_request_and_starts_nothing():
+def test_a_spawn_that_no_worker_accepts_refuses_the_request():
     node = PlannerHarness()
     node.ports.accepts_commands = False
     node.submit("a", "pay", request_key="k")
     assert node.verdicts("a") == [Verdict.REFUSED] and not node.decisions.keys.entries
 
 
-def test_a_call_that_is_not_taken_never_ran():
+def test_a_run_goes_on_without_a_call_that_the_vault_did_not_accept():
     node = PlannerHarness()
     node.submit("a")
     node.ports.accepts_commands = False
@@ -116,31 +116,31 @@
     assert ("pass", "a", 7) in node.ports.commands
 
 
-def test_a_caller_that_goes_while_held_leaves_its_key_free():
+def test_a_caller_that_disconnects_before_the_run_leaves_its_key_free():
     node = PlannerHarness()
-    held = [f"r{turn}" for turn in range(4)]
-    for request in held:
+    requests = [f"r{turn}" for turn in range(4)]
+    for request in requests:
         node.submit(request, "pay", request_key=request)
-    waiting = next(request for request in held if request not in node.spawned())
+    waiting = next(request for request in requests if request not in node.spawned())
     node.disconnect_caller(waiting)
     assert ("pay", waiting) not in node.decisions.keys.entries and not node.verdicts(waiting)
 
 
-def test_a_repeat_is_known_by_when_it_came_not_by_when_it_is_read():
+def test_a_repeat_is_recognized_by_its_arrival_time_not_by_when_it_is_read():
     node = PlannerHarness()
-    door = node.now_ms
+    first_arrival_ms = node.now_ms
     node.submit("a", "pay", request_key="k")
     node.decisions.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
     node.now_ms += 4000.0
     node.decisions.handle(at.Tick("tick"))
-    node.submit("b", "pay", request_key="k", arrival_ms=door + 1999.0)
+    node.submit("b", "pay", request_key="k", arrival_ms=first_arrival_ms + 1999.0)
     node.submit("other", "look", request_key="k")  # keys are scoped by class
     assert node.spawned() == ["a", "other"] and node.verdicts("b") == [Verdict.SERVED]
     node.submit("c", "pay", request_key="k")
     assert node.spawned() == ["a", "other", "c"]
 
 
-def test_a_full_key_table_starts_no_keyed_work_and_forgets_no_live_key():
+def test_a_full_key_table_refuses_new_keys_and_keeps_live_ones():
     node = PlannerHarness(max_keys=2)
     for request in "ab":
         node.submit(request, "pay", request_key=request)
@@ -152,7 +152,7 @@
     assert node.spawned() == ["a", "b", "e"]
 
 
-def test_results_are_booked_at_their_largest_until_they_are_known():
+def test_the_largest_result_is_reserved_until_the_result_is_known():
     limits = Limits(max_result_bytes=100, max_key_result_bytes=250)
     keys = KeyTable(limits)
     attempts = [Attempt(str(turn), "pay", 0.0, 1.0, 1, b"", request_key=str(turn)) for turn in range(3)]
@@ -162,12 +162,12 @@
     assert keys.is_full()
     keys.record_outcome(keys.entries["pay", "0"], Outcome.OK, b"x")
     assert not keys.is_full() and keys.reserved_bytes == 101
-    keys.purge(1e9, iter(["1"]))  # an open owner keeps its entry
+    keys.purge(1e9, iter(["1"]))  # the entry of an open owner stays
     assert list(keys.entries) == [("pay", "1")] and keys.reserved_bytes == 100
     assert keys.release(attempts[1]) == [] and keys.reserved_bytes == 0
 
 
-def test_a_run_never_heard_of_again_gives_its_place_back():
+def test_a_lost_run_gives_its_place_back():
     node = PlannerHarness()
     node.submit("a", "pay", request_key="k")
     for _ in range(40):
@@ -177,45 +177,45 @@
     assert not node.decisions.controller.work
 
 
-def test_a_full_mailbox_refuses_new_work_and_keeps_room_for_the_rest():
+def test_a_full_mailbox_refuses_new_requests_and_keeps_places_for_other_reports():
     node = PlannerHarness(mailbox_size=4, mailbox_reserve=2)
-    told = []
-    attempts = [Attempt(request, "look", node.now_ms, 1.0, 1, b"", on_answer=told.append) for request in "abcd"]
+    answers = []
+    attempts = [Attempt(request, "look", node.now_ms, 1.0, 1, b"", on_answer=answers.append) for request in "abcd"]
     for attempt in attempts:
         node.decisions.submit(attempt)
-    assert [answer.verdict for answer in told] == [Verdict.REFUSED, Verdict.REFUSED]
-    assert told[0].retry_after_ms == 800.0 and node.decisions.mailbox.offer(at.CallerDisconnected(attempts[0]))
-    box = Mailbox(1)
-    assert (box.offer(1), box.offer(2), box.take_now(), box.take_now()) == (True, False, 1, None)
+    assert [answer.verdict for answer in answers] == [Verdict.REFUSED, Verdict.REFUSED]
+    assert answers[0].retry_after_ms == 800.0 and node.decisions.mailbox.offer(at.CallerDisconnected(attempts[0]))
+    mailbox = Mailbox(1)
+    assert (mailbox.offer(1), mailbox.offer(2), mailbox.take_now(), mailbox.take_now()) == (True, False, 1, None)
 
 
-def test_a_full_mailbox_does_not_refuse_the_repeat_of_what_has_run():
+def test_a_full_mailbox_does_not_refuse_a_repeat_of_a_request_that_ran():
     node = PlannerHarness(mailbox_size=4, mailbox_reserve=2)
     node.submit("a", "pay", request_key="k")
     node.decisions.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
-    told = []
+    answers = []
     for request, class_name in (("b", "look"), ("c", "look"), ("d", "pay"), ("e", "pay"), ("f", "pay")):
         node.decisions.submit(
-            Attempt(request, class_name, node.now_ms, 1.0, 1, b"", request_key="k", on_answer=told.append)
+            Attempt(request, class_name, node.now_ms, 1.0, 1, b"", request_key="k", on_answer=answers.append)
         )
-    assert [answer.verdict for answer in told] == [Verdict.FAILED]
+    assert [answer.verdict for answer in answers] == [Verdict.FAILED]
     for _ in range(4):
         node.decisions.handle(node.decisions.mailbox.take_now())
-    assert told[1:] == [Answer(Verdict.SERVED, b"x")] * 2
+    assert answers[1:] == [Answer(Verdict.SERVED, b"x")] * 2
 
 
-def test_every_way_a_run_or_call_ends_has_an_outcome():
+def test_every_end_of_a_run_or_call_has_an_outcome():
     assert set(OUTCOMES.values()) == set(Outcome)
-    words = {
+    names_by_source = {
         "call": {"yes", "notnow", "failed", "overdue", "pointless"},
         "run": {"fine", "fault", "broken_off", "late", "unknown"},
         "link": {"refused", "broken", "silent"},
     }
-    assert {(by, word) for by in words for word in words[by]} == set(OUTCOMES)
+    assert {(source, name) for source in names_by_source for name in names_by_source[source]} == set(OUTCOMES)
 
 
 @pytest.mark.parametrize(
-    ("pairs", "cut"),
+    ("pairs", "missing_bytes"),
     [
         ([], 0),
         ([("A", "b"), ("HTTP_X", "")], 0),
@@ -225,11 +225,11 @@
         ([("A", "b")], 5),
     ],
 )
-def test_uwsgi_variables_there_and_back_and_cut_off(pairs, cut):
+def test_uwsgi_variables_round_trip_and_truncated_blocks_are_rejected(pairs, missing_bytes):
     packet = uwsgi.pack(pairs)
     assert uwsgi.block_size(packet[:4], 9999) == len(packet) - 4
-    block = packet[4 : len(packet) - cut]
-    if not cut:
+    block = packet[4 : len(packet) - missing_bytes]
+    if not missing_bytes:
         assert uwsgi.unpack(block) == dict(pairs)
     else:
         with pytest.raises(UnusableError) as caught:
@@ -238,24 +238,24 @@
 
 
 @pytest.mark.parametrize(
-    ("length", "found"), [("", 0), ("12", 12), ("13", 413), ("9" * 5000, 413), ("-1", 400), ("1.5", 400), ("٣", 400)]
+    ("length", "expected"), [("", 0), ("12", 12), ("13", 413), ("9" * 5000, 413), ("-1", 400), ("1.5", 400), ("٣", 400)]
 )
-def test_uwsgi_body_sizes(length, found):
-    if found < 400:
-        assert uwsgi.body_size({"CONTENT_LENGTH": length}, 12) == found
+def test_uwsgi_body_sizes_are_parsed_or_rejected(length, expected):
+    if expected < 400:
+        assert uwsgi.body_size({"CONTENT_LENGTH": length}, 12) == expected
     else:
         with pytest.raises(UnusableError) as caught:
             uwsgi.body_size({"CONTENT_LENGTH": length}, 12)
-        assert caught.value.status == found
+        assert caught.value.status == expected
 
 
-def test_a_field_given_twice_is_no_field():
+def test_a_duplicate_field_is_rejected():
     with pytest.raises(UnusableError, match="HTTP_X_UNIQUE"):
         uwsgi.unpack(uwsgi.pack([("HTTP_X_UNIQUE", "a"), ("HTTP_X_UNIQUE", "b")])[4:])
 
 
 @pytest.mark.parametrize(
-    ("text", "found"),
+    ("text", "expected"),
     [
         ("127.0.0.1:80", ("127.0.0.1", 80)),
         ("[::1]:9", ("::1", 9)),
@@ -265,54 +265,64 @@
         ("a:99999", None),
     ],
 )
-def test_addresses(text, found):
-    if found:
-        assert address(text) == found
+def test_addresses_are_parsed_or_rejected(text, expected):
+    if expected:
+        assert address(text) == expected
     else:
         with pytest.raises(ValueError, match="host:port"):
             address(text)
 
 
-def test_nested_settings_are_the_simulators_pairs():
-    told = {"a": {"b": [1, True, "x"], "c": [{"d": 0.5}, {"d": False}]}, "e": []}
-    assert flat(told) == {"a.b": "1,true,x", "a.c.count": "2", "a.c.0.d": "0.5", "a.c.1.d": "false", "e": ""}
+def test_nested_settings_are_flattened_to_the_simulators_pairs():
+    settings = {"a": {"b": [1, True, "x"], "c": [{"d": 0.5}, {"d": False}]}, "e": []}
+    assert flat(settings) == {"a.b": "1,true,x", "a.c.count": "2", "a.c.0.d": "0.5", "a.c.1.d": "false", "e": ""}
     assert benchlink.listed(flat({"e": []})["e"]) == []
 
 
-@pytest.mark.parametrize(("again", "verdict"), [(False, Verdict.REFUSED), (True, Verdict.FAILED)])
-def test_what_is_turned_away_for_want_of_a_connection_is_refused_unless_an_earlier_try_ran(again, verdict):
+@pytest.mark.parametrize(("marked_repeat", "verdict"), [(False, Verdict.REFUSED), (True, Verdict.FAILED)])
+def test_an_attempt_without_a_connection_is_refused_unless_an_earlier_try_ran(marked_repeat, verdict):
     node = PlannerHarness()
-    if again:
+    if marked_repeat:
         node.submit("first", "pay", request_key="k")
-    told = []
+    answers = []
     attempt = Attempt(
-        "second", "pay", node.now_ms, 10.0, 1, b"", request_key="k", marked_repeat=again, on_answer=told.append
+        "second",
+        "pay",
+        node.now_ms,
+        10.0,
+        1,
+        b"",
+        request_key="k",
+        marked_repeat=marked_repeat,
+        on_answer=answers.append,
     )
     node.decisions.reject(attempt)
-    assert [answer.verdict for answer in told] == [verdict]
+    assert [answer.verdict for answer in answers] == [verdict]
     assert "second" not in node.spawned()
     if verdict is Verdict.REFUSED:
-        assert told[0].retry_after_ms == 800.0
+        assert answers[0].retry_after_ms == 800.0
 
 
 @pytest.mark.anyio
-async def test_a_tick_is_handled_before_what_waits_in_the_mailbox():
-    """On a busy node hundreds of arrivals wait, and requests past their due time behind them."""
+async def test_a_tick_is_handled_before_the_reports_in_the_mailbox():
+    """On a busy node hundreds of arrivals wait in the mailbox, which would delay the answers that are due."""
     node = PlannerHarness()
-    attempt = node.submit("a")  # its run never ends
+    attempt = node.submit("a")  # its run does not end
     node.now_ms = attempt.deadline_at_ms - 50.0
     for number in range(200):
         node.decisions.submit(Attempt(f"b{number}", "look", node.now_ms, 10.0, 1, b"", on_answer=lambda answer: None))
-    gauges = GaugePlanner(Limits(), lambda: node.now_ms)
-    gauges.wake_at(node.now_ms, "tick")
+    planner = GaugePlanner(Limits(), lambda: node.now_ms)
+    planner.wake_at(node.now_ms, "tick")
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(gauges.run, Ungauged(), node.decisions.tick)
+        tasks.start_soon(planner.run, NoGauges(), node.decisions.tick)
         await anyio.wait_all_tasks_blocked()
         tasks.cancel_scope.cancel()
     assert node.verdicts("a") == [Verdict.FAILED]
     assert len(node.decisions.mailbox) == 200
 
 
-class Ungauged:
+class NoGauges:
+    """A source that has no gauges."""
+
     async def poll(self):
         return None
--- a/tests/core/test_patience.py
+++ b/tests/core/test_patience.py
@@ -1,4 +1,4 @@
-"""A caller that tells how long it waits gets its final answer within that time, and what is past it is never run."""
+"""A caller that says how long it waits gets its final answer in that time; an attempt past it never runs."""
 
 from __future__ import annotations
 
@@ -9,39 +9,42 @@
 from flintshift.core.attempts import Verdict
 from flintshift.interface import Outcome
 
-DEADLINE_MS = 900.0  # of both classes, as the planner's settings tell
+DEADLINE_MS = 900.0  # of both classes in the harness's settings
 TICK_MS = 40.0
 
 
 def answered_after_ms(node: PlannerHarness, request: str) -> float:
-    """Ticks until it is answered; returns how long that took."""
-    began = node.now_ms
-    while not node.verdicts(request) and node.now_ms < began + 3 * DEADLINE_MS:
+    """Ticks until the request is answered; returns how long that took."""
+    began_ms = node.now_ms
+    while not node.verdicts(request) and node.now_ms < began_ms + 3 * DEADLINE_MS:
         node.now_ms += TICK_MS
         node.decisions.handle(at.Tick("tick"))
-    return node.now_ms - began
+    return node.now_ms - began_ms
 
 
 @pytest.mark.parametrize(
-    ("allow_ms", "due_ms"), [(None, DEADLINE_MS), (300.0, 300.0), (599.5, 599.5), (5000.0, DEADLINE_MS)]
+    ("caller_timeout_ms", "answered_by_ms"),
+    [(None, DEADLINE_MS), (300.0, 300.0), (599.5, 599.5), (5000.0, DEADLINE_MS)],
 )
 @pytest.mark.parametrize("class_name", ["look", "pay"])
-def test_a_run_without_an_end_fails_when_its_caller_stops_waiting_or_its_class_gives_up(class_name, allow_ms, due_ms):
+def test_an_endless_run_fails_at_the_callers_timeout_or_the_class_deadline(
+    class_name, caller_timeout_ms, answered_by_ms
+):
     node = PlannerHarness()
-    node.submit("a", class_name, request_key="k" if class_name == "pay" else None, caller_timeout_ms=allow_ms)
+    node.submit("a", class_name, request_key="k" if class_name == "pay" else None, caller_timeout_ms=caller_timeout_ms)
     assert node.spawned() == ["a"]
-    assert due_ms - 3 * TICK_MS <= answered_after_ms(node, "a") <= due_ms
+    assert answered_by_ms - 3 * TICK_MS <= answered_after_ms(node, "a") <= answered_by_ms
     assert node.verdicts("a") == [Verdict.FAILED]
 
 
-@pytest.mark.parametrize(("allow_ms", "age_ms"), [(0.0, 0.0), (100.0, 100.0), (100.0, 700.0), (0.0, 50.0)])
-def test_what_is_past_its_time_when_it_is_read_is_refused_at_once_and_never_run(allow_ms, age_ms):
+@pytest.mark.parametrize(("caller_timeout_ms", "age_ms"), [(0.0, 0.0), (100.0, 100.0), (100.0, 700.0), (0.0, 50.0)])
+def test_an_attempt_read_past_its_deadline_is_refused_at_once_and_never_runs(caller_timeout_ms, age_ms):
     node = PlannerHarness()
-    node.submit("a", caller_timeout_ms=allow_ms, arrival_ms=node.now_ms - age_ms)
+    node.submit("a", caller_timeout_ms=caller_timeout_ms, arrival_ms=node.now_ms - age_ms)
     assert node.verdicts("a") == [Verdict.REFUSED] and node.spawned() == []
 
 
-def test_a_repeat_fails_when_its_own_caller_stops_waiting_and_the_first_try_runs_on():
+def test_a_repeat_fails_at_its_own_callers_timeout_while_the_first_try_runs_on():
     node = PlannerHarness()
     node.submit("a", "pay", request_key="k")
     node.submit("b", "pay", request_key="k", marked_repeat=True, caller_timeout_ms=200.0)
@@ -50,7 +53,7 @@
     assert node.verdicts("a") == [Verdict.SERVED] and node.spawned() == ["a"]
 
 
-def test_a_repeat_past_its_time_still_gets_the_result_that_is_kept():
+def test_a_repeat_past_its_deadline_still_gets_the_stored_result():
     node = PlannerHarness()
     node.submit("a", "pay", request_key="k")
     node.decisions.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
--- a/tests/core/test_waiting_claims.py
+++ b/tests/core/test_waiting_claims.py
@@ -1,4 +1,4 @@
-"""Keyed attempts that wait for others: who is answered when a caller goes, and how long a claim waits for its word."""
+"""Keyed attempts that wait for other processes: what a disconnect ends, and how long a claim waits for its answer."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from flintshift.interface import Effect, Outcome, RequestClass
 
 
-class Claims:
-    """The others, whose word comes when the test says so."""
+class ScriptedClaims:
+    """Other processes that answer claims when the test says so."""
 
     required = True
 
     def __init__(self):
-        self.asked, self.left, self.kept_ends = [], [], []
+        self.requested, self.cancelled, self.recorded = [], [], []
 
     def in_doubt(self, attempt):
         return False
 
     def request_claim(self, attempt):
-        self.asked.append(attempt.id)
+        self.requested.append(attempt.id)
 
     def cancel_claim(self, request):
-        self.left.append(request)
+        self.cancelled.append(request)
 
     def on_key_claimed(self, attempt):
         pass
 
     def record_outcome(self, attempt, outcome, result):
-        self.kept_ends.append(attempt.id)
+        self.recorded.append(attempt.id)
         return True
 
     def on_run_ended(self, attempt):
@@ -44,91 +44,95 @@
         pass
 
 
-def attempt(node, told):
+def make_attempt(node, verdicts):
     return at.Attempt(
-        "a", "pay", node.now_ms, 10.0, 1, b"", request_key="k", on_answer=lambda answer: told.append(answer.verdict)
+        "a", "pay", node.now_ms, 10.0, 1, b"", request_key="k", on_answer=lambda answer: verdicts.append(answer.verdict)
     )
 
 
-def asking():
-    """A planner whose claims are asked, and the first of two attempts under one id, which waits for the word."""
-    node, told = PlannerHarness(), []
-    node.claims = node.decisions.waiting_claims.claims = Claims()
-    first, second = attempt(node, told), attempt(node, [])
+def two_tries_under_one_id():
+    """A planner, the verdicts of a first attempt, which waits for its claim, and a second attempt under its id."""
+    node, verdicts = PlannerHarness(), []
+    node.claims = node.decisions.waiting_claims.claims = ScriptedClaims()
+    first, second = make_attempt(node, verdicts), make_attempt(node, [])
     for report in (at.Submitted(first), at.Submitted(second)):
         node.decisions.handle(report)
-    assert node.claims.asked == ["a"] and second.answer.verdict is Verdict.CONFLICT
-    return node, told, second
+    assert node.claims.requested == ["a"] and second.answer.verdict is Verdict.CONFLICT
+    return node, verdicts, second
 
 
-def test_the_caller_of_a_second_try_under_an_id_that_waits_for_a_claim_goes_and_the_first_goes_on():
-    node, told, second = asking()
+def test_a_disconnect_of_a_duplicate_id_does_not_end_the_first_attempts_claim():
+    node, verdicts, second = two_tries_under_one_id()
     node.decisions.handle(at.CallerDisconnected(second))
-    assert node.claims.left == []
+    assert node.claims.cancelled == []
     node.decisions.handle(at.ClaimAnswered("a", True))
     assert node.spawned() == ["a"]
     node.decisions.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
-    assert node.claims.kept_ends == ["a"] and told == []  # its end is to be kept first
+    assert node.claims.recorded == ["a"] and verdicts == []  # its outcome must be recorded first
     node.decisions.handle(at.CallerDisconnected(second))
     node.decisions.handle(at.OutcomeRecorded("a", Outcome.OK, b"x"))
-    assert told == [Verdict.SERVED] and node.decisions.open == 0
+    assert verdicts == [Verdict.SERVED] and node.decisions.open == 0
 
 
-class Ranks:
-    """Takes note of what the planner tells of a request's place."""
+class RecordingRanking:
+    """Records the planner's notifications about a request."""
 
     def __init__(self):
-        self.told = []
+        self.events = []
 
     def rank_ms(self, request):
         return 0.0
 
     def on_arrival(self, attempt):
-        self.told.append("arrived")
+        self.events.append("arrived")
 
     def on_start(self, request):
-        self.told.append("began")
+        self.events.append("began")
 
     def on_end(self, request, took_ms):
-        self.told.append("ended")
+        self.events.append("ended")
 
     def on_withdrawal(self, request):
-        self.told.append("left")
+        self.events.append("left")
 
 
-def test_the_caller_of_what_has_run_goes_before_its_end_is_kept_and_its_place_is_given_up_once():
-    node, told, _ = asking()
-    ranks = Ranks()
-    node.decisions.use_ranking(ranks)
+def test_a_disconnect_before_the_outcome_is_recorded_releases_the_place_once():
+    node, verdicts, _ = two_tries_under_one_id()
+    ranking = RecordingRanking()
+    node.decisions.use_ranking(ranking)
     node.decisions.handle(at.ClaimAnswered("a", True))
     node.decisions.handle(at.RunFinished("a", Outcome.OK, 1.0, b"x"))
     node.decisions.handle(at.CallerDisconnected(node.decisions.waiting_claims.awaiting_record["a"]))
-    assert ranks.told == ["arrived", "began", "ended"] and told == []
+    assert ranking.events == ["arrived", "began", "ended"] and verdicts == []
     node.decisions.handle(at.OutcomeRecorded("a", Outcome.OK, b"x"))
-    assert told == [] and node.decisions.counters["departed"] == 1 and not node.decisions.waiting_claims.awaiting_record
+    assert (
+        verdicts == []
+        and node.decisions.counters["departed"] == 1
+        and not node.decisions.waiting_claims.awaiting_record
+    )
 
 
-@pytest.mark.parametrize("again_before", [True, False])
-def test_the_caller_of_a_try_that_waits_for_a_claim_goes_and_nothing_of_it_runs(again_before):
-    node, told, second = asking()
+@pytest.mark.parametrize("second_disconnects", [True, False])
+def test_an_attempt_whose_caller_disconnects_while_it_waits_for_a_claim_never_runs(second_disconnects):
+    node, verdicts, second = two_tries_under_one_id()
     first = node.decisions.waiting_claims.awaiting_claim["a"]
-    if again_before:
+    if second_disconnects:
         node.decisions.handle(at.CallerDisconnected(second))
     node.decisions.handle(at.CallerDisconnected(first))
-    assert node.claims.left == ["a"]
-    node.decisions.handle(at.ClaimAnswered("a", True))  # the word comes late
-    assert node.spawned() == [] and told == [] and node.decisions.open == 0
+    assert node.claims.cancelled == ["a"]
+    node.decisions.handle(at.ClaimAnswered("a", True))  # the answer arrives late
+    assert node.spawned() == [] and verdicts == [] and node.decisions.open == 0
 
 
 @pytest.mark.parametrize(
-    ("allow_ms", "waits_ms"),
+    ("caller_timeout_ms", "waits_ms"),
     [(None, 750.0), (400.0, 250.0), (100.0, -50.0), (5000.0, 750.0)],
 )
-def test_a_claim_waits_for_the_other_process_until_shortly_before_its_own_answer_is_due(allow_ms, waits_ms):
+def test_a_claim_waits_until_shortly_before_the_attempts_own_deadline(caller_timeout_ms, waits_ms):
     limits = Limits(claim_timeout_ms=1000.0, claim_reserve_ms=150.0)
-    shared, now = SharedKeys(KeyTable(limits), limits), 1e6
-    one = at.Attempt("a", "pay", now, 10.0, 1, b"", request_key="k", caller_timeout_ms=allow_ms)
-    one.request_class = RequestClass("pay", 500.0, 900.0, 1.0, Effect.KEYED, repeat_window_ms=1e6)
-    shared.ask(now, one)
+    shared, now_ms = SharedKeys(KeyTable(limits), limits), 1e6
+    attempt = at.Attempt("a", "pay", now_ms, 10.0, 1, b"", request_key="k", caller_timeout_ms=caller_timeout_ms)
+    attempt.request_class = RequestClass("pay", 500.0, 900.0, 1.0, Effect.KEYED, repeat_window_ms=1e6)
+    shared.ask(now_ms, attempt)
     (claim,) = shared.agreement.pending.values()
-    assert claim.waiting == {"a": now + waits_ms}
+    assert claim.waiting == {"a": now_ms + waits_ms}
--- a/tests/planning.py
+++ b/tests/planning.py
@@ -1,4 +1,4 @@
-"""A decision planner with stand-ins for its ports and a clock that the test moves."""
+"""A test harness: a decision planner with stand-ins for its ports and a clock that the test sets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RecordingPorts:
-    """Workers and what lies below, which take commands while `room` lasts."""
+    """Workers and vault calls that record their commands, and accept them while `accepts_commands` is set."""
 
     def __init__(self):
         self.commands, self.accepts_commands = [], True
@@ -24,11 +24,11 @@
     def spawn(self, attempt):
         return self._record("spawn", attempt.id)
 
-    def supply(self, request, no, reply):
-        return self._record("supply", request, no, reply)
+    def supply(self, request, notice, reply):
+        return self._record("supply", request, notice, reply)
 
-    def continue_run(self, request, no):
-        return self._record("pass", request, no)
+    def continue_run(self, request, notice):
+        return self._record("pass", request, notice)
 
     def start_call(self, request, limit_ms, payload, once):
         return self._record("ask", request)
@@ -38,9 +38,11 @@
 
 
 class PlannerHarness:
+    """A planner with two classes: "look", which is safe and whose calls may be skipped, and the keyed "pay"."""
+
     def __init__(self, **limits):
         self.now_ms, self.answers, self.ports = 1_000_000.0, {}, RecordingPorts()
-        self.attempts = {}  # by id, the one submitted last
+        self.attempts = {}  # by id, the one that was submitted last
         kinds = [
             api.RequestClass("look", 500.0, 900.0, 1.0, api.Effect.SAFE, calls=True, skip_worth=0.5),
             api.RequestClass("pay", 500.0, 900.0, 1.0, api.Effect.KEYED, repeat_window_ms=2000.0, calls=True),
@@ -58,11 +60,11 @@
             call_share=10.0,
             call_window_ms=5000.0,
         )
-        sizes = Limits(**limits)
+        limits_in_use = Limits(**limits)
         self.decisions = Decisions(
-            Catalogue(settings, sizes),
+            Catalogue(settings, limits_in_use),
             1,
-            sizes,
+            limits_in_use,
             Counters(),
             lambda: self.now_ms,
             lambda at_ms, token: None,
@@ -72,6 +74,7 @@
         self.decisions.handle(at.WorkersUp())
 
     def submit(self, request, class_name="look", **changes):
+        """Read a request with this id; ``changes`` are fields of the attempt."""
         attempt = Attempt(
             request,
             class_name,
@@ -87,11 +90,13 @@
         return attempt
 
     def disconnect_caller(self, request):
-        """The caller of that attempt goes."""
+        """The caller of the attempt with this id disconnects."""
         self.decisions.handle(at.CallerDisconnected(self.attempts[request]))
 
     def verdicts(self, request):
+        """The verdicts of all answers under this id."""
         return [answer.verdict for answer in self.answers.get(request, [])]
 
     def spawned(self):
+        """The ids of all attempts that were spawned, in order."""
         return [command[1] for command in self.ports.commands if command[0] == "spawn"]
