--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -120,8 +120,8 @@
 
 
 async def test_the_tests_own_rig_leaves_no_process_where_its_start_fails(tmp_path):
-    rig = standins.Rig(tmp_path, more_settings="unknown: 1")
-    rig.within_s = 1.0
+    rig = standins.Rig(tmp_path, extra_settings="unknown: 1")
+    rig.start_timeout_s = 1.0
     with pytest.raises(TimeoutError):
         await rig.__aenter__()
     await all_ended([rig.process], (rig.pool, rig.vault, rig.names, rig.apps))
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -57,7 +57,7 @@
 }
 
 
-ids = itertools.count(1)
+request_numbers = itertools.count(1)
 
 
 def scripted_pool():
@@ -68,7 +68,7 @@
 def request_fields(class_name="submit-time", **changes):
     """The fields of a request; a change to None leaves a field out."""
     fields = {
-        "X-Job-Id": f"{next(ids):016x}",
+        "X-Job-Id": f"{next(request_numbers):016x}",
         "X-Door-Time": str(int(time.time() * 1000)),
         "X-Sender": "1",
         "X-Team": "muscat-striders",
@@ -77,7 +77,7 @@
         **changes,
     }
     if class_name == "submit-time" and "X-Unique" not in changes:
-        fields["X-Unique"] = f"key{next(ids)}"
+        fields["X-Unique"] = f"key{next(request_numbers)}"
     return {name: value for name, value in fields.items() if value is not None}
 
 
@@ -165,9 +165,9 @@
     folder: Path
     settings: dict = field(default_factory=lambda: SETTINGS)
     stop_ms: float = 3000.0
-    more_settings: str = ""  # of the operators' file
-    control: bool = False  # there is a control door
-    within_s: float = 10.0  # it serves
+    extra_settings: str = ""  # of the operators' file
+    with_control: bool = False  # there is a control door
+    start_timeout_s: float = 10.0  # it serves
 
     async def __aenter__(self):
         self.pool, self.vault, self.names = scripted_pool(), Vault(tells=True), Names(tells=True)
@@ -177,9 +177,9 @@
         self.dns = Dns(self.apps.port, tells=True)
         await self.dns.start()
         self.ports = dict(zip((*REQUEST_BYTES, "control"), free_ports(3), strict=True))
-        self.config, desks = self.folder / "config.json", self.folder / "flintshift.yaml"
+        self.config, operators_file = self.folder / "config.json", self.folder / "flintshift.yaml"
         self.configure()
-        desks.write_text(
+        operators_file.write_text(
             "\n".join(
                 (
                     "uwsgi:",
@@ -187,7 +187,7 @@
                     f"  listen: 127.0.0.1:{self.ports['uwsgi']}",
                     f"  resolver: 127.0.0.1:{self.dns.port}",
                     "  domain: desks.example",
-                    self.more_settings,
+                    self.extra_settings,
                 )
             )
         )
@@ -196,7 +196,7 @@
             "-m",
             "flintshift",
             "--settings",
-            str(desks),
+            str(operators_file),
             cwd=ROOT,
             env={**os.environ, "LB_CONFIG": str(self.config)},
             stderr=asyncio.subprocess.PIPE,
@@ -209,10 +209,10 @@
         return self
 
     async def _until_served(self):
-        await self.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"), within_s=self.within_s)
-        await self.dns.log.until(lambda entry: entry[0] == "update", within_s=self.within_s)
+        await self.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"), within_s=self.start_timeout_s)
+        await self.dns.log.until(lambda entry: entry[0] == "update", within_s=self.start_timeout_s)
         found = "query", "app1.desks.example. IN AAAA"
-        await self.dns.log.until(lambda entry: entry == found, within_s=self.within_s)
+        await self.dns.log.until(lambda entry: entry == found, within_s=self.start_timeout_s)
 
     def configure(self):
         self.config.write_text(
@@ -222,7 +222,7 @@
                 self.vault,
                 self.names,
                 self.settings,
-                self.ports["control"] if self.control else None,
+                self.ports["control"] if self.with_control else None,
                 self.stop_ms,
             )
         )
--- a/tests/wire/test_control_front.py
+++ b/tests/wire/test_control_front.py
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 async def rig(tmp_path):
-    async with Rig(tmp_path, control=True) as rig:
+    async with Rig(tmp_path, with_control=True) as rig:
         rig.pool.plan = dict.fromkeys(("race-results", "submit-time"), 0)
         yield rig
 
