--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: settings of an invented server and a controller with its clock, and the program among its stand-ins."""
+"""Fixtures: a controller with its clock and the settings of an example server, and the program among its stand-ins."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from flintshift.control import Controller
 from flintshift.lab.ports import PART
 
-if "PYTEST_XDIST_WORKER" in os.environ:  # workers run beside each other: each starts processes at ports of its own
+if "PYTEST_XDIST_WORKER" in os.environ:  # test workers run in parallel: each starts processes on ports of its own
     os.environ[PART] = f"{os.environ['PYTEST_XDIST_WORKER'][2:]}/{os.environ['PYTEST_XDIST_WORKER_COUNT']}"
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
 def known_red():
-    """The lines of KNOWN-RED.txt, by the test or file of tests that each names."""
+    """The lines of KNOWN-RED.txt, by the test or test file that each names."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     return {line.partition(": ")[0]: line for line in lines if line.strip()}
 
 
 def pytest_collection_modifyitems(items):
-    """Tests that are known to fail run, and their failures are told apart from others."""
+    """Run the tests that are known to fail, and report their failures as expected."""
     known = known_red()
     for item in items:
         for test, line in known.items():
@@ -41,27 +41,27 @@
 
 
 def child_processes():
-    """Those of this process that run, by number, with their command."""
-    found = {}
+    """The running child processes of this one: their commands by process id."""
+    commands = {}
     for stat in Path("/proc").glob("[0-9]*/stat"):
-        with contextlib.suppress(OSError):  # it has ended meanwhile
+        with contextlib.suppress(OSError):  # the process has ended meanwhile
             state, parent = stat.read_text().rpartition(")")[2].split()[:2]
             if int(parent) == os.getpid() and state != "Z":
                 command = (stat.parent / "cmdline").read_bytes().decode(errors="replace")
-                found[int(stat.parent.name)] = command.replace("\0", " ").strip()
-    return found
+                commands[int(stat.parent.name)] = command.replace("\0", " ").strip()
+    return commands
 
 
 @pytest.fixture(autouse=True)
-def no_process_outlives_its_test():
-    """A node that a test left behind would go on reporting, and meet the stand-ins of others."""
+def fail_on_leftover_processes():
+    """A node that a test left running would go on reporting, to the stand-ins of other tests."""
     before = child_processes()
     yield
-    left = {pid: command for pid, command in child_processes().items() if pid not in before}
-    for pid in left:
+    leftover = {pid: command for pid, command in child_processes().items() if pid not in before}
+    for pid in leftover:
         with contextlib.suppress(ProcessLookupError):
             os.kill(pid, signal.SIGKILL)
-    assert not left, f"left running by this test: {left}"
+    assert not leftover, f"left running by this test: {leftover}"
 
 
 SAFE = api.RequestClass("look", 1000.0, 3000.0, 1.0, api.Effect.SAFE)
@@ -71,10 +71,10 @@
 
 
 class Server:
-    """A controller with its clock; each step returns the actions."""
+    """A controller with its clock; each step returns the controller's actions."""
 
     def __init__(self, **changes: object) -> None:
-        base: dict = {
+        defaults: dict = {
             "classes": [SAFE, VALUABLE, KEYED, SKIPPABLE],
             "cores": 2,
             "memory_kb": 10_000.0,
@@ -90,19 +90,21 @@
             "advice_allowed": True,
             "advice_max_ms": 1000.0,
         }
-        self.control = Controller(api.Settings(**{**base, **changes}), seed=1)
+        self.control = Controller(api.Settings(**{**defaults, **changes}), seed=1)
         self.now = 1000.0
-        self.count = 0
+        self.request_count = 0
         self.start_actions = self.control.handle(self.now, api.Started())
 
     def step(self, event: api.Event, after_ms: float = 0.0) -> list[api.Action]:
+        """Handle an event after this time."""
         self.now += after_ms
         return self.control.handle(self.now, event)
 
     def arrive(self, name: str = "look", **changes: object) -> tuple[str, list[api.Action]]:
-        self.count += 1
-        given: dict = {"request": f"r{self.count}", "class_name": name, "held_kb": 10.0, **changes}
-        return given["request"], self.step(api.Arrived(**given))
+        """A request of this class arrives; returns its id and the actions."""
+        self.request_count += 1
+        fields: dict = {"request": f"r{self.request_count}", "class_name": name, "held_kb": 10.0, **changes}
+        return fields["request"], self.step(api.Arrived(**fields))
 
     def tick(self, after_ms: float = 40.0, **gauges: float) -> list[api.Action]:
         return self.step(api.Woken("tick", api.Gauges(**gauges)), after_ms)
@@ -117,7 +119,7 @@
         return self.step(api.CallEnded(request, outcome, took_ms))
 
     def fill(self, name: str = "look") -> list[str]:
-        """Arrivals until one is not started at once; returns those that run."""
+        """Requests arrive until one is not started at once; returns those that run."""
         running = []
         while True:
             request, actions = self.arrive(name)
@@ -128,6 +130,7 @@
 
 @pytest.fixture
 def make_server():
+    """The class `Server`, whose keywords change its settings."""
     return Server
 
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,5 +1,5 @@
-"""Callers that say what a test wants said, byte for byte, and the rig that starts the program among the project's
-stand-ins (`flintshift.lab.peers`), which keep a journal here."""
+"""Callers that send exactly the bytes that a test gives them, and the rig that starts the program among the project's
+stand-ins (`flintshift.lab.peers`), which keep a log of what they receive."""
 
 from __future__ import annotations
 
@@ -61,12 +61,12 @@
 
 
 def scripted_pool():
-    """A worker pool whose runs end by a test's plan alone."""
+    """A worker pool whose runs end only as a test plans it."""
     return Pool(tells=True, ends=False)
 
 
 def request_fields(class_name="submit-time", **changes):
-    """The fields of a request; a change to None leaves a field out."""
+    """The header fields of a request; a change to None omits a field."""
     fields = {
         "X-Job-Id": f"{next(request_numbers):016x}",
         "X-Door-Time": str(int(time.time() * 1000)),
@@ -82,6 +82,7 @@
 
 
 def http_bytes(class_name, body, fields, method="POST", path=None):
+    """A request over HTTP/1.1."""
     lines = [
         f"{method} {path or '/call/' + class_name} HTTP/1.1",
         "Host: api.internal",
@@ -93,6 +94,7 @@
 
 
 def uwsgi_bytes(class_name, body, fields, method="POST", path=None):
+    """A request over uwsgi."""
     variables = {
         "REQUEST_METHOD": method,
         "PATH_INFO": path or f"/call/{class_name}",
@@ -107,13 +109,15 @@
 
 @dataclass
 class Reply:
+    """An answer as a caller reads it, with lower-case header names."""
+
     status: int
     headers: dict[str, str]
     body: bytes
 
 
 class Caller:
-    """One connection to a front."""
+    """One connection to a front or a control port."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer = reader, writer
@@ -122,13 +126,15 @@
         self.writer.write(data)
 
     async def reply(self):
+        """Read one answer."""
         head = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), 10)
-        first, *lines = head.decode().split("\r\n")[:-2]
+        status_line, *lines = head.decode().split("\r\n")[:-2]
         headers = dict(line.lower().split(": ", 1) for line in lines)
         body = await self.reader.readexactly(int(headers["content-length"]))
-        return Reply(int(first.split(" ")[1]), headers, body)
+        return Reply(int(status_line.split(" ")[1]), headers, body)
 
     async def is_closed(self):
+        """Wait until the node closes the connection; False if it sends anything more."""
         try:
             return await asyncio.wait_for(self.reader.read(), 10) == b""
         except ConnectionResetError:
@@ -136,7 +142,7 @@
 
 
 async def control_call(port, method, path):
-    """A call at a control door: its status and its one line."""
+    """Send a request to a control port; returns the status and the single line of the answer."""
     caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
     caller.send(f"{method} {path} HTTP/1.1\r\nHost: n3\r\n\r\n".encode())
     reply = await caller.reply()
@@ -145,10 +151,11 @@
 
 
 def platform_file(http, pool, vault, names, settings, control=None, stop_ms=3000.0):
-    at = {"listen": http, "control": control, "pool": pool.port, "vault": vault.port, "naming": names.port}
+    """The text of the platform's configuration file, with these ports and stand-ins."""
+    ports = {"listen": http, "control": control, "pool": pool.port, "vault": vault.port, "naming": names.port}
     return json.dumps(
         {
-            **{name: f"127.0.0.1:{port}" for name, port in at.items() if port},
+            **{name: f"127.0.0.1:{port}" for name, port in ports.items() if port},
             "name": "n3",
             "seed": "8c1f30d27a5be964",
             "stop_ms": stop_ms,
@@ -160,14 +167,14 @@
 
 @dataclass
 class Rig:
-    """The program among its stand-ins."""
+    """The program, started as a process among its stand-ins."""
 
     folder: Path
     settings: dict = field(default_factory=lambda: SETTINGS)
     stop_ms: float = 3000.0
-    extra_settings: str = ""  # of the operators' file
-    with_control: bool = False  # there is a control door
-    start_timeout_s: float = 10.0  # it serves
+    extra_settings: str = ""  # further lines of the operators' file
+    with_control: bool = False  # the node listens on a control port
+    start_timeout_s: float = 10.0  # until the node serves
 
     async def __aenter__(self):
         self.pool, self.vault, self.names = scripted_pool(), Vault(tells=True), Names(tells=True)
@@ -203,7 +210,7 @@
         )
         try:
             await self._until_served()
-        except BaseException:  # nobody else ends what was started: a node left behind goes on reporting
+        except BaseException:  # nobody else would end the node, which would go on reporting
             await self.__aexit__()
             raise
         return self
@@ -211,10 +218,11 @@
     async def _until_served(self):
         await self.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"), within_s=self.start_timeout_s)
         await self.dns.log.until(lambda entry: entry[0] == "update", within_s=self.start_timeout_s)
-        found = "query", "app1.desks.example. IN AAAA"
-        await self.dns.log.until(lambda entry: entry == found, within_s=self.start_timeout_s)
+        last_query = "query", "app1.desks.example. IN AAAA"
+        await self.dns.log.until(lambda entry: entry == last_query, within_s=self.start_timeout_s)
 
     def configure(self):
+        """Write the platform's configuration file."""
         self.config.write_text(
             platform_file(
                 self.ports["http"],
@@ -236,9 +244,11 @@
         self.dns.transport.close()
 
     async def connect(self, front):
+        """A caller connected to this front."""
         return Caller(*await asyncio.open_connection("127.0.0.1", self.ports[front]))
 
     async def ask(self, front, class_name="submit-time", body=b"12:01.5", fields=None, **more):
+        """Send one request on a connection of its own; returns the answer."""
         caller = await self.connect(front)
         caller.send(REQUEST_BYTES[front](class_name, body, fields or request_fields(class_name), **more))
         reply = await caller.reply()
@@ -246,15 +256,19 @@
         return reply
 
     async def call(self, method, path):
+        """Send a request to the control port."""
         return await control_call(self.ports["control"], method, path)
 
     async def counters(self):
+        """The counters that the node prints at a signal."""
         self.process.send_signal(signal.SIGUSR1)
         return Counter(json.loads(await asyncio.wait_for(self.process.stderr.readline(), 10))["counters"])
 
     async def leave(self):
+        """Send the notice to leave; returns once the node has withdrawn from the name service."""
         self.process.send_signal(signal.SIGTERM)
         await self.names.log.until(lambda entry: entry[1] == "no")
 
     def runs(self):
+        """All runs that the worker pool and the app server received."""
         return self.pool.spawns() + self.apps.log.entries
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Structured logging: forms, levels, and repeats held back."""
+"""Structured logging: formats, levels, suppressed repeats and write errors."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from flintshift.settings.options import LogOptions
 
 
-def test_json_lines_carry_what_is_bound():
+def test_json_lines_contain_the_bound_fields():
     sink = io.StringIO()
-    log, requests_too = open_log(LogOptions("json", "debug", 0.0), "n1", sink)
+    log, logs_requests = open_log(LogOptions("json", "debug", 0.0), "n1", sink)
     log("debug", "request.answered", request="00aa", club="a")
-    told = json.loads(sink.getvalue())
-    assert requests_too and told.pop("timestamp").endswith("Z")
-    assert told == {"node": "n1", "level": "debug", "event": "request.answered", "request": "00aa", "club": "a"}
+    line = json.loads(sink.getvalue())
+    assert logs_requests and line.pop("timestamp").endswith("Z")
+    assert line == {"node": "n1", "level": "debug", "event": "request.answered", "request": "00aa", "club": "a"}
 
 
-def test_text_is_one_line_and_levels_are_kept():
+def test_text_is_one_line_and_lower_levels_are_dropped():
     sink = io.StringIO()
-    log, requests_too = open_log(LogOptions("text", "warning", 0.0), "n1", sink)
+    log, logs_requests = open_log(LogOptions("text", "warning", 0.0), "n1", sink)
     log("info", "left.out")
     log("error", "kept", cause="two words\nand a line")
-    assert not requests_too and sink.getvalue().count("\n") == 1
+    assert not logs_requests and sink.getvalue().count("\n") == 1
     assert 'level=error node=n1 event=kept cause="two words' in sink.getvalue()
 
 
-def test_repeats_are_held_back_counted_and_bounded():
+def test_repeats_are_suppressed_counted_and_bounded():
     now = [0.0]
     repeats = Repeats(1000.0, lambda: now[0])
     assert repeats(None, "info", {"event": "a"}) == {"event": "a"}
@@ -45,21 +45,21 @@
     assert len(repeats.known) <= MOST_KNOWN
 
 
-def test_a_line_that_cannot_be_written_ends_nothing_and_is_counted():
-    class Full(io.StringIO):
-        full = True
+def test_a_line_that_cannot_be_written_is_counted():
+    class FullDisk(io.StringIO):
+        is_full = True
 
         def write(self, text):
-            if self.full:
+            if self.is_full:
                 raise OSError(28, "No space left on device")
             return super().write(text)
 
-    sink = Full()
+    sink = FullDisk()
     log, _ = open_log(LogOptions("json", "info", 0.0), "n1", sink)
     log("info", "a")
     log("info", "b")
-    sink.full = False
+    sink.is_full = False
     log("info", "c")
     log("info", "d")
-    told = [json.loads(line) for line in sink.getvalue().splitlines()]
-    assert [(line["event"], line.get("lines_lost")) for line in told] == [("c", 2), ("d", None)]
+    lines = [json.loads(line) for line in sink.getvalue().splitlines()]
+    assert [(line["event"], line.get("lines_lost")) for line in lines] == [("c", 2), ("d", None)]
