--- a/flintshift/core/attempts.py
+++ b/flintshift/core/attempts.py
@@ -10,13 +10,11 @@
 
 from flintshift.interface import Gauges, Learned, Outcome, RequestClass
 
-NEVER_RAN = frozenset(
-    {Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.MOOT}
-)  # outcomes that prove that a run never began
+NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.MOOT})  # these prove that a run never began
 
 
 class Verdict(Enum):
-    """How the final answer to an attempt turned out."""
+    """The kind of a final answer."""
 
     SERVED = "served"
     REFUSED = "refused"  # this attempt never ran
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -109,7 +109,7 @@
 
 @dataclass
 class Reply:
-    """An answer as a caller reads it, with lower-case header names."""
+    """An answer as a caller reads it, with its headers in lower case."""
 
     status: int
     headers: dict[str, str]
