--- a/flintshift/lifecycle/agreeing.py
+++ b/flintshift/lifecycle/consensus_in_upgrade.py
@@ -8,7 +8,7 @@
 
 from flintshift.core.attempts import Attempt
 from flintshift.interface import Outcome
-from flintshift.lifecycle.copied_claims import CopiedClaims
+from flintshift.lifecycle.replicated_claims import CopiedClaims
 from flintshift.lifecycle.upgrade import Upgrade
 
 
--- a/flintshift/lifecycle/durable_parts.py
+++ b/flintshift/lifecycle/durable_state.py
@@ -20,7 +20,7 @@
 from flintshift.storage.snapshot import DamagedError
 
 if TYPE_CHECKING:
-    from flintshift.lifecycle.copying import Copying
+    from flintshift.lifecycle.replication import Copying
     from flintshift.usage.ledger import Ledger
 
 UNUSABLE = (OSError, LockedError, DamagedError)
@@ -32,11 +32,11 @@
     Raises:
         ConfigError: it can't be opened, or not in time.
     """
-    from flintshift.lifecycle import books
+    from flintshift.lifecycle import usage_recording
 
     copies = config.operators.copies
     opened = partial(
-        books.open_ledger,
+        usage_recording.open_ledger,
         config.name,
         config.settings,
         options,
@@ -64,7 +64,7 @@
     Raises:
         ConfigError: it can't be used, or not in time.
     """
-    from flintshift.lifecycle.copying import Copying
+    from flintshift.lifecycle.replication import Copying
 
     if config.name not in peers.members:
         raise ConfigError(f"this node, {config.name}, is none of peers.members: {', '.join(peers.members)}")
--- a/flintshift/lifecycle/held_copies.py
+++ b/flintshift/lifecycle/ledger_replicas.py
@@ -13,7 +13,7 @@
 
 from flintshift.core.counters import Counters
 from flintshift.core.ports import Log
-from flintshift.lifecycle.taken_ledgers import TakenLedgers
+from flintshift.lifecycle.ledger_takeover import TakenLedgers
 from flintshift.replication import logs
 from flintshift.replication.log_holders import HolderConfig, LogReplicas
 from flintshift.replication.logs import LogId
--- a/flintshift/lifecycle/use_copies.py
+++ b/flintshift/lifecycle/ledger_replication.py
@@ -1,5 +1,5 @@
 """The ledger of use on further members: this member's own is written to others here; their copies on this member stand
-in `held_copies.py`, and those that it goes on with in `taken_ledgers.py`. The rules are `replication.logs`.
+in `ledger_replicas.py`, and those that it goes on with in `ledger_takeover.py`. The rules are `replication.logs`.
 
 Imported only where copies and the ledger of use are both on.
 """
@@ -12,9 +12,9 @@
 
 import anyio
 
-from flintshift.lifecycle.books import open_folder
-from flintshift.lifecycle.held_copies import REFUSED, HeldCopies
-from flintshift.lifecycle.taken_ledgers import TakenLedgers
+from flintshift.lifecycle.ledger_replicas import REFUSED, HeldCopies
+from flintshift.lifecycle.ledger_takeover import TakenLedgers
+from flintshift.lifecycle.usage_recording import open_folder
 from flintshift.replication import logs
 from flintshift.replication.log_writer import LogWriter
 from flintshift.replication.logs import LogId
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -47,12 +47,12 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from flintshift.lifecycle.books import Books
-    from flintshift.lifecycle.copying import Copying
     from flintshift.lifecycle.fair_door import FairDoor
+    from flintshift.lifecycle.replication import Copying
     from flintshift.lifecycle.start_permits import StartPermits
     from flintshift.lifecycle.starting import Starting
     from flintshift.lifecycle.upgrade import Upgrade
+    from flintshift.lifecycle.usage_recording import Books
     from flintshift.startup.backoff import Uniform
     from flintshift.usage.ledger import Ledger
     from flintshift.wire.control_front import ControlFront
@@ -192,15 +192,15 @@
         self.upgrade = Upgrade(self)
         self.decisions.waiting_claims.claims = self.upgrade
         if self.copying is not None:
-            from flintshift.lifecycle.agreeing import Agreeing
+            from flintshift.lifecycle.consensus_in_upgrade import Agreeing
 
             self.decisions.waiting_claims.claims = Agreeing(self.upgrade, self.copying.claims)
         for front, _ in self.fronts:
             front.leave()  # until it is known that this process takes the clients
 
     def _keep_books(self, options: UsageOptions) -> None:
-        from flintshift.lifecycle.books import Books
-        from flintshift.lifecycle.durable_parts import open_ledger
+        from flintshift.lifecycle.durable_state import open_ledger
+        from flintshift.lifecycle.usage_recording import Books
 
         self.ledger = open_ledger(self.config, options, self.log, self.retry)
         books = self.books = Books(self.ledger, self.config.settings, self.now_ms.steady_ms)
@@ -214,7 +214,7 @@
             self.actors.append(open_export(self.ledger, options, self.log))
 
     def _keep_copies(self, peers: PeersOptions, options: CopiesOptions) -> None:
-        from flintshift.lifecycle.durable_parts import copy_ledger, open_copies
+        from flintshift.lifecycle.durable_state import copy_ledger, open_copies
         from flintshift.replication.store import STATUS_SOCKET
 
         copying = open_copies(
--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/replication.py
@@ -25,9 +25,9 @@
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log
 from flintshift.interface import Outcome
-from flintshift.lifecycle.copied_claims import CopiedClaims
-from flintshift.lifecycle.copies_status import copies_status
 from flintshift.lifecycle.replica_store import ReplicaStore
+from flintshift.lifecycle.replicated_claims import CopiedClaims
+from flintshift.lifecycle.replication_status import copies_status
 from flintshift.peers import members as who
 from flintshift.proto import peers_pb2 as pb
 from flintshift.replication import logs
@@ -58,8 +58,8 @@
 from flintshift.wire.peer_link import Greeting, OutLink, PeerFront
 
 if TYPE_CHECKING:
+    from flintshift.lifecycle.ledger_replication import UseCopies
     from flintshift.lifecycle.start_permits import StartPermits
-    from flintshift.lifecycle.use_copies import UseCopies
     from flintshift.usage.ledger import Ledger
 
 SOON_MS = 5.0  # a proposal's time may be passed by so much
@@ -155,8 +155,8 @@
         Raises:
             OSError, LockedError: the folder can't be used.
         """
-        from flintshift.lifecycle.held_copies import HeldCopies
-        from flintshift.lifecycle.use_copies import UseCopies
+        from flintshift.lifecycle.ledger_replicas import HeldCopies
+        from flintshift.lifecycle.ledger_replication import UseCopies
 
         holder = HeldCopies(
             self.name,
--- a/flintshift/lifecycle/copies_status.py
+++ b/flintshift/lifecycle/replication_status.py
@@ -7,7 +7,7 @@
 from flintshift.peers import members as who
 
 if TYPE_CHECKING:
-    from flintshift.lifecycle.copying import Copying
+    from flintshift.lifecycle.replication import Copying
 
 
 def copies_status(copying: Copying) -> dict[str, Any]:
--- a/tests/replication/test_usage_replica_refusals.py
+++ b/tests/replication/test_usage_replica_refusals.py
@@ -23,8 +23,8 @@
 from usage.test_ledger_stops import FOLDER, START_MS, SimulatedLedger
 
 from flintshift.core.counters import Counters
-from flintshift.lifecycle.held_copies import HeldCopies
-from flintshift.lifecycle.use_copies import AGAIN_MS, UseCopies
+from flintshift.lifecycle.ledger_replicas import HeldCopies
+from flintshift.lifecycle.ledger_replication import AGAIN_MS, UseCopies
 from flintshift.replication import logs
 from flintshift.replication.log_holders import HolderConfig
 from flintshift.replication.log_writer import LogWriter, ReplicaState
