--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -52,7 +52,7 @@
     from flintshift.lifecycle.start_permits import StartPermits
     from flintshift.lifecycle.starting import Starting
     from flintshift.lifecycle.upgrade import Upgrade
-    from flintshift.lifecycle.usage_recording import Books
+    from flintshift.lifecycle.usage_recording import LedgerRecorder
     from flintshift.startup.backoff import Uniform
     from flintshift.usage.ledger import Ledger
     from flintshift.wire.control_front import ControlFront
@@ -109,7 +109,7 @@
     def _wire_operators(self, options: Operators) -> None:
         """The parts that the operators' file switches on; each is imported only then."""
         self.ledger: Ledger | None = None
-        self.books: Books | None = None
+        self.books: LedgerRecorder | None = None
         self.fair: FairDoor | None = None
         self.copying: Copying | None = None
         self.starting: Starting | None = None
@@ -200,10 +200,10 @@
 
     def _keep_books(self, options: UsageOptions) -> None:
         from flintshift.lifecycle.durable_state import open_ledger
-        from flintshift.lifecycle.usage_recording import Books
+        from flintshift.lifecycle.usage_recording import LedgerRecorder
 
         self.ledger = open_ledger(self.config, options, self.log, self.retry)
-        books = self.books = Books(self.ledger, self.config.settings, self.now_ms.steady_ms)
+        books = self.books = LedgerRecorder(self.ledger, self.config.settings, self.now_ms.steady_ms)
         self.decisions.runs.usage_recorder = books
         for front, _ in self.fronts:
             front.books = books
--- a/flintshift/lifecycle/usage_recording.py
+++ b/flintshift/lifecycle/usage_recording.py
@@ -37,7 +37,7 @@
     """Whom a settled attempt tells."""
 
 
-class Books:
+class LedgerRecorder:
     """Makes a claim of each final answer, and a mark once it was written. ``steady_ms`` turns a time of the node's
     clock into one of the ledger's steady clock, by which held answers are due."""
 
