--- a/flintshift/cli/usage.py
+++ b/flintshift/cli/usage.py
@@ -364,7 +364,7 @@
     """
     import anyio
 
-    from flintshift.lifecycle.exports import export_run
+    from flintshift.lifecycle.exports import create_export
     from flintshift.settings.options import ExportOptions, HttpSinkOptions
 
     told = options.export if options is not None else None
@@ -384,7 +384,7 @@
         elif level in ("warning", "error"):
             click.echo(f"{event}: " + " ".join(f"{name}={value}" for name, value in more.items()), err=True)
 
-    runs = export_run(folder, told, say, until_done=True)
+    runs = create_export(folder, told, say, until_done=True)
 
     async def deliver() -> None:
         with anyio.move_on_after(wait):
--- a/flintshift/lifecycle/exports.py
+++ b/flintshift/lifecycle/exports.py
@@ -20,7 +20,7 @@
 from flintshift.usage.ledger import Ledger
 from flintshift.usage.sinks import FolderSink, HttpSink, Sink
 
-AGAIN_S = 30.0  # after what stopped an exporter: a disk that refuses, or a file that was damaged
+RESTART_DELAY_S = 30.0  # after what stopped an exporter: a disk that refuses, or a file that was damaged
 
 
 def sinks_of(options: ExportOptions, files: Files, ledger: str = "") -> dict[str, Sink]:
@@ -32,7 +32,7 @@
     return sinks
 
 
-def export_run(
+def create_export(
     folder: Path,
     options: ExportOptions,
     log: Log,
@@ -59,7 +59,7 @@
     )
 
 
-def open_export(ledger: Ledger, usage: UsageOptions, log: Log) -> Callable[[], Coroutine[Any, Any, None]]:
+def create_export_actor(ledger: Ledger, usage: UsageOptions, log: Log) -> Callable[[], Coroutine[Any, Any, None]]:
     """The exporter as an actor of the node. What stops it stops no request: it is told, and begun again later."""
     options = usage.export
     assert options is not None
@@ -67,7 +67,7 @@
     async def run() -> None:
         while True:
             copies = ledger.replication
-            export = export_run(
+            export = create_export(
                 usage.folder,
                 options,
                 log,
@@ -83,6 +83,6 @@
                     await export.run()
                 except* (OSError, DamagedError) as errors:
                     log("error", "export.stopped", cause="; ".join(map(str, errors.exceptions)))
-                await anyio.sleep(AGAIN_S)
+                await anyio.sleep(RESTART_DELAY_S)
 
     return run
--- a/flintshift/lifecycle/ledger_takeover.py
+++ b/flintshift/lifecycle/ledger_takeover.py
@@ -13,7 +13,7 @@
 
 from flintshift.core.counters import Counters
 from flintshift.core.ports import Log
-from flintshift.lifecycle.exports import AGAIN_S, export_run
+from flintshift.lifecycle.exports import RESTART_DELAY_S, create_export
 from flintshift.replication import logs
 from flintshift.replication.log_holders import LogReplicas
 from flintshift.replication.log_writer import LogWriter
@@ -172,7 +172,7 @@
         assert self.usage.export is not None and taken.exporting is not None
         with taken.exporting:
             while True:
-                export = export_run(
+                export = create_export(
                     taken.replica.folder,
                     self.usage.export,
                     self.log,
@@ -186,7 +186,7 @@
                     await export.run()
                 except* REFUSED as errors:
                     self.log("error", "export.stopped", cause="; ".join(map(str, errors.exceptions)))
-                await anyio.sleep(AGAIN_S)
+                await anyio.sleep(RESTART_DELAY_S)
 
     def leave(self, log: LogId) -> None:
         """Another goes on with it, or it is over."""
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -209,9 +209,9 @@
             front.books = books
         self.actors.append(self.ledger.run)
         if options.export is not None:
-            from flintshift.lifecycle.exports import open_export
+            from flintshift.lifecycle.exports import create_export_actor
 
-            self.actors.append(open_export(self.ledger, options, self.log))
+            self.actors.append(create_export_actor(self.ledger, options, self.log))
 
     def _keep_copies(self, peers: PeersOptions, options: CopiesOptions) -> None:
         from flintshift.lifecycle.durable_state import copy_ledger, open_copies
--- a/tests/usage/test_export.py
+++ b/tests/usage/test_export.py
@@ -296,7 +296,7 @@
 @pytest.mark.anyio
 async def test_an_exporter_that_the_disk_stopped_is_restarted_in_the_node(tmp_path, monkeypatch):
     data_by_name, events = folder_with(tmp_path / "u", 2), []
-    monkeypatch.setattr(exports, "AGAIN_S", 0.05)
+    monkeypatch.setattr(exports, "RESTART_DELAY_S", 0.05)
     options = ExportOptions(tmp_path / "out", None, 1.0, 10.0, 100)
     usage = UsageOptions(tmp_path / "u", 1000, 0, "none", 0.0, "serve", 1 << 20, 0, options)
 
@@ -312,7 +312,7 @@
     ledger = SimpleNamespace(
         folder=SimpleNamespace(files=RefusingFiles()), on_documents_published=None, replication=None
     )
-    run = exports.open_export(ledger, usage, lambda level, event, **fields: events.append(event))
+    run = exports.create_export_actor(ledger, usage, lambda level, event, **fields: events.append(event))
     with anyio.move_on_after(10):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(run)
