--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -242,9 +242,9 @@
                 self.bound,
                 self.decisions.serving_status.workers_up,
                 self.registration.accepted_reports > 0,
-                permits is None or permits.starter.proceeded,
+                permits is None or permits.requester.proceeded,
             ),
-            permits.done if permits is not None else lambda: None,
+            permits.finish if permits is not None else lambda: None,
             self.uniform,
             self.counters,
             self.log,
@@ -416,7 +416,7 @@
             and posture.workers_up
             and not posture.draining
             and self.alone()
-            and not self.permits.may_go()
+            and not self.permits.may_proceed()
         ):
             return  # told again once it may
         if posture.workers_up or posture.draining:
--- a/flintshift/lifecycle/replication.py
+++ b/flintshift/lifecycle/replication.py
@@ -317,7 +317,7 @@
                 case who.Accused():
                     self._members(word)
                 case PermitRequest() if self.permits is not None:
-                    self.permits.asked(identity, word)
+                    self.permits.on_request(identity, word)
                 case PermitRequest():  # this member's file names no startup.at-once: it holds nobody up
                     self.front.send(identity, Permit(word.number, True))
                 case _ if self.use is not None:
@@ -336,7 +336,7 @@
                 case logs.ReplicaStatus() if self.use is not None:
                     self.use.answered(member, word)
                 case Permit() if self.permits is not None:
-                    self.permits.answered(member, word)
+                    self.permits.on_permit(member, word)
                 case who.Accused():
                     self._members(word)
 
--- a/flintshift/lifecycle/start_permits.py
+++ b/flintshift/lifecycle/start_permits.py
@@ -43,32 +43,32 @@
     ) -> None:
         self.name, self.identity, self.reached = name, identity, reached
         self.send, self.answer, self.go, self.counters, self.log = send, answer, go, counters, log
-        self.starter = PermitRequester(name, members, uniform)
+        self.requester = PermitRequester(name, members, uniform)
         self.granter = PermitGranter(at_once, lives)
 
     @staticmethod
     def _now() -> float:
         return time.monotonic() * 1000
 
-    def may_go(self) -> bool:
+    def may_proceed(self) -> bool:
         """Ask, if it has not been asked."""
-        self._act(self.starter.request_permit(self._now(), self.reached))
-        return self.starter.proceeded
+        self._act(self.requester.request_permit(self._now(), self.reached))
+        return self.requester.proceeded
 
     def tick(self) -> None:
-        self._act(self.starter.tick(self._now(), self.reached))
+        self._act(self.requester.tick(self._now(), self.reached))
 
-    def done(self) -> None:
-        self._act(self.starter.finish())
+    def finish(self) -> None:
+        self._act(self.requester.finish())
 
-    def asked(self, identity: str, word: PermitRequest) -> None:
+    def on_request(self, identity: str, word: PermitRequest) -> None:
         told = self.granter.on_request(self._now(), identity, word)
         if told is not None:
             self.counters.add("startup.permits_granted" if told.granted else "startup.permits_refused")
             self.answer(identity, told)
 
-    def answered(self, member: str, permit: Permit) -> None:
-        self._act(self.starter.on_permit(self._now(), member, permit))
+    def on_permit(self, member: str, permit: Permit) -> None:
+        self._act(self.requester.on_permit(self._now(), member, permit))
 
     def _act(self, actions: list[Action]) -> None:
         for action in actions:
@@ -76,12 +76,12 @@
                 case SendPermitRequest(to, word) if to == self.name:
                     told = self.granter.on_request(self._now(), self.identity, word)
                     if told is not None:
-                        self.answered(self.name, told)
+                        self.on_permit(self.name, told)
                 case SendPermitRequest(to, word):
                     self.send(to, word)
                 case Proceed(cause, after_ms):
                     self.log("info", "startup.goes_on", cause=cause, after_ms=round(after_ms))
                     self.go()
 
-    def shown(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         return {"held": sorted(self.granter.granted_until_ms), "waiting": sorted(self.granter.waiting)}
