--- a/flintshift/lifecycle/ledger_replicas.py
+++ b/flintshift/lifecycle/ledger_replicas.py
@@ -13,7 +13,7 @@
 
 from flintshift.core.counters import Counters
 from flintshift.core.ports import Log
-from flintshift.lifecycle.ledger_takeover import TakenLedgers
+from flintshift.lifecycle.ledger_takeover import LedgerTakeovers
 from flintshift.replication import logs
 from flintshift.replication.log_holders import HolderConfig, LogReplicas
 from flintshift.replication.logs import LogId
@@ -34,7 +34,7 @@
     """``send`` speaks to a member, ``answer`` to one that asked. ``taken`` is what becomes of those whose writer is
     dead; it is set before anything is held."""
 
-    taken: TakenLedgers
+    takeovers: LedgerTakeovers
 
     def __init__(
         self,
@@ -127,7 +127,7 @@
             replica.mark_in_doubt()
         if replica is None:
             self.held_logs.discard(log)
-        elif log not in self.taken.table:
+        elif log not in self.takeovers.table:
             state, last = replica.state, replica.last if known else logs.NO_POSITION
             sure = known and replica.complete
             self.held_logs.reset_to_disk(log, state.promised, state.by, last, sure, state.over, known)
@@ -138,7 +138,7 @@
             ledger=log[0],
             cause=str(error),
             then="tried again"
-            if log in self.taken.table
+            if log in self.takeovers.table
             else "it goes on from what it holds"
             if replica is not None and self.held_logs.table[log].complete
             else "it is filled anew by whoever writes that ledger",
@@ -149,7 +149,7 @@
         for log in [log for log, due_ms in self.refused.items() if now >= due_ms]:
             del self.refused[log]
             held = self.held_logs.table.get(log)
-            if held is not None and not held.finished and log not in self.taken.table:
+            if held is not None and not held.finished and log not in self.takeovers.table:
                 self.answer(
                     held.promised_to, logs.ReplicaStatus(log, logs.ReplicaVerdict.GAP, held.promised, held.last)
                 )
@@ -158,7 +158,7 @@
         """Look again at copies that could not be read."""
         for log, held in list(self.held_logs.table.items()):
             replica = self.replicas.get(log)
-            if held.readable or replica is None or log in self.taken.table or not self._recovered(log, replica):
+            if held.readable or replica is None or log in self.takeovers.table or not self._recovered(log, replica):
                 continue
             state = replica.state
             sure = replica.complete
@@ -209,10 +209,10 @@
             case logs.SendToHolder(member, word):
                 self.send(member, word)
             case logs.TakenOver():
-                self.taken.take(action)
+                self.takeovers.begin(action)
             case logs.MarkFinished(_, epoch):
                 self.replicas[log].mark_finished(epoch)
-                self.taken.leave(log)
+                self.takeovers.stop(log)
             case logs.DeleteReplica():
                 self.replicas.pop(log).delete()
             case logs.AbandonLog(_, of):
--- a/flintshift/lifecycle/ledger_replication.py
+++ b/flintshift/lifecycle/ledger_replication.py
@@ -13,7 +13,7 @@
 import anyio
 
 from flintshift.lifecycle.ledger_replicas import REFUSED, HeldCopies
-from flintshift.lifecycle.ledger_takeover import TakenLedgers
+from flintshift.lifecycle.ledger_takeover import LedgerTakeovers
 from flintshift.lifecycle.usage_recording import open_folder
 from flintshift.replication import logs
 from flintshift.replication.log_writer import LogWriter
@@ -46,7 +46,7 @@
             if usage.export is not None
             else []
         )
-        self.taken = holder.taken = TakenLedgers(
+        self.takeovers = holder.takeovers = LedgerTakeovers(
             holder, usage, self.sinks, self.up, self.now_ms, self._writer_of, self._write, self._tell_exported
         )
 
@@ -107,7 +107,7 @@
 
     def _writers(self) -> list[LogWriter]:
         own = [self.writer] if self.writer is not None else []
-        return own + [taken.writer for taken in self.taken.table.values()]
+        return own + [taken.writer for taken in self.takeovers.table.values()]
 
     def answered(self, member: str, at: logs.ReplicaStatus) -> None:
         for writer in self._writers():
@@ -137,7 +137,7 @@
         own, ledger = self.writer, self.ledger
         if own is not None and ledger is not None and own.last[0] != own.epoch and not ledger.commit.writes_blocked:
             ledger.write_empty_record()
-        self.taken.go_on()
+        self.takeovers.advance_all()
         if now >= self.retired_ms + RETIRE_INTERVAL_MS:
             self.retired_ms = now
             self.holder.retire(self.sinks, self.usage.retention_ms)
@@ -201,7 +201,7 @@
                     self._begin_anew(cause)
                 case logs.Fenced(cause):
                     self.log("warning", "usage.takeover_lost", ledger=writer.log[0], cause=cause)
-                    self.taken.leave(writer.log)
+                    self.takeovers.stop(writer.log)
                     self.holder.held_logs.table[writer.log].writer = ""  # whoever has it is not known here yet
 
     def _stand(self, writer: LogWriter, elected: bool) -> None:
@@ -261,7 +261,7 @@
     # The actor.
 
     async def run(self) -> None:
-        async with anyio.create_task_group() as self.taken.tasks:
+        async with anyio.create_task_group() as self.takeovers.tasks:
             await self.holder.run()
 
     def close(self) -> None:
@@ -284,7 +284,7 @@
                 }
             )
         for log, held in self.holder.held_logs.table.items():
-            if log not in self.taken.table and not held.finished:
+            if log not in self.takeovers.table and not held.finished:
                 found.append(
                     {
                         "member": log[0],
--- a/flintshift/lifecycle/ledger_takeover.py
+++ b/flintshift/lifecycle/ledger_takeover.py
@@ -31,7 +31,7 @@
 REFUSED = (OSError, BrokenLogError, DamagedError)
 
 
-class TakenLedger:
+class LedgerTakeover:
     """Of a dead member, until all of it is exported."""
 
     def __init__(self, replica: Replica, writer: LogWriter) -> None:
@@ -61,7 +61,7 @@
     def refuse(self, log: LogId, error: Exception) -> None: ...
 
 
-class TakenLedgers:
+class LedgerTakeovers:
     """``new_writer`` makes the writer of a ledger under an epoch, from its last place on; ``write`` does what a writer
     answers; ``exported`` tells other holders what a sink has."""
 
@@ -79,10 +79,10 @@
         self.copies, self.usage, self.sinks, self.up, self.now_ms = copies, usage, sinks, up, now_ms
         self.new_writer, self.write, self.exported = new_writer, write, exported
         self.files, self.send, self.counters, self.log = copies.files, copies.send, copies.counters, copies.log
-        self.table: dict[LogId, TakenLedger] = {}
+        self.table: dict[LogId, LedgerTakeover] = {}
         self.tasks: TaskGroup | None = None  # for exports, while the node runs
 
-    def go_on(self) -> None:
+    def advance_all(self) -> None:
         """A look at each."""
         for log in list(self.table):
             try:
@@ -90,12 +90,12 @@
             except REFUSED as error:
                 self.copies.refuse(log, error)
 
-    def take(self, told: logs.TakenOver) -> None:
+    def begin(self, told: logs.TakenOver) -> None:
         """This member is the one that goes on with a ledger."""
         log, epoch, last = told.log, told.epoch, told.last
         replica = self.copies.replicas[log]
         writer = self.new_writer(log, epoch, last)
-        self.table[log] = TakenLedger(replica, writer)
+        self.table[log] = LedgerTakeover(replica, writer)
         self.counters.add("usage.took_over")
         self.log(
             "error" if told.missing_holders else "warning",
@@ -112,7 +112,7 @@
         )
         self._open(self.table[log])
 
-    def _open(self, taken: TakenLedger) -> None:
+    def _open(self, taken: LedgerTakeover) -> None:
         """Write the first record under the new epoch, and ask the others to follow. Tried again while the disk
         refuses."""
         state, writer = taken.replica.ledger.accounts.state, taken.writer
@@ -132,7 +132,7 @@
         for member in self.up:
             self.write(writer, writer.set_reachable(member, True))
 
-    def _append(self, taken: TakenLedger, *entries: Entry) -> None:
+    def _append(self, taken: LedgerTakeover, *entries: Entry) -> None:
         first, items = taken.replica.write(*entries)
         self.copies.held_logs.table[taken.writer.log].last = taken.replica.last
         self.write(taken.writer, taken.writer.handle_written(self.now_ms(), first, tuple(items), False))
@@ -168,7 +168,7 @@
                 self.send(member, logs.LogFinished(log, writer.epoch))
             self.copies.hold(self.copies.held_logs.mark_finished(log, writer.epoch))
 
-    async def _export(self, taken: TakenLedger) -> None:
+    async def _export(self, taken: LedgerTakeover) -> None:
         assert self.usage.export is not None and taken.exporting is not None
         with taken.exporting:
             while True:
@@ -188,7 +188,7 @@
                     self.log("error", "export.stopped", cause="; ".join(map(str, errors.exceptions)))
                 await anyio.sleep(RESTART_DELAY_S)
 
-    def leave(self, log: LogId) -> None:
+    def stop(self, log: LogId) -> None:
         """Another goes on with it, or it is over."""
         taken = self.table.pop(log, None)
         if taken is not None and taken.exporting is not None:
--- a/tests/replication/test_usage_replica_refusals.py
+++ b/tests/replication/test_usage_replica_refusals.py
@@ -244,7 +244,7 @@
         holder.copies.tick()
     joins = [answer for answer in holder.answers if isinstance(answer, logs.Join) and not answer.takes_over]
     assert {join.epoch for join in joins} == {takeover_joins[0].epoch}
-    taken = holder.copies.taken.table[LOG]
+    taken = holder.copies.takeovers.table[LOG]
     assert taken.writer.last == taken.replica.last
     assert taken.writer.last[0] == takeover_joins[0].epoch
     assert not taken.replica.ledger.accounts.state.periods  # the open ones were closed
