--- a/flintshift/lifecycle/ledger_replicas.py
+++ b/flintshift/lifecycle/ledger_replicas.py
@@ -26,11 +26,11 @@
 from flintshift.usage.replica import Replica, ReplicaState
 
 TELL_REFUSED_MS = 500.0  # from a refusal until a writer hears of it: not at once, as it answers with all that it has
-REFUSED = (OSError, BrokenLogError, DamagedError)
+DISK_ERRORS = (OSError, BrokenLogError, DamagedError)
 FOLDER = "use"  # below the copies' folder
 
 
-class HeldCopies:
+class LedgerReplicas:
     """``send`` speaks to a member, ``answer`` to one that asked. ``taken`` is what becomes of those whose writer is
     dead; it is set before anything is held."""
 
@@ -54,7 +54,9 @@
         self.options, self.files, self.boot, self.now_ms = options, files, boot, now_ms
         self.send, self.answer, self.counters, self.log = send, answer, counters, log
         self.folder = options.folder / FOLDER
-        self.held_logs = LogReplicas(name, identity, placement.log_holders, lives, HolderConfig(options.take_over_ms))
+        self.log_replicas = LogReplicas(
+            name, identity, placement.log_holders, lives, HolderConfig(options.take_over_ms)
+        )
         self.replicas: dict[LogId, Replica] = {}
         self.refused: dict[LogId, float] = {}  # copies whose writer is to hear that their disk refused, and when
         self.ends: dict[LogId, int] = {}  # by log, the epoch of an end that the disk refused
@@ -73,7 +75,7 @@
             for replica in self.replicas.values():
                 replica.ledger.close()
             self.replicas.clear()
-            self.held_logs.table.clear()
+            self.log_replicas.table.clear()
             raise
 
     def _restore(self) -> None:
@@ -93,11 +95,11 @@
                 on_disk.remove_contents(self.files, folder)
                 replica, sure = Replica(self.files, folder, state, self.options.segment_bytes), False
             self.replicas[log] = replica
-            self.held_logs.restore(log, state.promised, state.by, replica.last, sure, state.over)
+            self.log_replicas.restore(log, state.promised, state.by, replica.last, sure, state.over)
             if not state.over:
                 replica.save_state(sure=sure, boot=self.boot)
 
-    def hold(self, actions: list[logs.HolderAction]) -> None:
+    def perform(self, actions: list[logs.HolderAction]) -> None:
         """Do what the state machine says. Where the disk refuses, nothing more is done on that ledger: what was to be
         answered stands on no disk."""
         refused: set[LogId] = set()
@@ -110,27 +112,27 @@
             if log in refused:
                 continue
             try:
-                self._held(log, action)
-            except REFUSED as error:
+                self._perform_action(log, action)
+            except DISK_ERRORS as error:
                 refused.add(log)
-                self.refuse(log, error)
+                self.on_disk_error(log, error)
                 if isinstance(action, logs.MarkFinished):  # it was told once, and is not asked for again
                     self.ends[log] = action.epoch
 
-    def refuse(self, log: LogId, error: Exception, unsynced: bool = False) -> None:
+    def on_disk_error(self, log: LogId, error: Exception, unsynced: bool = False) -> None:
         """The disk refused what the state machine had decided. The disk has the truth: the state machine is put back
         to what stands there. ``unsynced``: what was written last may be gone, whatever can be read of it now."""
         self.counters.add("usage.copy_refused")
         replica = self.replicas.get(log)
-        known = replica is not None and self._recovered(log, replica)
+        known = replica is not None and self._recover(log, replica)
         if unsynced and replica is not None:
             replica.mark_in_doubt()
         if replica is None:
-            self.held_logs.discard(log)
+            self.log_replicas.discard(log)
         elif log not in self.takeovers.table:
             state, last = replica.state, replica.last if known else logs.NO_POSITION
             sure = known and replica.complete
-            self.held_logs.reset_to_disk(log, state.promised, state.by, last, sure, state.over, known)
+            self.log_replicas.reset_to_disk(log, state.promised, state.by, last, sure, state.over, known)
             self.refused.setdefault(log, self.now_ms() + TELL_REFUSED_MS)
         self.log(
             "error",
@@ -140,44 +142,44 @@
             then="tried again"
             if log in self.takeovers.table
             else "it goes on from what it holds"
-            if replica is not None and self.held_logs.table[log].complete
+            if replica is not None and self.log_replicas.table[log].complete
             else "it is filled anew by whoever writes that ledger",
         )
 
-    def tell_refused(self, now: float) -> None:
+    def report_rejected(self, now: float) -> None:
         """A word that was refused had no answer, and a writer that writes no more would take its copy for whole."""
         for log in [log for log, due_ms in self.refused.items() if now >= due_ms]:
             del self.refused[log]
-            held = self.held_logs.table.get(log)
+            held = self.log_replicas.table.get(log)
             if held is not None and not held.finished and log not in self.takeovers.table:
                 self.answer(
                     held.promised_to, logs.ReplicaStatus(log, logs.ReplicaVerdict.GAP, held.promised, held.last)
                 )
 
-    def read_again(self) -> None:
+    def retry_unreadable(self) -> None:
         """Look again at copies that could not be read."""
-        for log, held in list(self.held_logs.table.items()):
+        for log, held in list(self.log_replicas.table.items()):
             replica = self.replicas.get(log)
-            if held.readable or replica is None or log in self.takeovers.table or not self._recovered(log, replica):
+            if held.readable or replica is None or log in self.takeovers.table or not self._recover(log, replica):
                 continue
             state = replica.state
             sure = replica.complete
-            self.held_logs.reset_to_disk(log, state.promised, state.by, replica.last, sure, state.over)
+            self.log_replicas.reset_to_disk(log, state.promised, state.by, replica.last, sure, state.over)
             self.log("info", "usage.copy_readable", ledger=log[0], records=replica.last[1], sure=sure)
 
-    def keep_ends(self) -> None:
+    def retry_ends(self) -> None:
         """Try again to keep that a ledger is over."""
         ends, self.ends = self.ends, {}
         for log, epoch in ends.items():
             if log in self.replicas and not self.replicas[log].state.over:
-                self.hold(self.held_logs.mark_finished(log, epoch))
+                self.perform(self.log_replicas.mark_finished(log, epoch))
 
-    def _recovered(self, log: LogId, replica: Replica) -> bool:
+    def _recover(self, log: LogId, replica: Replica) -> bool:
         """What stands on the disk of this copy is known, and it can go on from there. Told once, not with each look."""
-        held = self.held_logs.table.get(log)
+        held = self.log_replicas.table.get(log)
         try:
             replica.recover()
-        except REFUSED as error:
+        except DISK_ERRORS as error:
             if held is None or held.readable:
                 self.log(
                     "warning",
@@ -189,7 +191,7 @@
                 )
         return replica.writable
 
-    def _held(self, log: LogId, action: logs.HolderAction) -> None:
+    def _perform_action(self, log: LogId, action: logs.HolderAction) -> None:
         match action:
             case logs.Promise(_, epoch, by):
                 self._promise(log, epoch, by)
@@ -255,7 +257,7 @@
             try:
                 if not replica.state.over:
                     replica.retire(sinks, retention_ms, time.time() * 1000)
-            except REFUSED as error:
+            except DISK_ERRORS as error:
                 self.log("warning", "usage.retire_failed", ledger=log[0], cause=str(error))
 
     async def run(self) -> None:
@@ -274,8 +276,8 @@
                 replica = self.replicas.get(log)
                 if replica is not None and not replica.state.over:
                     await anyio.to_thread.run_sync(replica.ledger.log.sync)
-            except REFUSED as error:
-                self.refuse(log, error, unsynced=True)
+            except DISK_ERRORS as error:
+                self.on_disk_error(log, error, unsynced=True)
                 told = [one for one in told if one[0] != log]
         for _, to, word in told:
             self.answer(to, word)
@@ -284,5 +286,5 @@
         for log, replica in self.replicas.items():
             try:
                 replica.close()
-            except REFUSED as error:  # after a start of the machine it is filled anew
+            except DISK_ERRORS as error:  # after a start of the machine it is filled anew
                 self.log("warning", "usage.copy_not_closed", ledger=log[0], cause=str(error))
--- a/flintshift/lifecycle/ledger_replication.py
+++ b/flintshift/lifecycle/ledger_replication.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from flintshift.lifecycle.ledger_replicas import REFUSED, HeldCopies
+from flintshift.lifecycle.ledger_replicas import DISK_ERRORS, LedgerReplicas
 from flintshift.lifecycle.ledger_takeover import LedgerTakeovers
 from flintshift.lifecycle.usage_recording import open_folder
 from flintshift.replication import logs
@@ -30,7 +30,7 @@
 class UseCopies:
     """``usage.ledger.Replication`` of this member's ledger. ``holder`` has the copies of the others' here."""
 
-    def __init__(self, name: str, placement: Placement, usage: UsageOptions, holder: HeldCopies) -> None:
+    def __init__(self, name: str, placement: Placement, usage: UsageOptions, holder: LedgerReplicas) -> None:
         self.name, self.placement, self.usage, self.holder = name, placement, usage, holder
         self.files, self.now_ms, self.send = holder.files, holder.now_ms, holder.send
         self.counters, self.log = holder.counters, holder.log
@@ -58,7 +58,7 @@
     def _begin(self, epoch: int) -> None:
         assert self.ledger is not None
         folder = self.ledger.folder
-        own = self.holder.held_logs.own_log = self.name, folder.accounts.state.life
+        own = self.holder.log_replicas.own_log = self.name, folder.accounts.state.life
         self.writer = self._writer_of(own, epoch, (epoch, folder.log.next_sequence - 1), folder.granted_position)
 
     def _writer_of(
@@ -103,7 +103,7 @@
         for writer in self._writers():
             self._write(writer, writer.set_reachable(member, up))
         if up:
-            self.holder.hold(self.holder.held_logs.announce_finished(member))
+            self.holder.perform(self.holder.log_replicas.announce_finished(member))
 
     def _writers(self) -> list[LogWriter]:
         own = [self.writer] if self.writer is not None else []
@@ -114,16 +114,16 @@
             if writer.log == at.log:
                 self._write(writer, writer.handle_status(self.now_ms(), member, at))
                 return
-        self.holder.hold(self.holder.held_logs.handle_status(member, at))
+        self.holder.perform(self.holder.log_replicas.handle_status(member, at))
 
     def asked(self, identity: str, word: logs.LogMessage) -> None:
-        self.holder.hold(self.holder.held_logs.handle_message(identity, word))
+        self.holder.perform(self.holder.log_replicas.handle_message(identity, word))
 
     def tick(self) -> None:
         now = self.now_ms()
-        self.holder.hold(self.holder.held_logs.tick(now))
-        self.holder.tell_refused(now)
-        self.holder.keep_ends()
+        self.holder.perform(self.holder.log_replicas.tick(now))
+        self.holder.report_rejected(now)
+        self.holder.retry_ends()
         if self.fence is not None:
             self._begin_anew(self.fence)
         again = now >= self.again_ms + AGAIN_MS
@@ -133,7 +133,7 @@
                 self._write(writer, writer.rejoin_replicas())
         if again:
             self.again_ms = now
-            self.holder.read_again()
+            self.holder.retry_unreadable()
         own, ledger = self.writer, self.ledger
         if own is not None and ledger is not None and own.last[0] != own.epoch and not ledger.commit.writes_blocked:
             ledger.write_empty_record()
@@ -202,7 +202,7 @@
                 case logs.Fenced(cause):
                     self.log("warning", "usage.takeover_lost", ledger=writer.log[0], cause=cause)
                     self.takeovers.stop(writer.log)
-                    self.holder.held_logs.table[writer.log].writer = ""  # whoever has it is not known here yet
+                    self.holder.log_replicas.table[writer.log].writer = ""  # whoever has it is not known here yet
 
     def _stand(self, writer: LogWriter, elected: bool) -> None:
         """Keep whether the ledger's epoch is granted. Where the disk refuses, the ledger seems to lack something at its
@@ -232,7 +232,7 @@
             folder, ledger.clock = open_folder(
                 self.name, ledger.row_lists, self.usage, self.log, self.files, True, max(before.log.epoch, writer.epoch)
             )
-        except REFUSED as error:
+        except DISK_ERRORS as error:
             self._not_begun(str(error))
             return
         self.counters.add("usage.fenced")
@@ -283,7 +283,7 @@
                     "copies": {name: copy.state.name.lower() for name, copy in writer.replicas.items()},
                 }
             )
-        for log, held in self.holder.held_logs.table.items():
+        for log, held in self.holder.log_replicas.table.items():
             if log not in self.takeovers.table and not held.finished:
                 found.append(
                     {
--- a/flintshift/lifecycle/ledger_takeover.py
+++ b/flintshift/lifecycle/ledger_takeover.py
@@ -28,7 +28,7 @@
 from flintshift.usage.records import Entry, Opened, Published
 from flintshift.usage.replica import Replica
 
-REFUSED = (OSError, BrokenLogError, DamagedError)
+DISK_ERRORS = (OSError, BrokenLogError, DamagedError)
 
 
 class LedgerTakeover:
@@ -51,14 +51,14 @@
     """The member's copies of ledgers, as far as a takeover needs them."""
 
     files: Files
-    held_logs: LogReplicas
+    log_replicas: LogReplicas
     replicas: dict[LogId, Replica]
     send: Callable[[str, logs.LogMessage], None]
     counters: Counters
     log: Log
 
-    def hold(self, actions: list[logs.HolderAction]) -> None: ...
-    def refuse(self, log: LogId, error: Exception) -> None: ...
+    def perform(self, actions: list[logs.HolderAction]) -> None: ...
+    def on_disk_error(self, log: LogId, error: Exception) -> None: ...
 
 
 class LedgerTakeovers:
@@ -87,8 +87,8 @@
         for log in list(self.table):
             try:
                 self._go_on(log)
-            except REFUSED as error:
-                self.copies.refuse(log, error)
+            except DISK_ERRORS as error:
+                self.copies.on_disk_error(log, error)
 
     def begin(self, told: logs.TakenOver) -> None:
         """This member is the one that goes on with a ledger."""
@@ -134,7 +134,7 @@
 
     def _append(self, taken: LedgerTakeover, *entries: Entry) -> None:
         first, items = taken.replica.write(*entries)
-        self.copies.held_logs.table[taken.writer.log].last = taken.replica.last
+        self.copies.log_replicas.table[taken.writer.log].last = taken.replica.last
         self.write(taken.writer, taken.writer.handle_written(self.now_ms(), first, tuple(items), False))
 
     def _go_on(self, log: LogId) -> None:
@@ -166,7 +166,7 @@
             self.log("info", "usage.takeover_done", ledger=log[0], life=log[1].hex(), epoch=writer.epoch)
             for member in writer.replicas:
                 self.send(member, logs.LogFinished(log, writer.epoch))
-            self.copies.hold(self.copies.held_logs.mark_finished(log, writer.epoch))
+            self.copies.perform(self.copies.log_replicas.mark_finished(log, writer.epoch))
 
     async def _export(self, taken: LedgerTakeover) -> None:
         assert self.usage.export is not None and taken.exporting is not None
@@ -184,7 +184,7 @@
                 taken.look = export.request_check
                 try:
                     await export.run()
-                except* REFUSED as errors:
+                except* DISK_ERRORS as errors:
                     self.log("error", "export.stopped", cause="; ".join(map(str, errors.exceptions)))
                 await anyio.sleep(RESTART_DELAY_S)
 
--- a/flintshift/lifecycle/replication.py
+++ b/flintshift/lifecycle/replication.py
@@ -155,10 +155,10 @@
         Raises:
             OSError, LockedError: the folder can't be used.
         """
-        from flintshift.lifecycle.ledger_replicas import HeldCopies
+        from flintshift.lifecycle.ledger_replicas import LedgerReplicas
         from flintshift.lifecycle.ledger_replication import UseCopies
 
-        holder = HeldCopies(
+        holder = LedgerReplicas(
             self.name,
             self.identity,
             self.placement,
--- a/tests/replication/test_usage_replica_refusals.py
+++ b/tests/replication/test_usage_replica_refusals.py
@@ -2,13 +2,13 @@
 
 The disks of a fleet rejected 300 of 1,000 writes for 5 s. Links between members were closed 37 to 280 times per run,
 and some ledgers never became complete again. The state machine's replicas (`LogReplicas.table`) and those on the disk
-(`HeldCopies.replicas`) were changed one after the other, and an error between the two left the first change alone:
+(`LedgerReplicas.replicas`) were changed one after the other, and an error between the two left the first change alone:
 
 - A member was to replicate a ledger, and its disk rejected the folder. The state machine went on with a replica that
   had no folder, so the next part of the ledger found no entry in the table, and the exception closed the link.
 - An epoch that was promised in memory and rejected by the disk was granted at the next join without being persisted.
 
-The logs showed `KeyError: ('n3', ...)` in `_held` 129 times in one run, each followed by "peers.link_down".
+The logs showed `KeyError: ('n3', ...)` in `_perform_action` 129 times in one run, each followed by "peers.link_down".
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from usage.test_ledger_stops import FOLDER, START_MS, SimulatedLedger
 
 from flintshift.core.counters import Counters
-from flintshift.lifecycle.ledger_replicas import HeldCopies
+from flintshift.lifecycle.ledger_replicas import LedgerReplicas
 from flintshift.lifecycle.ledger_replication import AGAIN_MS, UseCopies
 from flintshift.replication import logs
 from flintshift.replication.log_holders import HolderConfig
@@ -57,7 +57,7 @@
         self.files, self.answers, self.logged, self.now = files or SimFiles(), [], [], 0.0
         self.writer_is_alive = True
         placement = Placement({"n1": "a", "n2": "b", "n3": "c"}, 3)
-        held_copies = HeldCopies(
+        ledger_replicas = LedgerReplicas(
             name,
             f"{name}#1",
             placement,
@@ -72,9 +72,9 @@
             lambda level, event, **more: self.logged.append(event),
         )
         usage = UsageOptions(folder, 1000, 0, "process-death", 50.0, "serve", 1 << 20, 10**9, None)
-        self.copies = UseCopies(name, placement, usage, held_copies)
+        self.copies = UseCopies(name, placement, usage, ledger_replicas)
         if restore:
-            held_copies.restore()
+            ledger_replicas.restore()
 
     def send(self, message):
         """Sends a message of the writer and returns the last answer, or None if there was none."""
@@ -84,7 +84,7 @@
 
     def assert_consistent(self):
         """Checks that the state machine and the disk have the same replicas, with the same promises and records."""
-        table = self.copies.holder.held_logs.table
+        table = self.copies.holder.log_replicas.table
         assert set(table) == set(self.copies.holder.replicas)
         for log, log_replica in table.items():
             replica = self.copies.holder.replicas[log]
@@ -143,7 +143,7 @@
         holder.send(logs.SnapshotPart(LOG, EPOCH, (EPOCH, 1), 0, False, snapshot_of_first_record()))
         holder.send(logs.Append(LOG, EPOCH, 2, (TURNED,)))
     holder.assert_consistent()
-    replica = holder.copies.holder.held_logs.table[LOG]
+    replica = holder.copies.holder.log_replicas.table[LOG]
     assert replica.complete and replica.last == (EPOCH, 2)
 
 
@@ -165,7 +165,7 @@
     holder = Holder()
     holder.files.failures = {holder.files.operation_count + operation: errno.ENOSPC for operation in range(1, 1000)}
     assert holder.send(logs.Join(LOG, EPOCH, (EPOCH, 1))) is None
-    assert holder.copies.holder.held_logs.table == {} and holder.copies.holder.replicas == {}
+    assert holder.copies.holder.log_replicas.table == {} and holder.copies.holder.replicas == {}
     assert holder.send(logs.Append(LOG, EPOCH, 2, (TURNED,))).verdict is logs.ReplicaVerdict.NO_VOTE
     holder.files.failures = {}
     assert holder.send(logs.Join(LOG, EPOCH, (EPOCH, 1))).verdict is logs.ReplicaVerdict.GRANTED
@@ -188,7 +188,7 @@
             reopened = Holder(files)  # as a start does: the failed attempt must leave nothing behind
         files.failures = {}
         reopened.assert_consistent()
-        assert reopened.copies.holder.held_logs.table[LOG].last == (EPOCH, 2)
+        assert reopened.copies.holder.log_replicas.table[LOG].last == (EPOCH, 2)
         reopened.copies.close()
 
 
@@ -268,8 +268,8 @@
         holder.now += 50.0
         holder.copies.tick()
     holder.assert_consistent()
-    assert holder.copies.holder.held_logs.table[LOG].finished
-    assert Holder(holder.files.after_crash("kept")).copies.holder.held_logs.table[LOG].finished
+    assert holder.copies.holder.log_replicas.table[LOG].finished
+    assert Holder(holder.files.after_crash("kept")).copies.holder.log_replicas.table[LOG].finished
 
 
 def test_a_rejected_operation_on_one_ledger_does_not_affect_another():
@@ -278,7 +278,7 @@
     holder = Holder()
     for message in holder.life_cycle():
         holder.send(message)
-    holder.copies.holder.held_logs.config = HolderConfig(max_logs=1)
+    holder.copies.holder.log_replicas.config = HolderConfig(max_logs=1)
     holder.files.failures = {holder.files.operation_count + 1: errno.EIO}
     other_log = "n1", b"m" * 16
     status = holder.send(logs.Join(other_log, EPOCH, (EPOCH, 1)))
@@ -318,20 +318,20 @@
     join, snapshot, append, _, higher_join, _ = holder.life_cycle()
     for message in (join, snapshot, append):
         holder.send(message)
-    held_logs = holder.copies.holder.held_logs
-    assert held_logs.table[LOG].complete
+    log_replicas = holder.copies.holder.log_replicas
+    assert log_replicas.table[LOG].complete
     holder.files.failures[holder.files.operation_count + 1] = errno.EIO
     await holder.copies.holder.sync()
-    assert not held_logs.table[LOG].complete
+    assert not log_replicas.table[LOG].complete
     holder.files.failures[holder.files.operation_count + 1] = errno.EIO
     holder.send(higher_join)
-    assert not held_logs.table[LOG].complete
+    assert not log_replicas.table[LOG].complete
     holder.copies.asked(WRITER, logs.Join(LOG, EPOCH + 1, (EPOCH, 2)))
     holder.copies.asked(WRITER, logs.SnapshotPart(LOG, EPOCH + 1, (EPOCH + 1, 1), 0, False, snapshot_of_first_record()))
-    assert held_logs.table[LOG].complete  # it got a snapshot
+    assert log_replicas.table[LOG].complete  # it got a snapshot
     holder.files.failures[holder.files.operation_count + 1] = errno.EIO
     holder.send(logs.Join(LOG, EPOCH + 2, (EPOCH + 1, 1)))
-    assert held_logs.table[LOG].complete  # and it stays complete
+    assert log_replicas.table[LOG].complete  # and it stays complete
 
 
 def test_an_unreadable_replica_is_read_again_and_counts_as_before():
@@ -339,13 +339,13 @@
     join, snapshot, append, _, _, _ = holder.life_cycle()
     for message in (join, snapshot):
         holder.send(message)
-    table, recovered = holder.copies.holder.held_logs.table, holder.copies.holder._recovered
-    holder.copies.holder._recovered = lambda log, replica: False
+    table, recovered = holder.copies.holder.log_replicas.table, holder.copies.holder._recover
+    holder.copies.holder._recover = lambda log, replica: False
     # the write and its retries
     holder.files.failures |= {holder.files.operation_count + operation: errno.EIO for operation in range(1, 9)}
     holder.send(append)
     assert not table[LOG].readable and not table[LOG].complete
-    holder.copies.holder._recovered = recovered
+    holder.copies.holder._recover = recovered
     holder.now += AGAIN_MS
     holder.copies.tick()
     assert table[LOG].readable and table[LOG].complete and table[LOG].last == (EPOCH, 1)
@@ -367,7 +367,7 @@
     await holder.copies.holder.sync()
     holder.copies.close()
     reopened = Holder(holder.files.after_crash("kept"))
-    assert not reopened.copies.holder.held_logs.table[LOG].complete
+    assert not reopened.copies.holder.log_replicas.table[LOG].complete
 
 
 def test_an_unreadable_replica_is_logged_once_and_shown():
