--- a/flintshift/lifecycle/ledger_replication.py
+++ b/flintshift/lifecycle/ledger_replication.py
@@ -23,15 +23,15 @@
 from flintshift.usage import replica as on_disk
 from flintshift.usage.ledger import MAX_ANSWER_WAIT_MS, RETIRE_INTERVAL_MS, Ledger
 
-AGAIN_MS = 2000.0  # between two looks for members that are in reach and do not follow
+REJOIN_INTERVAL_MS = 2000.0  # between two looks for members that are in reach and do not follow
 SPARE_MS = 100.0  # before its due time, an answer waits for copies no longer: a tick may be late
 
 
-class UseCopies:
+class LedgerReplication:
     """``usage.ledger.Replication`` of this member's ledger. ``holder`` has the copies of the others' here."""
 
     def __init__(self, name: str, placement: Placement, usage: UsageOptions, holder: LedgerReplicas) -> None:
-        self.name, self.placement, self.usage, self.holder = name, placement, usage, holder
+        self.name, self.placement, self.usage, self.ledger_replicas = name, placement, usage, holder
         self.files, self.now_ms, self.send = holder.files, holder.now_ms, holder.send
         self.counters, self.log = holder.counters, holder.log
         self.ledger: Ledger | None = None
@@ -50,7 +50,7 @@
             holder, usage, self.sinks, self.up, self.now_ms, self._writer_of, self._write, self._tell_exported
         )
 
-    def write(self, ledger: Ledger) -> None:
+    def replicate(self, ledger: Ledger) -> None:
         """Copy this ledger from now on."""
         self.ledger, ledger.replication = ledger, self
         self._begin(ledger.folder.log.epoch)
@@ -58,7 +58,7 @@
     def _begin(self, epoch: int) -> None:
         assert self.ledger is not None
         folder = self.ledger.folder
-        own = self.holder.log_replicas.own_log = self.name, folder.accounts.state.life
+        own = self.ledger_replicas.log_replicas.own_log = self.name, folder.accounts.state.life
         self.writer = self._writer_of(own, epoch, (epoch, folder.log.next_sequence - 1), folder.granted_position)
 
     def _writer_of(
@@ -98,49 +98,49 @@
 
     # Between members.
 
-    def reach(self, member: str, up: bool) -> None:
+    def set_reachable(self, member: str, up: bool) -> None:
         (self.up.add if up else self.up.discard)(member)
         for writer in self._writers():
             self._write(writer, writer.set_reachable(member, up))
         if up:
-            self.holder.perform(self.holder.log_replicas.announce_finished(member))
+            self.ledger_replicas.perform(self.ledger_replicas.log_replicas.announce_finished(member))
 
     def _writers(self) -> list[LogWriter]:
         own = [self.writer] if self.writer is not None else []
         return own + [taken.writer for taken in self.takeovers.table.values()]
 
-    def answered(self, member: str, at: logs.ReplicaStatus) -> None:
+    def on_status(self, member: str, at: logs.ReplicaStatus) -> None:
         for writer in self._writers():
             if writer.log == at.log:
                 self._write(writer, writer.handle_status(self.now_ms(), member, at))
                 return
-        self.holder.perform(self.holder.log_replicas.handle_status(member, at))
+        self.ledger_replicas.perform(self.ledger_replicas.log_replicas.handle_status(member, at))
 
-    def asked(self, identity: str, word: logs.LogMessage) -> None:
-        self.holder.perform(self.holder.log_replicas.handle_message(identity, word))
+    def on_message(self, identity: str, word: logs.LogMessage) -> None:
+        self.ledger_replicas.perform(self.ledger_replicas.log_replicas.handle_message(identity, word))
 
     def tick(self) -> None:
         now = self.now_ms()
-        self.holder.perform(self.holder.log_replicas.tick(now))
-        self.holder.report_rejected(now)
-        self.holder.retry_ends()
+        self.ledger_replicas.perform(self.ledger_replicas.log_replicas.tick(now))
+        self.ledger_replicas.report_rejected(now)
+        self.ledger_replicas.retry_ends()
         if self.fence is not None:
             self._begin_anew(self.fence)
-        again = now >= self.again_ms + AGAIN_MS
+        again = now >= self.again_ms + REJOIN_INTERVAL_MS
         for writer in self._writers():
             self._write(writer, writer.tick(now, self._due_ms() if writer is self.writer else math.inf))
             if again:
                 self._write(writer, writer.rejoin_replicas())
         if again:
             self.again_ms = now
-            self.holder.retry_unreadable()
+            self.ledger_replicas.retry_unreadable()
         own, ledger = self.writer, self.ledger
         if own is not None and ledger is not None and own.last[0] != own.epoch and not ledger.commit.writes_blocked:
             ledger.write_empty_record()
         self.takeovers.advance_all()
         if now >= self.retired_ms + RETIRE_INTERVAL_MS:
             self.retired_ms = now
-            self.holder.retire(self.sinks, self.usage.retention_ms)
+            self.ledger_replicas.retire(self.sinks, self.usage.retention_ms)
 
     def _due_ms(self) -> float:
         """When an answer that waits must leave, by the steady clock."""
@@ -202,7 +202,9 @@
                 case logs.Fenced(cause):
                     self.log("warning", "usage.takeover_lost", ledger=writer.log[0], cause=cause)
                     self.takeovers.stop(writer.log)
-                    self.holder.log_replicas.table[writer.log].writer = ""  # whoever has it is not known here yet
+                    self.ledger_replicas.log_replicas.table[
+                        writer.log
+                    ].writer = ""  # whoever has it is not known here yet
 
     def _stand(self, writer: LogWriter, elected: bool) -> None:
         """Keep whether the ledger's epoch is granted. Where the disk refuses, the ledger seems to lack something at its
@@ -217,7 +219,7 @@
     def _whole(self, writer: LogWriter) -> bytes:
         if writer is self.writer and self.ledger is not None:
             return on_disk.snapshot_ledger(self.files, self.usage.folder, self.ledger.accounts, self.sinks)
-        replica = self.holder.replicas[writer.log]
+        replica = self.ledger_replicas.replicas[writer.log]
         return on_disk.snapshot_ledger(self.files, replica.folder, replica.ledger.accounts, self.sinks)
 
     def _begin_anew(self, cause: str) -> None:
@@ -262,12 +264,12 @@
 
     async def run(self) -> None:
         async with anyio.create_task_group() as self.takeovers.tasks:
-            await self.holder.run()
+            await self.ledger_replicas.run()
 
     def close(self) -> None:
-        self.holder.close()
+        self.ledger_replicas.close()
 
-    def shown(self) -> list[dict[str, Any]]:
+    def status(self) -> list[dict[str, Any]]:
         """For operators: each ledger that is written or copied here."""
         found = []
         for writer in self._writers():
@@ -283,7 +285,7 @@
                     "copies": {name: copy.state.name.lower() for name, copy in writer.replicas.items()},
                 }
             )
-        for log, held in self.holder.log_replicas.table.items():
+        for log, held in self.ledger_replicas.log_replicas.table.items():
             if log not in self.takeovers.table and not held.finished:
                 found.append(
                     {
--- a/flintshift/lifecycle/replication.py
+++ b/flintshift/lifecycle/replication.py
@@ -58,7 +58,7 @@
 from flintshift.wire.peer_link import Greeting, OutLink, PeerFront
 
 if TYPE_CHECKING:
-    from flintshift.lifecycle.ledger_replication import UseCopies
+    from flintshift.lifecycle.ledger_replication import LedgerReplication
     from flintshift.lifecycle.start_permits import StartPermits
     from flintshift.usage.ledger import Ledger
 
@@ -134,7 +134,7 @@
         self.reached: set[str] = set()
         self.not_linked: dict[str, str] = {}  # why, last
         self.taken_over: dict[Key, str] = {}  # claims of dead runners, settled here: they may have run
-        self.use: UseCopies | None = None  # the ledgers of use
+        self.use: LedgerReplication | None = None  # the ledgers of use
         self.permits: StartPermits | None = None
         try:
             self.store.open()
@@ -156,7 +156,7 @@
             OSError, LockedError: the folder can't be used.
         """
         from flintshift.lifecycle.ledger_replicas import LedgerReplicas
-        from flintshift.lifecycle.ledger_replication import UseCopies
+        from flintshift.lifecycle.ledger_replication import LedgerReplication
 
         holder = LedgerReplicas(
             self.name,
@@ -172,9 +172,9 @@
             self.counters,
             self.log,
         )
-        self.use = UseCopies(self.name, self.placement, options, holder)
+        self.use = LedgerReplication(self.name, self.placement, options, holder)
         holder.restore()
-        self.use.write(ledger)
+        self.use.replicate(ledger)
 
     def start_permits(self, at_once: int, uniform: Uniform, go: Callable[[], None]) -> StartPermits:
         """Have this fleet start so many members at a time."""
@@ -321,7 +321,7 @@
                 case PermitRequest():  # this member's file names no startup.at-once: it holds nobody up
                     self.front.send(identity, Permit(word.number, True))
                 case _ if self.use is not None:
-                    self.use.asked(identity, word)
+                    self.use.on_message(identity, word)
 
     def _answered(self, member: str, identity: str, words: list[Any]) -> None:
         self._members(who.MessageReceived(identity))
@@ -334,7 +334,7 @@
                 case Page():
                     self.store.fill(member, word)
                 case logs.ReplicaStatus() if self.use is not None:
-                    self.use.answered(member, word)
+                    self.use.on_status(member, word)
                 case Permit() if self.permits is not None:
                     self.permits.on_permit(member, word)
                 case who.Accused():
@@ -347,7 +347,7 @@
         self.log("info", "peers.link_up", name=member, identity=told.identity, reached=len(self.reached))
         self._event(ReachabilityChanged(member, True, told.store))
         if self.use is not None and member != self.name:
-            self.use.reach(member, True)
+            self.use.set_reachable(member, True)
 
     def _down(self, member: str, cause: str) -> None:
         if member == self.name and self.store.folder is not None:
@@ -358,7 +358,7 @@
             self._event(ReachabilityChanged(member, False, 0))
             self.store.link_lost(member)
             if self.use is not None:
-                self.use.reach(member, False)
+                self.use.set_reachable(member, False)
         elif member != self.name and self.not_linked.get(member) != cause:  # told once for each cause, not for each try
             self.not_linked[member] = cause
             self.log("warning", "peers.not_linked", name=member, cause=cause)
--- a/flintshift/lifecycle/replication_status.py
+++ b/flintshift/lifecycle/replication_status.py
@@ -38,7 +38,7 @@
         "bytes": registers.stored_bytes,
         "stages": registers.count_by_stage(),
         "under_copied": registers.count_under_replicated(copying.reached | {copying.name}),
-        "use": copying.use.shown() if copying.use is not None else [],
+        "use": copying.use.status() if copying.use is not None else [],
         "proposals": len(copying.proposals.active),
         "followed": len(copying.proposals.followed),
         "may_have_run": [
--- a/tests/replication/test_usage_replica_refusals.py
+++ b/tests/replication/test_usage_replica_refusals.py
@@ -24,7 +24,7 @@
 
 from flintshift.core.counters import Counters
 from flintshift.lifecycle.ledger_replicas import LedgerReplicas
-from flintshift.lifecycle.ledger_replication import AGAIN_MS, UseCopies
+from flintshift.lifecycle.ledger_replication import REJOIN_INTERVAL_MS, LedgerReplication
 from flintshift.replication import logs
 from flintshift.replication.log_holders import HolderConfig
 from flintshift.replication.log_writer import LogWriter, ReplicaState
@@ -72,22 +72,22 @@
             lambda level, event, **more: self.logged.append(event),
         )
         usage = UsageOptions(folder, 1000, 0, "process-death", 50.0, "serve", 1 << 20, 10**9, None)
-        self.copies = UseCopies(name, placement, usage, ledger_replicas)
+        self.copies = LedgerReplication(name, placement, usage, ledger_replicas)
         if restore:
             ledger_replicas.restore()
 
     def send(self, message):
         """Sends a message of the writer and returns the last answer, or None if there was none."""
         self.answers.clear()
-        self.copies.asked(WRITER, message)
+        self.copies.on_message(WRITER, message)
         return self.answers[-1] if self.answers else None
 
     def assert_consistent(self):
         """Checks that the state machine and the disk have the same replicas, with the same promises and records."""
-        table = self.copies.holder.log_replicas.table
-        assert set(table) == set(self.copies.holder.replicas)
+        table = self.copies.ledger_replicas.log_replicas.table
+        assert set(table) == set(self.copies.ledger_replicas.replicas)
         for log, log_replica in table.items():
-            replica = self.copies.holder.replicas[log]
+            replica = self.copies.ledger_replicas.replicas[log]
             assert (log_replica.promised, log_replica.promised_to, log_replica.finished) == (
                 replica.state.promised,
                 replica.state.by,
@@ -143,7 +143,7 @@
         holder.send(logs.SnapshotPart(LOG, EPOCH, (EPOCH, 1), 0, False, snapshot_of_first_record()))
         holder.send(logs.Append(LOG, EPOCH, 2, (TURNED,)))
     holder.assert_consistent()
-    replica = holder.copies.holder.log_replicas.table[LOG]
+    replica = holder.copies.ledger_replicas.log_replicas.table[LOG]
     assert replica.complete and replica.last == (EPOCH, 2)
 
 
@@ -157,7 +157,7 @@
     assert holder.send(higher_join) is None  # nothing of it was persisted
     holder.files.failures = {}
     assert holder.send(higher_join).verdict is logs.ReplicaVerdict.GRANTED
-    state = dict(on_disk.list_replicas(holder.files, holder.copies.holder.folder)).popitem()[1]
+    state = dict(on_disk.list_replicas(holder.files, holder.copies.ledger_replicas.folder)).popitem()[1]
     assert (state.promised, state.by) == (EPOCH + 1, WRITER)
 
 
@@ -165,7 +165,7 @@
     holder = Holder()
     holder.files.failures = {holder.files.operation_count + operation: errno.ENOSPC for operation in range(1, 1000)}
     assert holder.send(logs.Join(LOG, EPOCH, (EPOCH, 1))) is None
-    assert holder.copies.holder.log_replicas.table == {} and holder.copies.holder.replicas == {}
+    assert holder.copies.ledger_replicas.log_replicas.table == {} and holder.copies.ledger_replicas.replicas == {}
     assert holder.send(logs.Append(LOG, EPOCH, 2, (TURNED,))).verdict is logs.ReplicaVerdict.NO_VOTE
     holder.files.failures = {}
     assert holder.send(logs.Join(LOG, EPOCH, (EPOCH, 1))).verdict is logs.ReplicaVerdict.GRANTED
@@ -188,7 +188,7 @@
             reopened = Holder(files)  # as a start does: the failed attempt must leave nothing behind
         files.failures = {}
         reopened.assert_consistent()
-        assert reopened.copies.holder.log_replicas.table[LOG].last == (EPOCH, 2)
+        assert reopened.copies.ledger_replicas.log_replicas.table[LOG].last == (EPOCH, 2)
         reopened.copies.close()
 
 
@@ -221,7 +221,7 @@
     holder = Holder()
     for message in list(holder.life_cycle())[:3]:
         holder.send(message)
-    holder.copies.reach("n3", True)
+    holder.copies.set_reachable("n3", True)
     holder.writer_is_alive = False
     takeover_joins = []
     while not takeover_joins:
@@ -233,7 +233,7 @@
     holder.files.failures = {
         holder.files.operation_count + operation: errno.ENOSPC for operation in range(1, count + 1)
     }
-    holder.copies.answered(
+    holder.copies.on_status(
         "n3", logs.ReplicaStatus(LOG, logs.ReplicaVerdict.GRANTED, takeover_joins[0].epoch, (EPOCH, 2))
     )
     holder.now += 50.0
@@ -268,8 +268,8 @@
         holder.now += 50.0
         holder.copies.tick()
     holder.assert_consistent()
-    assert holder.copies.holder.log_replicas.table[LOG].finished
-    assert Holder(holder.files.after_crash("kept")).copies.holder.log_replicas.table[LOG].finished
+    assert holder.copies.ledger_replicas.log_replicas.table[LOG].finished
+    assert Holder(holder.files.after_crash("kept")).copies.ledger_replicas.log_replicas.table[LOG].finished
 
 
 def test_a_rejected_operation_on_one_ledger_does_not_affect_another():
@@ -278,7 +278,7 @@
     holder = Holder()
     for message in holder.life_cycle():
         holder.send(message)
-    holder.copies.holder.log_replicas.config = HolderConfig(max_logs=1)
+    holder.copies.ledger_replicas.log_replicas.config = HolderConfig(max_logs=1)
     holder.files.failures = {holder.files.operation_count + 1: errno.EIO}
     other_log = "n1", b"m" * 16
     status = holder.send(logs.Join(other_log, EPOCH, (EPOCH, 1)))
@@ -293,12 +293,12 @@
     life = SimulatedLedger(SimFiles(), START_MS)
     ledger = life.ledger
     holder = Holder(life.files, name="n1", folder=FOLDER)
-    holder.copies.write(ledger)
+    holder.copies.replicate(ledger)
     former_life = ledger.accounts.state.life
     life.files.failures = {life.files.operation_count + operation: errno.ENOSPC for operation in range(1, count + 1)}
     writer = holder.copies.writer
-    holder.copies.reach("n2", True)
-    holder.copies.answered(
+    holder.copies.set_reachable("n2", True)
+    holder.copies.on_status(
         "n2", logs.ReplicaStatus(writer.log, logs.ReplicaVerdict.AHEAD, writer.epoch, (writer.epoch + 1, 9))
     )
     life.files.failures = {}
@@ -314,20 +314,22 @@
 async def test_a_replica_whose_sync_failed_stays_incomplete_through_a_later_error():
     """Records before a failed sync may be lost in a power cut, though they can be read until then."""
     holder = Holder()
-    holder.copies.holder.options = replace(holder.copies.holder.options, durability="power-cut")
+    holder.copies.ledger_replicas.options = replace(holder.copies.ledger_replicas.options, durability="power-cut")
     join, snapshot, append, _, higher_join, _ = holder.life_cycle()
     for message in (join, snapshot, append):
         holder.send(message)
-    log_replicas = holder.copies.holder.log_replicas
+    log_replicas = holder.copies.ledger_replicas.log_replicas
     assert log_replicas.table[LOG].complete
     holder.files.failures[holder.files.operation_count + 1] = errno.EIO
-    await holder.copies.holder.sync()
+    await holder.copies.ledger_replicas.sync()
     assert not log_replicas.table[LOG].complete
     holder.files.failures[holder.files.operation_count + 1] = errno.EIO
     holder.send(higher_join)
     assert not log_replicas.table[LOG].complete
-    holder.copies.asked(WRITER, logs.Join(LOG, EPOCH + 1, (EPOCH, 2)))
-    holder.copies.asked(WRITER, logs.SnapshotPart(LOG, EPOCH + 1, (EPOCH + 1, 1), 0, False, snapshot_of_first_record()))
+    holder.copies.on_message(WRITER, logs.Join(LOG, EPOCH + 1, (EPOCH, 2)))
+    holder.copies.on_message(
+        WRITER, logs.SnapshotPart(LOG, EPOCH + 1, (EPOCH + 1, 1), 0, False, snapshot_of_first_record())
+    )
     assert log_replicas.table[LOG].complete  # it got a snapshot
     holder.files.failures[holder.files.operation_count + 1] = errno.EIO
     holder.send(logs.Join(LOG, EPOCH + 2, (EPOCH + 1, 1)))
@@ -339,14 +341,14 @@
     join, snapshot, append, _, _, _ = holder.life_cycle()
     for message in (join, snapshot):
         holder.send(message)
-    table, recovered = holder.copies.holder.log_replicas.table, holder.copies.holder._recover
-    holder.copies.holder._recover = lambda log, replica: False
+    table, recovered = holder.copies.ledger_replicas.log_replicas.table, holder.copies.ledger_replicas._recover
+    holder.copies.ledger_replicas._recover = lambda log, replica: False
     # the write and its retries
     holder.files.failures |= {holder.files.operation_count + operation: errno.EIO for operation in range(1, 9)}
     holder.send(append)
     assert not table[LOG].readable and not table[LOG].complete
-    holder.copies.holder._recover = recovered
-    holder.now += AGAIN_MS
+    holder.copies.ledger_replicas._recover = recovered
+    holder.now += REJOIN_INTERVAL_MS
     holder.copies.tick()
     assert table[LOG].readable and table[LOG].complete and table[LOG].last == (EPOCH, 1)
 
@@ -357,17 +359,17 @@
     """The system takes the pages of a failed sync for written: they can be read until a power cut, and are lost after
     it."""
     holder = Holder()
-    holder.copies.holder.options = replace(holder.copies.holder.options, durability="power-cut")
+    holder.copies.ledger_replicas.options = replace(holder.copies.ledger_replicas.options, durability="power-cut")
     join, snapshot, append, *_ = holder.life_cycle()
     for message in (join, snapshot, append):
         holder.send(message)
     holder.files.failures |= {
         holder.files.operation_count + operation: errno.EIO for operation in range(1, rejected + 1)
     }
-    await holder.copies.holder.sync()
+    await holder.copies.ledger_replicas.sync()
     holder.copies.close()
     reopened = Holder(holder.files.after_crash("kept"))
-    assert not reopened.copies.holder.log_replicas.table[LOG].complete
+    assert not reopened.copies.ledger_replicas.log_replicas.table[LOG].complete
 
 
 def test_an_unreadable_replica_is_logged_once_and_shown():
@@ -375,7 +377,7 @@
     join, snapshot, append, *_ = holder.life_cycle()
     for message in (join, snapshot):
         holder.send(message)
-    replica = holder.copies.holder.replicas[LOG]
+    replica = holder.copies.ledger_replicas.replicas[LOG]
 
     def unreadable():
         raise OSError(errno.EIO, "refused here")
@@ -385,8 +387,8 @@
     holder.files.failures |= {holder.files.operation_count + operation: errno.EIO for operation in range(1, 9)}
     holder.send(append)
     for _ in range(3):
-        holder.now += AGAIN_MS
+        holder.now += REJOIN_INTERVAL_MS
         holder.copies.tick()
     assert holder.logged.count("usage.copy_unreadable") == 1
-    ((shown,),) = ([ledger for ledger in holder.copies.shown() if ledger["role"] == "copies"],)
+    ((shown,),) = ([ledger for ledger in holder.copies.status() if ledger["role"] == "copies"],)
     assert shown["readable"] is False
