--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -30,7 +30,7 @@
 
 PURGE_MS = 1000.0
 TURN_MS = 30_000.0  # a segment of the log is used for so long at the most
-FIRST_REOPEN_MS = 25.0  # from a refusal to the first try to write again; twice as long with each further one
+FIRST_REOPEN_MS = 25.0  # from a disk_error to the first try to write again; twice as long with each further one
 MOST_REOPEN_MS = 1000.0
 
 PendingVote = tuple[str, Vote, Key]  # for this process, about that key
@@ -41,13 +41,13 @@
 
     identity: str
 
-    def tell(self, event: Event) -> None:
+    def notify_proposals(self, event: Event) -> None:
         """The proposals of this process hear of this."""
 
     def send(self, identity: str, word: Vote | Ended) -> None:
         """Send to another process that asked."""
 
-    def keep_for_ms(self) -> float:
+    def max_retention_ms(self) -> float:
         """From a try's arrival until nothing is promised of it any more, for the longest class."""
 
 
@@ -81,14 +81,14 @@
         self.flushing = False
         self.unsynced: deque[PendingVote] = deque()
         self.sync_wanted = anyio.Event()
-        self.refusing_ms: float | None = None  # since when the disk refuses; None: it takes what is written
-        self.refusal = ""  # why, the last time
+        self.disk_failed_since_ms: float | None = None  # since when the disk refuses; None: it takes what is written
+        self.disk_error = ""  # why, the last time
         self.reopen_ms, self.reopen_after_ms = math.inf, 0.0  # when it is tried next, and the wait that led there
         self.turned_ms = self.purged_ms = now_ms()
-        self.holding = anyio.Event()  # this process holds the copies
+        self.opened = anyio.Event()  # this process holds the copies
 
     def _bounds(self) -> HolderBounds:
-        return HolderBounds(self.options.keys, self.options.bytes, self.host.keep_for_ms())
+        return HolderBounds(self.options.keys, self.options.bytes, self.host.max_retention_ms())
 
     # Which store it is.
 
@@ -117,7 +117,7 @@
             self.placement,
             self._bounds(),
             state.votes,
-            now + self.host.keep_for_ms() if not state.votes else 0.0,
+            now + self.host.max_retention_ms() if not state.votes else 0.0,
         )
         self.registers.stores |= {member: store for member, store in before.items() if member != self.name}
         for entry in found.entries:
@@ -133,8 +133,8 @@
             votes=state.votes,
             cause=found.no_vote_reason,
         )
-        self.host.tell(ReachabilityChanged(self.name, True, state.incarnation))
-        self.holding.set()
+        self.host.notify_proposals(ReachabilityChanged(self.name, True, state.incarnation))
+        self.opened.set()
 
     def close(self) -> None:
         if self.folder is not None:
@@ -147,7 +147,7 @@
         """The incarnations of this store, and of that member's as far as it is known."""
         return self.registers.store, self.registers.stores.get(member, 0)
 
-    def met(self, member: str, store: int, known_store: int) -> None:
+    def on_hello(self, member: str, store: int, known_store: int) -> None:
         """Another member says which store it has, and by which it knows this one."""
         if store > self.registers.stores.get(member, 0):
             self.registers.stores[member] = store
@@ -165,18 +165,23 @@
             cause="this disk is not the one that this member used last; it is emptied and filled again",
         )
         self.registers = Registers(
-            self.name, known + 1, self.placement, self.registers.bounds, False, self.now_ms() + self.host.keep_for_ms()
+            self.name,
+            known + 1,
+            self.placement,
+            self.registers.bounds,
+            False,
+            self.now_ms() + self.host.max_retention_ms(),
         )
         self.refill = self._new_refill()
         self._keep_state()
-        self.host.tell(ReachabilityChanged(self.name, True, known + 1))
+        self.host.notify_proposals(ReachabilityChanged(self.name, True, known + 1))
 
     # Votes.
 
     def vote(self, identity: str, ask: Ask) -> None:
         """Vote for that process; what changes is written before the vote leaves."""
         vote, entry = self.registers.vote(self.now_ms(), ask)
-        if self.refusing_ms is not None:  # no vote leaves that does not stand on the disk
+        if self.disk_failed_since_ms is not None:  # no vote leaves that does not stand on the disk
             vote, entry = absent(vote), None
         if entry is not None:
             self.entries.append(entry)
@@ -201,12 +206,12 @@
     def _let_go(self, votes: list[PendingVote]) -> None:
         for identity, vote, key in votes:
             if identity == self.host.identity:
-                self.host.tell(Voted(self.name, vote))
+                self.host.notify_proposals(Voted(self.name, vote))
             else:
                 self.host.send(identity, vote)
             for follower in self.registers.pop_watchers_if_ended(key):
                 if follower == self.host.identity:
-                    self.host.tell(Ended(key))
+                    self.host.notify_proposals(Ended(key))
                 else:
                     self.host.send(follower, Ended(key))
 
@@ -226,27 +231,27 @@
         that is refused too does this member not vote."""
         assert self.folder is not None
         self.counters.add("copies.disk_refused")
-        self.refusal = str(error)
-        if self.refusing_ms is not None:
+        self.disk_error = str(error)
+        if self.disk_failed_since_ms is not None:
             return False
         try:
             self.folder.reopen(self.registers.entries(self.now_ms()), self.now_ms())
         except (OSError, BrokenLogError):
-            self._refuses(error)
+            self._on_disk_failed(error)
             return False
         return True
 
-    def _refuses(self, error: Exception) -> None:
+    def _on_disk_failed(self, error: Exception) -> None:
         self.log(
             "error",
             "copies.disk_refuses",
             cause=str(error),
             text="this member does not vote until its disk takes what it promises",
         )
-        self.refusing_ms = self.now_ms()
+        self.disk_failed_since_ms = self.now_ms()
         self.reopen_after_ms = FIRST_REOPEN_MS
-        self.reopen_ms = self.refusing_ms + FIRST_REOPEN_MS
-        self.host.tell(ReachabilityChanged(self.name, False, 0))
+        self.reopen_ms = self.disk_failed_since_ms + FIRST_REOPEN_MS
+        self.host.notify_proposals(ReachabilityChanged(self.name, False, 0))
 
     async def sync(self) -> None:
         """Let votes go once what they changed is synced; until cancelled."""
@@ -264,14 +269,14 @@
                     votes = [(identity, absent(vote), key) for identity, vote, key in votes]
             self._let_go(votes)
 
-    def usable(self, now: float) -> bool:
+    def check_disk(self, now: float) -> bool:
         """The disk takes what is promised, as far as is known; one that refused is tried again from time to time."""
-        if self.refusing_ms is None:
+        if self.disk_failed_since_ms is None:
             self._keep_state()
         elif now >= self.reopen_ms:
             self._reopen(now)
             return False  # the others hear of it first
-        return self.refusing_ms is None
+        return self.disk_failed_since_ms is None
 
     def _keep_state(self) -> None:
         """Have the disk hold what the registers stand for: which store this is, and whether it knows all that it ever
@@ -280,7 +285,7 @@
         state = structs.replace(
             self.folder.state, incarnation=self.registers.store, votes=self.registers.votes_on_all_keys
         )
-        if state == self.folder.state or self.refusing_ms is not None:
+        if state == self.folder.state or self.disk_failed_since_ms is not None:
             return
         try:
             if state.votes:  # it must not be believed without what it was filled with
@@ -292,7 +297,7 @@
                 self._outlasted(error)
 
     def _reopen(self, now: float) -> None:
-        assert self.folder is not None and self.refusing_ms is not None
+        assert self.folder is not None and self.disk_failed_since_ms is not None
         try:
             self.folder.reopen(self.registers.entries(now), self.now_ms())
         except (OSError, BrokenLogError) as error:
@@ -300,9 +305,9 @@
             self.reopen_ms = now + self.reopen_after_ms
             self.log("error", "copies.disk_still_refuses", cause=str(error), again_in_ms=round(self.reopen_after_ms))
             return
-        after_ms, self.refusing_ms = now - self.refusing_ms, None
+        after_ms, self.disk_failed_since_ms = now - self.disk_failed_since_ms, None
         self.log("warning", "copies.disk_takes_again", keys=len(self.registers.table), after_ms=round(after_ms))
-        self.host.tell(ReachabilityChanged(self.name, True, self.registers.store))
+        self.host.notify_proposals(ReachabilityChanged(self.name, True, self.registers.store))
 
     def purge(self, now: float) -> None:
         """Forget what is past, here and on the disk; does nothing where that was done a moment ago."""
@@ -320,12 +325,12 @@
 
     # Its refill, and that of others.
 
-    def page_for(self, member: str, ask: FillAsk) -> Page:
+    def make_page(self, member: str, ask: FillAsk) -> Page:
         """What this store tells a member whose own is filled."""
         self.counters.add("copies.pages")
         return build_page(self.now_ms(), self.registers, member, ask)
 
-    def asks(self, now: float, reached: set[str]) -> list[tuple[str, FillAsk]]:
+    def due_fill_requests(self, now: float, reached: set[str]) -> list[tuple[str, FillAsk]]:
         """Whom to ask now for what this store lacks."""
         if self.refill is None:
             return []
@@ -334,12 +339,12 @@
             return []
         return self.refill.due_requests(now, self.registers.store, reached)
 
-    def link_lost(self, member: str) -> None:
+    def on_link_lost(self, member: str) -> None:
         """What was asked of that member for the refill will not be answered."""
         if self.refill is not None:
             self.refill.handle_link_lost(member)
 
-    def fill(self, member: str, told: Page) -> None:
+    def receive_page(self, member: str, told: Page) -> None:
         """Take what another store tells this one."""
         if self.refill is None or self.folder is None:
             return
@@ -349,7 +354,7 @@
         if changed:
             self._written(changed)  # where the disk refuses, they are written with all else once it takes again
         if self.registers.store != before:
-            self.host.tell(ReachabilityChanged(self.name, True, self.registers.store))
+            self.host.notify_proposals(ReachabilityChanged(self.name, True, self.registers.store))
         if told.done and told.authoritative:
             self.log("info", "copies.filled_by", name=member, keys=len(self.registers.table))
         if self.registers.votes_on_all_keys:
--- a/flintshift/lifecycle/replication.py
+++ b/flintshift/lifecycle/replication.py
@@ -205,7 +205,7 @@
 
     # What the store needs of its host.
 
-    def tell(self, event: Event) -> None:
+    def notify_proposals(self, event: Event) -> None:
         """The proposals of this process hear of this."""
         self._event(event)
 
@@ -213,7 +213,7 @@
         """Send to another process that asked."""
         self.front.send(identity, word)
 
-    def keep_for_ms(self) -> float:
+    def max_retention_ms(self) -> float:
         """From a try's arrival until nothing is promised of it any more, for the longest class."""
         return self.claims.longest_keep_ms()
 
@@ -299,7 +299,7 @@
 
     def _met(self, member: str, told: pb.Hello) -> None:
         """Either end of a link said hello."""
-        self.store.met(member, told.store, told.known_store)
+        self.store.on_hello(member, told.store, told.known_store)
         self._members(who.MessageReceived(told.identity))
         self.links[member].hurry()
 
@@ -313,7 +313,7 @@
                 case Ask():
                     self.store.vote(identity, word)
                 case FillAsk():
-                    self.front.send(identity, self.store.page_for(member, word))
+                    self.front.send(identity, self.store.make_page(member, word))
                 case who.Accused():
                     self._members(word)
                 case PermitRequest() if self.permits is not None:
@@ -332,7 +332,7 @@
                 case Ended():
                     self._event(word)
                 case Page():
-                    self.store.fill(member, word)
+                    self.store.receive_page(member, word)
                 case logs.ReplicaStatus() if self.use is not None:
                     self.use.on_status(member, word)
                 case Permit() if self.permits is not None:
@@ -356,7 +356,7 @@
             self.reached.discard(member)
             self.log("warning", "peers.link_down", name=member, cause=cause, reached=len(self.reached))
             self._event(ReachabilityChanged(member, False, 0))
-            self.store.link_lost(member)
+            self.store.on_link_lost(member)
             if self.use is not None:
                 self.use.set_reachable(member, False)
         elif member != self.name and self.not_linked.get(member) != cause:  # told once for each cause, not for each try
@@ -391,7 +391,7 @@
 
     async def _listen(self) -> None:
         """Where the others ask, once this process holds the copies."""
-        await self.store.holding.wait()
+        await self.store.opened.wait()
         while True:
             try:
                 raw = listening(self.listen, self.limits.listen_backlog)
@@ -437,9 +437,9 @@
             self.use.tick()
         if self.permits is not None:
             self.permits.tick()
-        if self.store.folder is None or not self.store.usable(now):
+        if self.store.folder is None or not self.store.check_disk(now):
             return
-        for member, ask in self.store.asks(now, self.reached):
+        for member, ask in self.store.due_fill_requests(now, self.reached):
             self.links[member].send(ask, now, False)
         for key, owner in self.store.registers.find_orphaned_claims(now, self._lives, STAGGER_MS):
             if key not in self.proposals.active:
--- a/flintshift/lifecycle/replication_status.py
+++ b/flintshift/lifecycle/replication_status.py
@@ -29,9 +29,11 @@
         "holds": copying.store.folder is not None,
         "store": registers.store,
         "votes": registers.votes_on_all_keys,
-        "disk": "takes" if copying.store.refusing_ms is None else "refuses",
-        "disk_cause": copying.store.refusal,
-        "disk_refuses_for_ms": 0 if copying.store.refusing_ms is None else round(now - copying.store.refusing_ms),
+        "disk": "takes" if copying.store.disk_failed_since_ms is None else "refuses",
+        "disk_cause": copying.store.disk_error,
+        "disk_refuses_for_ms": 0
+        if copying.store.disk_failed_since_ms is None
+        else round(now - copying.store.disk_failed_since_ms),
         "votes_in_ms": 0 if registers.votes_on_all_keys else max(0, round(registers.voting_from_ms - now)),
         "filled_by": sorted(registers.filled_by),
         "keys": len(registers.table),
--- a/tests/replication/test_replica_store.py
+++ b/tests/replication/test_replica_store.py
@@ -24,13 +24,13 @@
     def __init__(self):
         self.events, self.now = [], 1000.0
 
-    def tell(self, event):
+    def notify_proposals(self, event):
         self.events.append(event)
 
     def send(self, identity, message):
         raise AssertionError("nothing is to be sent")
 
-    def keep_for_ms(self):
+    def max_retention_ms(self):
         return WINDOW_MS
 
 
@@ -56,11 +56,13 @@
     incarnation = store.registers.store
     assert host.events == [ReachabilityChanged("n1", True, incarnation)]
     start_ms = host.now
-    assert sorted(store.asks(start_ms, REACHED)) == [(name, FillAsk(incarnation, None)) for name in sorted(REACHED)]
+    assert sorted(store.due_fill_requests(start_ms, REACHED)) == [
+        (name, FillAsk(incarnation, None)) for name in sorted(REACHED)
+    ]
     assert (
-        store.asks(start_ms + WINDOW_MS - 1.0, REACHED) == [] and not store.registers.votes_on_all_keys
+        store.due_fill_requests(start_ms + WINDOW_MS - 1.0, REACHED) == [] and not store.registers.votes_on_all_keys
     )  # one request per link
-    store.link_lost("n2")
-    assert [name for name, _ in store.asks(start_ms + WINDOW_MS - 0.5, REACHED)] == ["n2"]
-    assert store.asks(start_ms + WINDOW_MS, REACHED) == [] and store.registers.votes_on_all_keys
+    store.on_link_lost("n2")
+    assert [name for name, _ in store.due_fill_requests(start_ms + WINDOW_MS - 0.5, REACHED)] == ["n2"]
+    assert store.due_fill_requests(start_ms + WINDOW_MS, REACHED) == [] and store.registers.votes_on_all_keys
     assert store.folder.state.votes and store.refill is None
--- a/tests/replication/test_store_refusals.py
+++ b/tests/replication/test_store_refusals.py
@@ -2,7 +2,7 @@
 
 In a fleet of five with three replicas, one rejected write in 200 on each disk made 8 to 46 % of the keyed requests fail
 or be rejected; without a fault it was 1 to 2 %. A holder took a single rejected write for a failed disk
-(`ReplicaStore._refuses`), reported that it couldn't vote and tried its disk again a second later, though the next write
+(`ReplicaStore._on_disk_failed`), reported that it couldn't vote and tried its disk again a second later, though the next write
 would have succeeded. Two of the three holders of a key were soon away at the same time, and nobody could claim it.
 Besides, the rest of a rejected write was not cut off from the log, though its length alone tells it from a whole
 record.
@@ -42,13 +42,13 @@
     def __init__(self):
         self.events, self.sent, self.now = [], [], 1000.0
 
-    def tell(self, event):
+    def notify_proposals(self, event):
         self.events.append(event)
 
     def send(self, identity, message):
         self.sent.append(message)
 
-    def keep_for_ms(self):
+    def max_retention_ms(self):
         return WINDOW_MS
 
 
@@ -115,7 +115,7 @@
     voted_keys = {"k1"} if await member.vote("k1") is Verdict.OK else set()
     for _ in range(2):  # ticks of the store's host
         member.host.now += 50.0
-        member.store.usable(member.host.now)
+        member.store.check_disk(member.host.now)
     assert await member.vote("k2") is Verdict.OK
     assert voted_keys | {"k2"} <= member.keys_after_restart()
 
@@ -128,7 +128,7 @@
     attempts, count = 0, member.files.operation_count
     for _ in range(200):  # 10 s
         member.host.now += 50.0
-        assert not member.store.usable(member.host.now)
+        assert not member.store.check_disk(member.host.now)
         attempts += member.files.operation_count > count
         count = member.files.operation_count
     assert 8 <= attempts <= 20
@@ -136,7 +136,7 @@
     member.files.failures = {}
     for _ in range(21):
         member.host.now += 50.0
-        member.store.usable(member.host.now)
+        member.store.check_disk(member.host.now)
     assert await member.vote("k2") is Verdict.OK
     assert "copies.disk_takes_again" in member.logged
     assert "k2" in member.keys_after_restart()
@@ -151,10 +151,10 @@
 
     def tick(self):
         self.host.now += 50.0
-        if self.store.usable(self.host.now):
-            for name, request in self.store.asks(self.host.now, {"n2", "n3"}):
+        if self.store.check_disk(self.host.now):
+            for name, request in self.store.due_fill_requests(self.host.now, {"n2", "n3"}):
                 entry = Entry(("submit-time", f"from {name}"), NO_BALLOT, NO_BALLOT, VALUE, WINDOW_MS)
-                self.store.fill(name, Page((entry,), entry.key, True, True, request.store))
+                self.store.receive_page(name, Page((entry,), entry.key, True, True, request.store))
 
     @property
     def state(self):
@@ -202,9 +202,9 @@
     member = Member()
     member.reject(operation)
     newer_store = member.store.registers.store + 5
-    member.store.met("n2", 1, newer_store)
+    member.store.on_hello("n2", 1, newer_store)
     for _ in range(10):
         member.host.now += 50.0
-        member.store.usable(member.host.now)
+        member.store.check_disk(member.host.now)
     assert member.store.registers.store == member.store.folder.state.incarnation == newer_store + 1
     assert not member.store.folder.state.votes
