--- a/flintshift/lifecycle/consensus_in_upgrade.py
+++ b/flintshift/lifecycle/consensus_in_upgrade.py
@@ -8,16 +8,16 @@
 
 from flintshift.core.attempts import Attempt
 from flintshift.interface import Outcome
-from flintshift.lifecycle.replicated_claims import CopiedClaims
+from flintshift.lifecycle.replicated_claims import ReplicatedClaims
 from flintshift.lifecycle.upgrade import Upgrade
 
 
-class Agreeing:
+class ConsensusInUpgrade:
     """The decision planner's port (``core.ports.Claims``)."""
 
     required = True
 
-    def __init__(self, upgrade: Upgrade, claims: CopiedClaims) -> None:
+    def __init__(self, upgrade: Upgrade, claims: ReplicatedClaims) -> None:
         self.upgrade, self.claims = upgrade, claims
         upgrade.keys_elsewhere = True
 
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -192,9 +192,9 @@
         self.upgrade = Upgrade(self)
         self.decisions.waiting_claims.claims = self.upgrade
         if self.copying is not None:
-            from flintshift.lifecycle.consensus_in_upgrade import Agreeing
+            from flintshift.lifecycle.consensus_in_upgrade import ConsensusInUpgrade
 
-            self.decisions.waiting_claims.claims = Agreeing(self.upgrade, self.copying.claims)
+            self.decisions.waiting_claims.claims = ConsensusInUpgrade(self.upgrade, self.copying.claims)
         for front, _ in self.fronts:
             front.leave()  # until it is known that this process takes the clients
 
--- a/flintshift/lifecycle/replicated_claims.py
+++ b/flintshift/lifecycle/replicated_claims.py
@@ -33,7 +33,7 @@
 )
 
 
-class CopiedClaims:
+class ReplicatedClaims:
     """``core.ports.Claims``. ``wall_ms`` is the node's clock, ``now_ms`` the one of the proposals, ``tell`` hands an
     event to them in a turn of the planner."""
 
@@ -79,7 +79,7 @@
         """From a try's arrival until nothing is promised of it any more."""
         return kind.repeat_window_ms + kind.deadline_ms + self.limits.key_margin_ms + self.limits.max_repeat_delay_ms
 
-    def longest_keep_ms(self) -> float:
+    def max_retention_ms(self) -> float:
         """The same for the class that is kept longest, as clocks of members may differ."""
         promised = (self._promised_ms(kind) for kind in self.decisions.catalogue.effective_settings.classes)
         least = self.limits.key_margin_ms + self.limits.max_repeat_delay_ms
--- a/flintshift/lifecycle/replication.py
+++ b/flintshift/lifecycle/replication.py
@@ -26,7 +26,7 @@
 from flintshift.core.ports import Log
 from flintshift.interface import Outcome
 from flintshift.lifecycle.replica_store import ReplicaStore
-from flintshift.lifecycle.replicated_claims import CopiedClaims
+from flintshift.lifecycle.replicated_claims import ReplicatedClaims
 from flintshift.lifecycle.replication_status import copies_status
 from flintshift.peers import members as who
 from flintshift.proto import peers_pb2 as pb
@@ -100,7 +100,7 @@
         halls = {member: hall for member, (hall, _) in peers.members.items()}
         self.placement = Placement(halls, options.copies)
         self.files = files or DiskFiles()
-        self.claims = CopiedClaims(decisions, limits, now_ms, self.now_ms, self._from_planner, counters, log)
+        self.claims = ReplicatedClaims(decisions, limits, now_ms, self.now_ms, self._from_planner, counters, log)
         self.store = ReplicaStore(self, name, self.placement, options, self.files, self.now_ms, counters, log)
         self.members = who.Membership(
             self.identity, halls, who.HeartbeatTiming(peers.beat_ms, peers.lease_ms), self.now_ms()
@@ -215,7 +215,7 @@
 
     def max_retention_ms(self) -> float:
         """From a try's arrival until nothing is promised of it any more, for the longest class."""
-        return self.claims.longest_keep_ms()
+        return self.claims.max_retention_ms()
 
     def shown(self) -> dict[str, Any]:
         """How the copies and the other members stand, for operators."""
