--- a/flintshift/lifecycle/durable_state.py
+++ b/flintshift/lifecycle/durable_state.py
@@ -20,7 +20,7 @@
 from flintshift.storage.snapshot import DamagedError
 
 if TYPE_CHECKING:
-    from flintshift.lifecycle.replication import Copying
+    from flintshift.lifecycle.replication import ReplicationService
     from flintshift.usage.ledger import Ledger
 
 UNUSABLE = (OSError, LockedError, DamagedError)
@@ -58,18 +58,18 @@
     now_ms: Clock,
     log: Log,
     retry: StartRetry,
-) -> Copying:
+) -> ReplicationService:
     """What is held for other members, on its folder.
 
     Raises:
         ConfigError: it can't be used, or not in time.
     """
-    from flintshift.lifecycle.replication import Copying
+    from flintshift.lifecycle.replication import ReplicationService
 
     if config.name not in peers.members:
         raise ConfigError(f"this node, {config.name}, is none of peers.members: {', '.join(peers.members)}")
     opened = partial(
-        Copying,
+        ReplicationService,
         config.name,
         peers,
         options,
@@ -79,7 +79,7 @@
         now_ms,
         log,
         retry.again,
-        guest=config.control is not None,
+        may_have_predecessor=config.control is not None,
     )
     try:
         return retry.outlast(opened)
@@ -87,13 +87,13 @@
         raise ConfigError(f"the folder of copies can't be used: {error}") from error
 
 
-def copy_ledger(copying: Copying, ledger: Ledger, options: UsageOptions, retry: StartRetry) -> None:
+def copy_ledger(copying: ReplicationService, ledger: Ledger, options: UsageOptions, retry: StartRetry) -> None:
     """Have the ledger written to further members too, and theirs held here.
 
     Raises:
         ConfigError: the folder can't be used, or not in time.
     """
     try:
-        retry.outlast(partial(copying.copy_use, ledger, options))
+        retry.outlast(partial(copying.replicate_ledger, ledger, options))
     except UNUSABLE as error:
         raise ConfigError(f"the folder of copies can't be used: {error}") from error
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -48,7 +48,7 @@
     from pathlib import Path
 
     from flintshift.lifecycle.fair_door import FairDoor
-    from flintshift.lifecycle.replication import Copying
+    from flintshift.lifecycle.replication import ReplicationService
     from flintshift.lifecycle.start_permits import StartPermits
     from flintshift.lifecycle.starting import Starting
     from flintshift.lifecycle.upgrade import Upgrade
@@ -111,7 +111,7 @@
         self.ledger: Ledger | None = None
         self.books: LedgerRecorder | None = None
         self.fair: FairDoor | None = None
-        self.copying: Copying | None = None
+        self.copying: ReplicationService | None = None
         self.starting: Starting | None = None
         self.permits: StartPermits | None = None
         self.door: ControlFront | None = None
@@ -225,7 +225,7 @@
         self.copying = copying
         self.decisions.waiting_claims.claims, self.decisions.waiting_claims.may_run_elsewhere = copying.claims, True
         self.actors.append(copying.run)
-        self._show(options.folder / STATUS_SOCKET, "copies", copying.shown, "how the copies stand")
+        self._show(options.folder / STATUS_SOCKET, "copies", copying.status, "how the copies stand")
 
     def _watch_start(self, options: StartupOptions) -> None:
         from flintshift.lifecycle.starting import Starting
@@ -233,7 +233,7 @@
 
         settings = self.config.settings
         if options.at_once is not None and self.copying is not None:
-            self.permits = self.copying.start_permits(options.at_once, self.uniform, self.tell_lists)
+            self.permits = self.copying.create_start_permits(options.at_once, self.uniform, self.tell_lists)
         permits = self.permits
         starting = self.starting = Starting(
             options,
--- a/flintshift/lifecycle/replication.py
+++ b/flintshift/lifecycle/replication.py
@@ -27,7 +27,7 @@
 from flintshift.interface import Outcome
 from flintshift.lifecycle.replica_store import ReplicaStore
 from flintshift.lifecycle.replicated_claims import ReplicatedClaims
-from flintshift.lifecycle.replication_status import copies_status
+from flintshift.lifecycle.replication_status import replication_status
 from flintshift.peers import members as who
 from flintshift.proto import peers_pb2 as pb
 from flintshift.replication import logs
@@ -72,7 +72,7 @@
     return hashlib.blake2b(text.encode(), digest_size=8).digest()
 
 
-class Copying:
+class ReplicationService:
     """An actor of the node; ``claims`` is the decision planner's port."""
 
     def __init__(
@@ -86,14 +86,14 @@
         now_ms: Callable[[], float],
         log: Log,
         again: Callable[[OSError], bool],
-        guest: bool,
+        may_have_predecessor: bool,
         files: Files | None = None,
     ) -> None:
-        """``again``: whether a step of the start that failed so is to be tried again. ``guest``: another process of
+        """``again``: whether a step of the start that failed so is to be tried again. ``may_have_predecessor``: another process of
         this member may hold the copies; then this one asks it as it asks the others, and holds them once that one has
         ended."""
         self.name, self.options, self.decisions, self.limits = name, options, decisions, limits
-        self.again, self.guest = again, guest
+        self.again, self.may_have_predecessor = again, may_have_predecessor
         self.counters, self.log = counters, log
         self.identity = f"{name}#{int(time.time() * 1000):x}{os.urandom(2).hex()}"
         self.draw = random.Random()
@@ -132,14 +132,14 @@
         self.worded = anyio.Event()
         self.in_turn = False  # of the planner
         self.reached: set[str] = set()
-        self.not_linked: dict[str, str] = {}  # why, last
-        self.taken_over: dict[Key, str] = {}  # claims of dead runners, settled here: they may have run
-        self.use: LedgerReplication | None = None  # the ledgers of use
+        self.link_errors: dict[str, str] = {}  # why, last
+        self.taken_over_claims: dict[Key, str] = {}  # claims of dead runners, settled here: they may have run
+        self.ledger_replication: LedgerReplication | None = None  # the ledgers of use
         self.permits: StartPermits | None = None
         try:
             self.store.open()
         except LockedError:
-            if not guest:
+            if not may_have_predecessor:
                 raise
             log(
                 "info",
@@ -149,7 +149,7 @@
                 cause="another process of this member holds them",
             )
 
-    def copy_use(self, ledger: Ledger, options: UsageOptions) -> None:
+    def replicate_ledger(self, ledger: Ledger, options: UsageOptions) -> None:
         """Write this ledger to further members, and hold theirs.
 
         Raises:
@@ -172,11 +172,11 @@
             self.counters,
             self.log,
         )
-        self.use = LedgerReplication(self.name, self.placement, options, holder)
+        self.ledger_replication = LedgerReplication(self.name, self.placement, options, holder)
         holder.restore()
-        self.use.replicate(ledger)
+        self.ledger_replication.replicate(ledger)
 
-    def start_permits(self, at_once: int, uniform: Uniform, go: Callable[[], None]) -> StartPermits:
+    def create_start_permits(self, at_once: int, uniform: Uniform, go: Callable[[], None]) -> StartPermits:
         """Have this fleet start so many members at a time."""
         from flintshift.lifecycle.start_permits import StartPermits
 
@@ -217,9 +217,9 @@
         """From a try's arrival until nothing is promised of it any more, for the longest class."""
         return self.claims.max_retention_ms()
 
-    def shown(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """How the copies and the other members stand, for operators."""
-        return copies_status(self)
+        return replication_status(self)
 
     def _from_planner(self, event: Event) -> None:
         self.in_turn = True
@@ -249,9 +249,9 @@
                         outcome=value.outcome.value if value.outcome else None,
                     )
                     if value.outcome is Outcome.ERROR:
-                        self.taken_over[key] = value.owner
-                        while len(self.taken_over) > self.limits.max_open_claims:
-                            del self.taken_over[next(iter(self.taken_over))]
+                        self.taken_over_claims[key] = value.owner
+                        while len(self.taken_over_claims) > self.limits.max_open_claims:
+                            del self.taken_over_claims[next(iter(self.taken_over_claims))]
                 case _ if self.in_turn:
                     self.decisions.pending.append(at.MessageReceived(action))
                 case _:
@@ -320,8 +320,8 @@
                     self.permits.on_request(identity, word)
                 case PermitRequest():  # this member's file names no startup.at-once: it holds nobody up
                     self.front.send(identity, Permit(word.number, True))
-                case _ if self.use is not None:
-                    self.use.on_message(identity, word)
+                case _ if self.ledger_replication is not None:
+                    self.ledger_replication.on_message(identity, word)
 
     def _answered(self, member: str, identity: str, words: list[Any]) -> None:
         self._members(who.MessageReceived(identity))
@@ -333,8 +333,8 @@
                     self._event(word)
                 case Page():
                     self.store.receive_page(member, word)
-                case logs.ReplicaStatus() if self.use is not None:
-                    self.use.on_status(member, word)
+                case logs.ReplicaStatus() if self.ledger_replication is not None:
+                    self.ledger_replication.on_status(member, word)
                 case Permit() if self.permits is not None:
                     self.permits.on_permit(member, word)
                 case who.Accused():
@@ -343,11 +343,11 @@
     def _up(self, member: str, told: pb.Hello) -> None:
         self._met(member, told)
         self.reached.add(member)
-        self.not_linked.pop(member, None)
+        self.link_errors.pop(member, None)
         self.log("info", "peers.link_up", name=member, identity=told.identity, reached=len(self.reached))
         self._event(ReachabilityChanged(member, True, told.store))
-        if self.use is not None and member != self.name:
-            self.use.set_reachable(member, True)
+        if self.ledger_replication is not None and member != self.name:
+            self.ledger_replication.set_reachable(member, True)
 
     def _down(self, member: str, cause: str) -> None:
         if member == self.name and self.store.folder is not None:
@@ -357,10 +357,12 @@
             self.log("warning", "peers.link_down", name=member, cause=cause, reached=len(self.reached))
             self._event(ReachabilityChanged(member, False, 0))
             self.store.on_link_lost(member)
-            if self.use is not None:
-                self.use.set_reachable(member, False)
-        elif member != self.name and self.not_linked.get(member) != cause:  # told once for each cause, not for each try
-            self.not_linked[member] = cause
+            if self.ledger_replication is not None:
+                self.ledger_replication.set_reachable(member, False)
+        elif (
+            member != self.name and self.link_errors.get(member) != cause
+        ):  # told once for each cause, not for each try
+            self.link_errors[member] = cause
             self.log("warning", "peers.not_linked", name=member, cause=cause)
 
     # The actor.
@@ -376,8 +378,8 @@
             tasks.start_soon(self._bring)
             if self.options.durability == "power-cut":
                 tasks.start_soon(self.store.sync)
-            if self.use is not None:
-                tasks.start_soon(self.use.run)
+            if self.ledger_replication is not None:
+                tasks.start_soon(self.ledger_replication.run)
             try:
                 while True:
                     await anyio.sleep(TICK_MS / 1000)
@@ -385,8 +387,8 @@
             finally:
                 if self.timer is not None:
                     self.timer.cancel()
-                if self.use is not None:
-                    self.use.close()
+                if self.ledger_replication is not None:
+                    self.ledger_replication.close()
                 self.store.close()
 
     async def _listen(self) -> None:
@@ -397,8 +399,8 @@
                 raw = listening(self.listen, self.limits.listen_backlog)
                 break
             except OSError as error:
-                # A guest's address is held until the process before it ends, however long that takes.
-                if not (may_pass(error) if self.guest else self.again(error)):
+                # A may_have_predecessor's address is held until the process before it ends, however long that takes.
+                if not (may_pass(error) if self.may_have_predecessor else self.again(error)):
                     raise
             await anyio.sleep(self.limits.start_retry_delay_ms / 1000)
         await self.front.serve(raw)
@@ -433,8 +435,8 @@
         for link in self.links.values():
             link.watch(now)
         self._members(who.Tick())
-        if self.use is not None:
-            self.use.tick()
+        if self.ledger_replication is not None:
+            self.ledger_replication.tick()
         if self.permits is not None:
             self.permits.tick()
         if self.store.folder is None or not self.store.check_disk(now):
--- a/flintshift/lifecycle/replication_status.py
+++ b/flintshift/lifecycle/replication_status.py
@@ -7,10 +7,10 @@
 from flintshift.peers import members as who
 
 if TYPE_CHECKING:
-    from flintshift.lifecycle.replication import Copying
+    from flintshift.lifecycle.replication import ReplicationService
 
 
-def copies_status(copying: Copying) -> dict[str, Any]:
+def replication_status(copying: ReplicationService) -> dict[str, Any]:
     """How the copies and the other members stand, as `flintshift copies status` shows it."""
     now, registers = copying.now_ms(), copying.store.registers
     processes: dict[str, list[dict[str, Any]]] = {}
@@ -40,18 +40,18 @@
         "bytes": registers.stored_bytes,
         "stages": registers.count_by_stage(),
         "under_copied": registers.count_under_replicated(copying.reached | {copying.name}),
-        "use": copying.use.status() if copying.use is not None else [],
+        "use": copying.ledger_replication.status() if copying.ledger_replication is not None else [],
         "proposals": len(copying.proposals.active),
         "followed": len(copying.proposals.followed),
         "may_have_run": [
-            {"class": key[0], "key": key[1], "request": owner} for key, owner in copying.taken_over.items()
+            {"class": key[0], "key": key[1], "request": owner} for key, owner in copying.taken_over_claims.items()
         ],
         "members": [
             {
                 "member": member,
                 "hall": copying.placement.halls[member],
                 "linked": member in copying.reached,
-                "cause": copying.not_linked.get(member, ""),
+                "cause": copying.link_errors.get(member, ""),
                 "processes": processes.get(member, []),
             }
             for member in copying.placement.halls
