--- a/flintshift/lifecycle/durable_state.py
+++ b/flintshift/lifecycle/durable_state.py
@@ -49,7 +49,7 @@
         raise ConfigError(f"the ledger of use can't be opened: {error}") from error
 
 
-def open_copies(
+def open_replication(
     config: Config,
     peers: PeersOptions,
     options: CopiesOptions,
@@ -87,7 +87,7 @@
         raise ConfigError(f"the folder of copies can't be used: {error}") from error
 
 
-def copy_ledger(copying: ReplicationService, ledger: Ledger, options: UsageOptions, retry: StartRetry) -> None:
+def replicate_ledger(copying: ReplicationService, ledger: Ledger, options: UsageOptions, retry: StartRetry) -> None:
     """Have the ledger written to further members too, and theirs held here.
 
     Raises:
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -214,14 +214,14 @@
             self.actors.append(create_export_actor(self.ledger, options, self.log))
 
     def _keep_copies(self, peers: PeersOptions, options: CopiesOptions) -> None:
-        from flintshift.lifecycle.durable_state import copy_ledger, open_copies
+        from flintshift.lifecycle.durable_state import open_replication, replicate_ledger
         from flintshift.replication.store import STATUS_SOCKET
 
-        copying = open_copies(
+        copying = open_replication(
             self.config, peers, options, self.decisions, self.counters, self.now_ms, self.log, self.retry
         )
         if self.ledger is not None and self.config.operators.usage is not None and options.copies > 1:
-            copy_ledger(copying, self.ledger, self.config.operators.usage, self.retry)
+            replicate_ledger(copying, self.ledger, self.config.operators.usage, self.retry)
         self.copying = copying
         self.decisions.waiting_claims.claims, self.decisions.waiting_claims.may_run_elsewhere = copying.claims, True
         self.actors.append(copying.run)
