--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -1,7 +1,7 @@
-"""This member's store of copies at the node's side: its registers, its disk, its refill. It votes on what is asked.
+"""The store of a member, which holds replicas of keys and votes on them: its registers, its folder and its refill.
 
-What a vote changes stands on the disk before the vote leaves. What is asked in one turn of the event loop is written by
-one call of the system and voted on after it (and after a sync, with durability power-cut).
+What a vote changes is written before the vote is sent. The changes of one turn of the event loop are written by one
+system call, and their votes are sent after it (with durability power-cut, after a sync).
 """
 
 from __future__ import annotations
@@ -28,37 +28,38 @@
 from flintshift.storage.log import BrokenLogError
 from flintshift.wire.peer_codec import entry_bytes, entry_from
 
-PURGE_MS = 1000.0
-TURN_MS = 30_000.0  # a segment of the log is used for so long at the most
-FIRST_REOPEN_MS = 25.0  # from a disk_error to the first try to write again; twice as long with each further one
-MOST_REOPEN_MS = 1000.0
+PURGE_INTERVAL_MS = 1000.0
+MAX_SEGMENT_AGE_MS = 30_000.0  # after this time a new segment of the log is begun, whatever its size
+FIRST_REOPEN_DELAY_MS = 25.0  # from a failure to the first attempt to reopen the log; doubled after each
+MAX_REOPEN_DELAY_MS = 1000.0
 
 PendingVote = tuple[str, Vote, Key]  # for this process, about that key
 
 
 class Host(Protocol):
-    """Whoever the store votes for, and tells of what it becomes."""
+    """The process that owns the store. It sends the votes and is notified of changes of the store."""
 
     identity: str
 
     def notify_proposals(self, event: Event) -> None:
-        """The proposals of this process hear of this."""
+        """Handle an event in the proposals of this process."""
 
-    def send(self, identity: str, word: Vote | Ended) -> None:
-        """Send to another process that asked."""
+    def send(self, identity: str, message: Vote | Ended) -> None:
+        """Send a message to another process, which asked for a vote."""
 
     def max_retention_ms(self) -> float:
-        """From a try's arrival until nothing is promised of it any more, for the longest class."""
+        """The longest time, of all classes, from the arrival of a try until its key need not be remembered any more."""
 
 
-def absent(vote: Vote) -> Vote:
-    """In its place, where this holder can't vote."""
+def absent_vote(vote: Vote) -> Vote:
+    """The answer that is sent instead of this vote while this holder can't vote."""
     return Vote(vote.number, Verdict.ABSENT, NO_BALLOT, NO_BALLOT, None, vote.stores)
 
 
 class ReplicaStore:
-    """Held by one process of the member: ``folder`` is None while another one has it. Times are those of the monotonic
-    clock, in milliseconds."""
+    """The store, which one process of the member owns at a time: ``folder`` is None while another process owns it.
+
+    Times are those of the monotonic clock, in milliseconds."""
 
     def __init__(
         self,
@@ -76,27 +77,27 @@
         self.folder: ReplicaFolder | None = None
         self.registers = Registers(name, 0, placement, self._bounds(), False, math.inf)
         self.refill: Refill | None = None
-        self.entries: list[Entry] = []  # not written yet
-        self.votes: list[PendingVote] = []  # that leave once these are
-        self.flushing = False
-        self.unsynced: deque[PendingVote] = deque()
+        self.pending_entries: list[Entry] = []  # to be written at the end of this turn
+        self.pending_votes: list[PendingVote] = []  # sent once these entries are written
+        self.flush_scheduled = False
+        self.unsynced_votes: deque[PendingVote] = deque()
         self.sync_wanted = anyio.Event()
-        self.disk_failed_since_ms: float | None = None  # since when the disk refuses; None: it takes what is written
-        self.disk_error = ""  # why, the last time
-        self.reopen_ms, self.reopen_after_ms = math.inf, 0.0  # when it is tried next, and the wait that led there
-        self.turned_ms = self.purged_ms = now_ms()
-        self.opened = anyio.Event()  # this process holds the copies
+        self.disk_failed_since_ms: float | None = None  # None: the disk accepts writes
+        self.disk_error = ""  # the last error of the disk
+        self.reopen_at_ms, self.reopen_delay_ms = math.inf, 0.0  # the next attempt, and the delay before it
+        self.rotated_ms = self.purged_ms = now_ms()
+        self.opened = anyio.Event()  # set once this process owns the store
 
     def _bounds(self) -> HolderBounds:
         return HolderBounds(self.options.keys, self.options.bytes, self.host.max_retention_ms())
 
-    # Which store it is.
+    # The incarnation of the store.
 
     def open(self) -> None:
-        """Hold what stands in the folder.
+        """Open the folder and restore the registers from it.
 
         Raises:
-            OSError, LockedError, DamagedError: it can't be used, or another process has it.
+            OSError, LockedError, DamagedError: the folder can't be used, or another process owns it.
         """
         self.folder = ReplicaFolder(
             self.files,
@@ -109,8 +110,8 @@
             entry_bytes,
             entry_from,
         )
-        found, state, now = self.folder.recovered, self.folder.state, self.now_ms()
-        before = self.registers.stores
+        recovered, state, now = self.folder.recovered, self.folder.state, self.now_ms()
+        known_stores = self.registers.stores
         self.registers = Registers(
             self.name,
             state.incarnation,
@@ -119,8 +120,8 @@
             state.votes,
             now + self.host.max_retention_ms() if not state.votes else 0.0,
         )
-        self.registers.stores |= {member: store for member, store in before.items() if member != self.name}
-        for entry in found.entries:
+        self.registers.stores |= {member: store for member, store in known_stores.items() if member != self.name}
+        for entry in recovered.entries:
             self.registers.merge(now, entry)
         self.refill = None if state.votes else self._new_refill()
         self.log(
@@ -129,9 +130,9 @@
             folder=str(self.options.folder),
             identity=self.host.identity,
             store=state.incarnation,
-            keys=len(found.entries),
+            keys=len(recovered.entries),
             votes=state.votes,
-            cause=found.no_vote_reason,
+            cause=recovered.no_vote_reason,
         )
         self.host.notify_proposals(ReachabilityChanged(self.name, True, state.incarnation))
         self.opened.set()
@@ -144,91 +145,94 @@
         return Refill(member for member in self.placement.halls if member != self.name)
 
     def known_stores(self, member: str) -> tuple[int, int]:
-        """The incarnations of this store, and of that member's as far as it is known."""
+        """The incarnations of this store and of that member's store; 0 if the latter is unknown."""
         return self.registers.store, self.registers.stores.get(member, 0)
 
     def on_hello(self, member: str, store: int, known_store: int) -> None:
-        """Another member says which store it has, and by which it knows this one."""
+        """Record the incarnation of another member's store, and check which one it knows of this store."""
         if store > self.registers.stores.get(member, 0):
             self.registers.stores[member] = store
         if self.folder is not None and known_store > self.registers.store and member != self.name:
-            self._outlived(member, known_store)
+            self._begin_newer_incarnation(member, known_store)
+
+    def _begin_newer_incarnation(self, member: str, known_store: int) -> None:
+        """Replace the store by an empty one under a newer incarnation, and refill it.
 
-    def _outlived(self, member: str, known: int) -> None:
-        """Another knows this member by a newer store: what stands here is older than what it promised since."""
+        Another member knows a newer incarnation of this store, so the folder lacks later promises of this member."""
         self.log(
             "error",
             "copies.store_outlived",
             store=self.registers.store,
-            known=known,
+            known=known_store,
             by=member,
-            cause="this disk is not the one that this member used last; it is emptied and filled again",
+            cause="this disk is not the one that this member used last; its store is emptied and refilled",
         )
         self.registers = Registers(
             self.name,
-            known + 1,
+            known_store + 1,
             self.placement,
             self.registers.bounds,
             False,
             self.now_ms() + self.host.max_retention_ms(),
         )
         self.refill = self._new_refill()
-        self._keep_state()
-        self.host.notify_proposals(ReachabilityChanged(self.name, True, known + 1))
+        self._persist_state()
+        self.host.notify_proposals(ReachabilityChanged(self.name, True, known_store + 1))
 
     # Votes.
 
     def vote(self, identity: str, ask: Ask) -> None:
-        """Vote for that process; what changes is written before the vote leaves."""
+        """Vote on a request of that process. What the vote changes is written before the vote is sent."""
         vote, entry = self.registers.vote(self.now_ms(), ask)
-        if self.disk_failed_since_ms is not None:  # no vote leaves that does not stand on the disk
-            vote, entry = absent(vote), None
+        if self.disk_failed_since_ms is not None:  # a vote that can't be persisted is not sent
+            vote, entry = absent_vote(vote), None
         if entry is not None:
-            self.entries.append(entry)
-        self.votes.append((identity, vote, ask.key))
-        if not self.flushing:
-            self.flushing = True
+            self.pending_entries.append(entry)
+        self.pending_votes.append((identity, vote, ask.key))
+        if not self.flush_scheduled:
+            self.flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        self.flushing = False
-        entries, self.entries = self.entries, []
-        votes, self.votes = self.votes, []
-        if entries and not self._written(entries):
-            votes = [(identity, absent(vote), key) for identity, vote, key in votes]
+        self.flush_scheduled = False
+        entries, self.pending_entries = self.pending_entries, []
+        votes, self.pending_votes = self.pending_votes, []
+        if entries and not self._write(entries):
+            votes = [(identity, absent_vote(vote), key) for identity, vote, key in votes]
             entries = []
         if entries and self.options.durability == "power-cut":
-            self.unsynced.extend(votes)
+            self.unsynced_votes.extend(votes)
             self.sync_wanted.set()
         else:
-            self._let_go(votes)
+            self._send_votes(votes)
 
-    def _let_go(self, votes: list[PendingVote]) -> None:
+    def _send_votes(self, votes: list[PendingVote]) -> None:
         for identity, vote, key in votes:
             if identity == self.host.identity:
                 self.host.notify_proposals(Voted(self.name, vote))
             else:
                 self.host.send(identity, vote)
-            for follower in self.registers.pop_watchers_if_ended(key):
-                if follower == self.host.identity:
+            for watcher in self.registers.pop_watchers_if_ended(key):
+                if watcher == self.host.identity:
                     self.host.notify_proposals(Ended(key))
                 else:
-                    self.host.send(follower, Ended(key))
+                    self.host.send(watcher, Ended(key))
 
     # The disk.
 
-    def _written(self, entries: list[Entry]) -> bool:
-        """The registers hold these changes; False where the disk does not."""
+    def _write(self, entries: list[Entry]) -> bool:
+        """Write changes of the registers to the disk; return False if the disk rejects them."""
         assert self.folder is not None
         try:
             self.folder.write(entries, self.now_ms())
         except (OSError, BrokenLogError) as error:
-            return self._outlasted(error)
+            return self._recover_disk(error)
         return True
 
-    def _outlasted(self, error: Exception) -> bool:
-        """The disk refused. What counts is what the registers hold: all of it is written anew at once, and only where
-        that is refused too does this member not vote."""
+    def _recover_disk(self, error: Exception) -> bool:
+        """Handle an error of the disk: reopen the log with the contents of the registers, which are authoritative.
+
+        Return False if that fails too; then this member does not vote."""
         assert self.folder is not None
         self.counters.add("copies.disk_refused")
         self.disk_error = str(error)
@@ -246,41 +250,42 @@
             "error",
             "copies.disk_refuses",
             cause=str(error),
-            text="this member does not vote until its disk takes what it promises",
+            text="this member does not vote until its disk accepts its promises",
         )
         self.disk_failed_since_ms = self.now_ms()
-        self.reopen_after_ms = FIRST_REOPEN_MS
-        self.reopen_ms = self.disk_failed_since_ms + FIRST_REOPEN_MS
+        self.reopen_delay_ms = FIRST_REOPEN_DELAY_MS
+        self.reopen_at_ms = self.disk_failed_since_ms + FIRST_REOPEN_DELAY_MS
         self.host.notify_proposals(ReachabilityChanged(self.name, False, 0))
 
     async def sync(self) -> None:
-        """Let votes go once what they changed is synced; until cancelled."""
+        """Send votes after the sync of what they changed, until cancelled."""
         while True:
-            while not self.unsynced:
+            while not self.unsynced_votes:
                 self.sync_wanted = anyio.Event()
                 await self.sync_wanted.wait()
-            votes = list(self.unsynced)
-            self.unsynced.clear()
+            votes = list(self.unsynced_votes)
+            self.unsynced_votes.clear()
             try:
                 assert self.folder is not None
                 await anyio.to_thread.run_sync(self.folder.log.sync)
             except (OSError, BrokenLogError) as error:
-                if not self._outlasted(error):
-                    votes = [(identity, absent(vote), key) for identity, vote, key in votes]
-            self._let_go(votes)
+                if not self._recover_disk(error):
+                    votes = [(identity, absent_vote(vote), key) for identity, vote, key in votes]
+            self._send_votes(votes)
 
     def check_disk(self, now: float) -> bool:
-        """The disk takes what is promised, as far as is known; one that refused is tried again from time to time."""
+        """Return whether the disk accepts writes, as far as is known. After a failure it is retried with backoff."""
         if self.disk_failed_since_ms is None:
-            self._keep_state()
-        elif now >= self.reopen_ms:
+            self._persist_state()
+        elif now >= self.reopen_at_ms:
             self._reopen(now)
-            return False  # the others hear of it first
+            return False  # the other members are notified first
         return self.disk_failed_since_ms is None
 
-    def _keep_state(self) -> None:
-        """Have the disk hold what the registers stand for: which store this is, and whether it knows all that it ever
-        promised. Tried again with each look; a death before that leaves a store that is filled anew."""
+    def _persist_state(self) -> None:
+        """Persist the incarnation of the store, and whether it has all that it ever promised.
+
+        It is retried at each check of the disk. If the process ends before, the store is refilled at the next start."""
         assert self.folder is not None
         state = structs.replace(
             self.folder.state, incarnation=self.registers.store, votes=self.registers.votes_on_all_keys
@@ -288,81 +293,81 @@
         if state == self.folder.state or self.disk_failed_since_ms is not None:
             return
         try:
-            if state.votes:  # it must not be believed without what it was filled with
+            if state.votes:  # the state must not claim entries of the refill that are not durable
                 self.folder.log.sync()
             self.folder.write_state(state)
         except (OSError, BrokenLogError) as error:
             self.counters.add("copies.state_refused")
             if self.folder.log.broken:
-                self._outlasted(error)
+                self._recover_disk(error)
 
     def _reopen(self, now: float) -> None:
         assert self.folder is not None and self.disk_failed_since_ms is not None
         try:
             self.folder.reopen(self.registers.entries(now), self.now_ms())
         except (OSError, BrokenLogError) as error:
-            self.reopen_after_ms = min(self.reopen_after_ms * 2, MOST_REOPEN_MS)
-            self.reopen_ms = now + self.reopen_after_ms
-            self.log("error", "copies.disk_still_refuses", cause=str(error), again_in_ms=round(self.reopen_after_ms))
+            self.reopen_delay_ms = min(self.reopen_delay_ms * 2, MAX_REOPEN_DELAY_MS)
+            self.reopen_at_ms = now + self.reopen_delay_ms
+            self.log("error", "copies.disk_still_refuses", cause=str(error), again_in_ms=round(self.reopen_delay_ms))
             return
         after_ms, self.disk_failed_since_ms = now - self.disk_failed_since_ms, None
         self.log("warning", "copies.disk_takes_again", keys=len(self.registers.table), after_ms=round(after_ms))
         self.host.notify_proposals(ReachabilityChanged(self.name, True, self.registers.store))
 
     def purge(self, now: float) -> None:
-        """Forget what is past, here and on the disk; does nothing where that was done a moment ago."""
-        if now < self.purged_ms + PURGE_MS or self.folder is None:
+        """Remove expired entries from the registers, and begin a new segment of the log when it is due."""
+        if now < self.purged_ms + PURGE_INTERVAL_MS or self.folder is None:
             return
         self.purged_ms = now
         self.registers.purge(now)
-        if self.folder.log.size < self.options.segment_bytes and now < self.turned_ms + TURN_MS:
+        if self.folder.log.size < self.options.segment_bytes and now < self.rotated_ms + MAX_SEGMENT_AGE_MS:
             return
-        self.turned_ms = now
+        self.rotated_ms = now
         try:
             self.folder.rotate(self.now_ms())
         except (OSError, BrokenLogError) as error:
-            self._outlasted(error)
+            self._recover_disk(error)
 
-    # Its refill, and that of others.
+    # The refill of this store and of other members' stores.
 
-    def make_page(self, member: str, ask: FillAsk) -> Page:
-        """What this store tells a member whose own is filled."""
+    def make_page(self, member: str, request: FillAsk) -> Page:
+        """A page of this store's entries for a member whose store is being refilled."""
         self.counters.add("copies.pages")
-        return build_page(self.now_ms(), self.registers, member, ask)
+        return build_page(self.now_ms(), self.registers, member, request)
 
     def due_fill_requests(self, now: float, reached: set[str]) -> list[tuple[str, FillAsk]]:
-        """Whom to ask now for what this store lacks."""
+        """The requests for pages that are due now, with the members to send them to."""
         if self.refill is None:
             return []
         if now >= self.registers.voting_from_ms:
-            self._filled("a whole window has passed: nothing from before is still promised")
+            self._end_refill("a whole window has passed: no earlier promise is still valid")
             return []
         return self.refill.due_requests(now, self.registers.store, reached)
 
     def on_link_lost(self, member: str) -> None:
-        """What was asked of that member for the refill will not be answered."""
+        """The requests of the refill to that member will not be answered."""
         if self.refill is not None:
             self.refill.handle_link_lost(member)
 
-    def receive_page(self, member: str, told: Page) -> None:
-        """Take what another store tells this one."""
+    def receive_page(self, member: str, page: Page) -> None:
+        """Merge a page of another member's store into this store."""
         if self.refill is None or self.folder is None:
             return
-        before = self.registers.store
-        changed = self.refill.receive_page(self.now_ms(), self.registers, member, told)
+        previous_store = self.registers.store
+        changed = self.refill.receive_page(self.now_ms(), self.registers, member, page)
         self.counters.add("copies.filled_keys", len(changed))
         if changed:
-            self._written(changed)  # where the disk refuses, they are written with all else once it takes again
-        if self.registers.store != before:
+            self._write(changed)  # if the disk rejects them, they are written when the log is reopened
+        if self.registers.store != previous_store:
             self.host.notify_proposals(ReachabilityChanged(self.name, True, self.registers.store))
-        if told.done and told.authoritative:
+        if page.done and page.authoritative:
             self.log("info", "copies.filled_by", name=member, keys=len(self.registers.table))
         if self.registers.votes_on_all_keys:
-            self._filled("a majority of the holders of each of its keys has told what it knows")
-        self._keep_state()
+            self._end_refill("a majority of the holders of each of its keys has sent its entries")
+        self._persist_state()
 
-    def _filled(self, cause: str) -> None:
+    def _end_refill(self, cause: str) -> None:
         self.refill = None
         self.registers.votes_on_all_keys = True
-        self._keep_state()
+        self._persist_state()
         self.log("info", "copies.votes", keys=len(self.registers.table), cause=cause)
--- a/tests/replication/test_store_refusals.py
+++ b/tests/replication/test_store_refusals.py
@@ -2,10 +2,10 @@
 
 In a fleet of five with three replicas, one rejected write in 200 on each disk made 8 to 46 % of the keyed requests fail
 or be rejected; without a fault it was 1 to 2 %. A holder took a single rejected write for a failed disk
-(`ReplicaStore._on_disk_failed`), reported that it couldn't vote and tried its disk again a second later, though the next write
-would have succeeded. Two of the three holders of a key were soon away at the same time, and nobody could claim it.
-Besides, the rest of a rejected write was not cut off from the log, though its length alone tells it from a whole
-record.
+(`ReplicaStore._on_disk_failed`), reported that it couldn't vote and tried its disk again a second later, though the
+next write would have succeeded. Two of the three holders of a key were soon away at the same time, and nobody could
+claim it. Besides, the rest of a rejected write was not cut off from the log, though its length alone tells it from a
+whole record.
 
 The logs showed "copies.disk_refuses" with "copies.disk_takes_again" 1.03 s after each, 33 times in one run, and "no
 majority of the key's holders can vote" 1,669 times in another, with 34 single rejected writes.
