--- a/flintshift/lifecycle/replication.py
+++ b/flintshift/lifecycle/replication.py
@@ -1,8 +1,7 @@
-"""The copies at the node's side: the state machines of `replication/` and `peers/`, their disk, their links, their
-clock, and what the planner is to hear of them. Imported only where copies are on.
+"""Connects replication to the node: the state machines of `replication/` and `peers/` get their clock, store and links.
 
-Everything happens in turns of one event loop; what the planner is to hear goes through its mailbox. This member's own
-store is held by `lifecycle/replica_store.py`.
+All of it runs in turns of one event loop; messages for the planner go through its mailbox. `lifecycle/replica_store.py`
+owns this member's own store. Imported only if replication is on.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 from flintshift.lifecycle.replica_store import ReplicaStore
 from flintshift.lifecycle.replicated_claims import ReplicatedClaims
 from flintshift.lifecycle.replication_status import replication_status
-from flintshift.peers import members as who
+from flintshift.peers import members as membership
 from flintshift.proto import peers_pb2 as pb
 from flintshift.replication import logs
 from flintshift.replication.messages import (
@@ -62,18 +61,19 @@
     from flintshift.lifecycle.start_permits import StartPermits
     from flintshift.usage.ledger import Ledger
 
-SOON_MS = 5.0  # a proposal's time may be passed by so much
-TICK_MS = 50.0  # of who lives, takeovers and refills
-STAGGER_MS = 400.0  # between two holders' takeover of one claim
+TIMER_TOLERANCE_MS = 5.0  # a tick of the proposals may be so late
+TICK_INTERVAL_MS = 50.0  # of membership, takeovers and refills
+TAKEOVER_STAGGER_MS = 400.0  # between the takeovers of one claim by two holders
 
 
 def members_digest(options: PeersOptions) -> bytes:
+    """A digest of the members' names and halls, whatever the order of the list."""
     text = "\n".join(f"{name} {hall}" for name, (hall, _) in sorted(options.members.items()))
     return hashlib.blake2b(text.encode(), digest_size=8).digest()
 
 
 class ReplicationService:
-    """An actor of the node; ``claims`` is the decision planner's port."""
+    """The actor that runs replication in the node. ``claims`` implements the decision planner's port `Claims`."""
 
     def __init__(
         self,
@@ -85,27 +85,31 @@
         counters: Counters,
         now_ms: Callable[[], float],
         log: Log,
-        again: Callable[[OSError], bool],
+        may_retry: Callable[[OSError], bool],
         may_have_predecessor: bool,
         files: Files | None = None,
     ) -> None:
-        """``again``: whether a step of the start that failed so is to be tried again. ``may_have_predecessor``: another process of
-        this member may hold the copies; then this one asks it as it asks the others, and holds them once that one has
-        ended."""
+        """Open the store, unless another process of this member owns it.
+
+        ``may_retry`` tells whether a step of the start is to be retried after an error. ``may_have_predecessor``:
+        another process of this member may own the store; until that process has ended, this one sends it the requests
+        that it also sends to other members. Then this process opens the store itself."""
         self.name, self.options, self.decisions, self.limits = name, options, decisions, limits
-        self.again, self.may_have_predecessor = again, may_have_predecessor
+        self.may_retry, self.may_have_predecessor = may_retry, may_have_predecessor
         self.counters, self.log = counters, log
         self.identity = f"{name}#{int(time.time() * 1000):x}{os.urandom(2).hex()}"
-        self.draw = random.Random()
+        self.rng = random.Random()
         halls = {member: hall for member, (hall, _) in peers.members.items()}
         self.placement = Placement(halls, options.copies)
         self.files = files or DiskFiles()
-        self.claims = ReplicatedClaims(decisions, limits, now_ms, self.now_ms, self._from_planner, counters, log)
+        self.claims = ReplicatedClaims(
+            decisions, limits, now_ms, self.now_ms, self._handle_planner_event, counters, log
+        )
         self.store = ReplicaStore(self, name, self.placement, options, self.files, self.now_ms, counters, log)
-        self.members = who.Membership(
-            self.identity, halls, who.HeartbeatTiming(peers.beat_ms, peers.lease_ms), self.now_ms()
+        self.members = membership.Membership(
+            self.identity, halls, membership.HeartbeatTiming(peers.beat_ms, peers.lease_ms), self.now_ms()
         )
-        self.proposals = Proposals(self.identity, self.placement, self._lives, self.draw)
+        self.proposals = Proposals(self.identity, self.placement, self._is_alive, self.rng)
         greeting = self.greeting = Greeting(name, self.identity, peers.epoch, members_digest(peers))
         self.links = {
             member: OutLink(
@@ -115,26 +119,33 @@
                 counters,
                 greeting,
                 self.store.known_stores,
-                self._answered,
-                self._up,
-                self._down,
-                self.draw,
+                self._on_answers,
+                self._on_link_up,
+                self._on_link_down,
+                self.rng,
             )
             for member, (_, address) in {**peers.members, name: (halls[name], peers.listen)}.items()
         }
         self.front = PeerFront(
-            limits, counters, greeting, list(halls), self.store.known_stores, self._asked, self._met, self._refused
+            limits,
+            counters,
+            greeting,
+            list(halls),
+            self.store.known_stores,
+            self._on_requests,
+            self._on_hello,
+            self._on_link_refused,
         )
         self.listen = peers.listen
-        self.timer: asyncio.TimerHandle | None = None
-        self.timer_ms = math.inf
-        self.words: deque[Action] = deque()  # for the planner
-        self.worded = anyio.Event()
-        self.in_turn = False  # of the planner
+        self.proposal_timer: asyncio.TimerHandle | None = None
+        self.timer_due_ms = math.inf
+        self.planner_messages: deque[Action] = deque()  # not delivered yet
+        self.message_queued = anyio.Event()
+        self.in_planner_turn = False  # the event being handled was sent by the planner, in its own turn
         self.reached: set[str] = set()
-        self.link_errors: dict[str, str] = {}  # why, last
-        self.taken_over_claims: dict[Key, str] = {}  # claims of dead runners, settled here: they may have run
-        self.ledger_replication: LedgerReplication | None = None  # the ledgers of use
+        self.link_errors: dict[str, str] = {}  # by member, the last cause
+        self.taken_over_claims: dict[Key, str] = {}  # of dead runners, settled here: their runs may have been executed
+        self.ledger_replication: LedgerReplication | None = None  # of the usage ledgers
         self.permits: StartPermits | None = None
         try:
             self.store.open()
@@ -146,11 +157,11 @@
                 "copies.guest",
                 folder=str(options.folder),
                 identity=self.identity,
-                cause="another process of this member holds them",
+                cause="another process of this member owns the store",
             )
 
     def replicate_ledger(self, ledger: Ledger, options: UsageOptions) -> None:
-        """Write this ledger to further members, and hold theirs.
+        """Replicate this ledger to other members, and keep replicas of their ledgers.
 
         Raises:
             OSError, LockedError: the folder can't be used.
@@ -158,26 +169,26 @@
         from flintshift.lifecycle.ledger_replicas import LedgerReplicas
         from flintshift.lifecycle.ledger_replication import LedgerReplication
 
-        holder = LedgerReplicas(
+        ledger_replicas = LedgerReplicas(
             self.name,
             self.identity,
             self.placement,
             self.options,
             self.files,
             boot_id(),
-            self._lives,
+            self._is_alive,
             self.now_ms,
-            lambda member, word: self.links[member].send(word, self.now_ms(), False),
+            lambda member, message: self.links[member].send(message, self.now_ms(), False),
             self.front.send,
             self.counters,
             self.log,
         )
-        self.ledger_replication = LedgerReplication(self.name, self.placement, options, holder)
-        holder.restore()
+        self.ledger_replication = LedgerReplication(self.name, self.placement, options, ledger_replicas)
+        ledger_replicas.restore()
         self.ledger_replication.replicate(ledger)
 
-    def create_start_permits(self, at_once: int, uniform: Uniform, go: Callable[[], None]) -> StartPermits:
-        """Have this fleet start so many members at a time."""
+    def create_start_permits(self, at_once: int, uniform: Uniform, on_proceed: Callable[[], None]) -> StartPermits:
+        """Create the permits that let only so many members of the fleet start at a time."""
         from flintshift.lifecycle.start_permits import StartPermits
 
         permits = self.permits = StartPermits(
@@ -186,11 +197,11 @@
             tuple(self.placement.halls),
             at_once,
             uniform,
-            self._lives,
+            self._is_alive,
             self.reached,
-            lambda member, word: self.links[member].send(word, self.now_ms(), False),
+            lambda member, message: self.links[member].send(message, self.now_ms(), False),
             self.front.send,
-            go,
+            on_proceed,
             self.counters,
             self.log,
         )
@@ -200,37 +211,37 @@
     def now_ms() -> float:
         return time.monotonic() * 1000
 
-    def _lives(self, runner: str) -> bool:
+    def _is_alive(self, runner: str) -> bool:
         return self.members.is_alive(runner, self.now_ms())
 
-    # What the store needs of its host.
+    # The host of the store.
 
     def notify_proposals(self, event: Event) -> None:
-        """The proposals of this process hear of this."""
-        self._event(event)
+        """Handle an event in the proposals of this process."""
+        self._handle_event(event)
 
-    def send(self, identity: str, word: Vote | Ended) -> None:
-        """Send to another process that asked."""
-        self.front.send(identity, word)
+    def send(self, identity: str, message: Vote | Ended) -> None:
+        """Send a message to another process, which asked for a vote."""
+        self.front.send(identity, message)
 
     def max_retention_ms(self) -> float:
-        """From a try's arrival until nothing is promised of it any more, for the longest class."""
+        """The longest time, of all classes, from the arrival of a try until its key need not be remembered any more."""
         return self.claims.max_retention_ms()
 
     def status(self) -> dict[str, Any]:
-        """How the copies and the other members stand, for operators."""
+        """The state of replication and of the other members, for operators."""
         return replication_status(self)
 
-    def _from_planner(self, event: Event) -> None:
-        self.in_turn = True
+    def _handle_planner_event(self, event: Event) -> None:
+        self.in_planner_turn = True
         try:
-            self._event(event)
+            self._handle_event(event)
         finally:
-            self.in_turn = False
+            self.in_planner_turn = False
 
     # The state machines.
 
-    def _event(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         for action in self.proposals.handle(self.now_ms(), event):
             match action:
                 case Send(to, ask) if to == self.name and self.store.folder is not None:
@@ -252,116 +263,116 @@
                         self.taken_over_claims[key] = value.owner
                         while len(self.taken_over_claims) > self.limits.max_open_claims:
                             del self.taken_over_claims[next(iter(self.taken_over_claims))]
-                case _ if self.in_turn:
+                case _ if self.in_planner_turn:
                     self.decisions.pending.append(at.MessageReceived(action))
                 case _:
-                    self.words.append(action)
-                    self.worded.set()
-        self._wake()
-
-    def _wake(self) -> None:
-        """Have the proposals ticked when they next need it."""
-        if self.timer_ms < self.now_ms() + SOON_MS:
-            return  # it is looked at soon enough
-        due = self.proposals.due_ms()
-        if due < self.timer_ms:
-            if self.timer is not None:
-                self.timer.cancel()
-            self.timer_ms = due
-            self.timer = asyncio.get_running_loop().call_later(max(due - self.now_ms(), 1.0) / 1000, self._ticked)
-
-    def _ticked(self) -> None:
-        self.timer, self.timer_ms = None, math.inf
-        self._event(Tick())
-
-    def _members(self, event: who.Event) -> None:
+                    self.planner_messages.append(action)
+                    self.message_queued.set()
+        self._schedule_tick()
+
+    def _schedule_tick(self) -> None:
+        """Schedule the next tick of the proposals for when it is due."""
+        if self.timer_due_ms < self.now_ms() + TIMER_TOLERANCE_MS:
+            return  # the timer fires soon enough
+        due_ms = self.proposals.due_ms()
+        if due_ms < self.timer_due_ms:
+            if self.proposal_timer is not None:
+                self.proposal_timer.cancel()
+            self.timer_due_ms = due_ms
+            self.proposal_timer = asyncio.get_running_loop().call_later(
+                max(due_ms - self.now_ms(), 1.0) / 1000, self._on_proposal_timer
+            )
+
+    def _on_proposal_timer(self) -> None:
+        self.proposal_timer, self.timer_due_ms = None, math.inf
+        self._handle_event(Tick())
+
+    def _handle_membership_event(self, event: membership.Event) -> None:
         for action in self.members.handle(self.now_ms(), event):
             match action:
-                case who.SendHeartbeat(to):
+                case membership.SendHeartbeat(to):
                     self.links[to].beat()
-                case who.Accuse():
+                case membership.Accuse():
                     for link in self.links.values():
                         link.send(action, self.now_ms(), False)
-                case who.Appeared(identity):
+                case membership.Appeared(identity):
                     self.log("info", "peers.appeared", identity=identity)
-                case who.Suspected(identity, silent_ms):
+                case membership.Suspected(identity, silent_ms):
                     self.counters.add("peers.suspected")
                     self.log("warning", "peers.suspected", identity=identity, silent_ms=round(silent_ms))
-                case who.Died(identity, silent_ms, accusers):
+                case membership.Died(identity, silent_ms, accusers):
                     self.counters.add("peers.died")
                     self.log(
                         "error", "peers.died", identity=identity, silent_ms=round(silent_ms), accusers=list(accusers)
                     )
-                case who.Returned(identity, was_dead):
+                case membership.Returned(identity, was_dead):
                     self.log("warning", "peers.returned", identity=identity, was_dead=was_dead)
 
-    # What others ask, and what they answer.
+    # Requests of other members, and their answers.
 
-    def _met(self, member: str, told: pb.Hello) -> None:
-        """Either end of a link said hello."""
-        self.store.on_hello(member, told.store, told.known_store)
-        self._members(who.MessageReceived(told.identity))
+    def _on_hello(self, member: str, hello: pb.Hello) -> None:
+        """Handle the hello of the process at the other end of a link, whichever end opened it."""
+        self.store.on_hello(member, hello.store, hello.known_store)
+        self._handle_membership_event(membership.MessageReceived(hello.identity))
         self.links[member].hurry()
 
-    def _refused(self, cause: str) -> None:
+    def _on_link_refused(self, cause: str) -> None:
         self.log("warning", "peers.link_refused", cause=cause)
 
-    def _asked(self, member: str, identity: str, words: list[Any]) -> None:
-        self._members(who.MessageReceived(identity))
-        for word in words:
-            match word:
+    def _on_requests(self, member: str, identity: str, messages: list[Any]) -> None:
+        self._handle_membership_event(membership.MessageReceived(identity))
+        for message in messages:
+            match message:
                 case Ask():
-                    self.store.vote(identity, word)
+                    self.store.vote(identity, message)
                 case FillAsk():
-                    self.front.send(identity, self.store.make_page(member, word))
-                case who.Accused():
-                    self._members(word)
+                    self.front.send(identity, self.store.make_page(member, message))
+                case membership.Accused():
+                    self._handle_membership_event(message)
                 case PermitRequest() if self.permits is not None:
-                    self.permits.on_request(identity, word)
-                case PermitRequest():  # this member's file names no startup.at-once: it holds nobody up
-                    self.front.send(identity, Permit(word.number, True))
+                    self.permits.on_request(identity, message)
+                case PermitRequest():  # this member's settings have no startup.at-once: it delays nobody
+                    self.front.send(identity, Permit(message.number, True))
                 case _ if self.ledger_replication is not None:
-                    self.ledger_replication.on_message(identity, word)
+                    self.ledger_replication.on_message(identity, message)
 
-    def _answered(self, member: str, identity: str, words: list[Any]) -> None:
-        self._members(who.MessageReceived(identity))
-        for word in words:
-            match word:
+    def _on_answers(self, member: str, identity: str, messages: list[Any]) -> None:
+        self._handle_membership_event(membership.MessageReceived(identity))
+        for message in messages:
+            match message:
                 case Vote():
-                    self._event(Voted(member, word))
+                    self._handle_event(Voted(member, message))
                 case Ended():
-                    self._event(word)
+                    self._handle_event(message)
                 case Page():
-                    self.store.receive_page(member, word)
+                    self.store.receive_page(member, message)
                 case logs.ReplicaStatus() if self.ledger_replication is not None:
-                    self.ledger_replication.on_status(member, word)
+                    self.ledger_replication.on_status(member, message)
                 case Permit() if self.permits is not None:
-                    self.permits.on_permit(member, word)
-                case who.Accused():
-                    self._members(word)
+                    self.permits.on_permit(member, message)
+                case membership.Accused():
+                    self._handle_membership_event(message)
 
-    def _up(self, member: str, told: pb.Hello) -> None:
-        self._met(member, told)
+    def _on_link_up(self, member: str, hello: pb.Hello) -> None:
+        self._on_hello(member, hello)
         self.reached.add(member)
         self.link_errors.pop(member, None)
-        self.log("info", "peers.link_up", name=member, identity=told.identity, reached=len(self.reached))
-        self._event(ReachabilityChanged(member, True, told.store))
+        self.log("info", "peers.link_up", name=member, identity=hello.identity, reached=len(self.reached))
+        self._handle_event(ReachabilityChanged(member, True, hello.store))
         if self.ledger_replication is not None and member != self.name:
             self.ledger_replication.set_reachable(member, True)
 
-    def _down(self, member: str, cause: str) -> None:
+    def _on_link_down(self, member: str, cause: str) -> None:
         if member == self.name and self.store.folder is not None:
             return
         if member in self.reached:
             self.reached.discard(member)
             self.log("warning", "peers.link_down", name=member, cause=cause, reached=len(self.reached))
-            self._event(ReachabilityChanged(member, False, 0))
+            self._handle_event(ReachabilityChanged(member, False, 0))
             self.store.on_link_lost(member)
             if self.ledger_replication is not None:
                 self.ledger_replication.set_reachable(member, False)
-        elif (
-            member != self.name and self.link_errors.get(member) != cause
-        ):  # told once for each cause, not for each try
+        elif member != self.name and self.link_errors.get(member) != cause:  # logged once per cause, not per attempt
             self.link_errors[member] = cause
             self.log("warning", "peers.not_linked", name=member, cause=cause)
 
@@ -369,81 +380,82 @@
 
     async def run(self) -> None:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._listen)
+            tasks.start_soon(self._serve_members)
             for member, link in self.links.items():
                 if member != self.name:
                     tasks.start_soon(link.run)
             if self.store.folder is None:
-                tasks.start_soon(self._visit)
-            tasks.start_soon(self._bring)
+                tasks.start_soon(self._wait_for_predecessor)
+            tasks.start_soon(self._deliver_to_planner)
             if self.options.durability == "power-cut":
                 tasks.start_soon(self.store.sync)
             if self.ledger_replication is not None:
                 tasks.start_soon(self.ledger_replication.run)
             try:
                 while True:
-                    await anyio.sleep(TICK_MS / 1000)
+                    await anyio.sleep(TICK_INTERVAL_MS / 1000)
                     self._tick()
             finally:
-                if self.timer is not None:
-                    self.timer.cancel()
+                if self.proposal_timer is not None:
+                    self.proposal_timer.cancel()
                 if self.ledger_replication is not None:
                     self.ledger_replication.close()
                 self.store.close()
 
-    async def _listen(self) -> None:
-        """Where the others ask, once this process holds the copies."""
+    async def _serve_members(self) -> None:
+        """Serve the requests of other members once this process owns the store."""
         await self.store.opened.wait()
         while True:
             try:
                 raw = listening(self.listen, self.limits.listen_backlog)
                 break
             except OSError as error:
-                # A may_have_predecessor's address is held until the process before it ends, however long that takes.
-                if not (may_pass(error) if self.may_have_predecessor else self.again(error)):
+                # The address is in use until the predecessor has ended, however long that takes.
+                if not (may_pass(error) if self.may_have_predecessor else self.may_retry(error)):
                     raise
             await anyio.sleep(self.limits.start_retry_delay_ms / 1000)
         await self.front.serve(raw)
 
-    async def _visit(self) -> None:
-        """Ask the process that holds the copies, until it has ended; then hold them."""
-        async with anyio.create_task_group() as visit:
-            visit.start_soon(self.links[self.name].run)
+    async def _wait_for_predecessor(self) -> None:
+        """Link to the predecessor, which owns the store, until it has ended; then open the store."""
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(self.links[self.name].run)
             while self.store.folder is None:
                 await anyio.sleep(self.limits.start_retry_delay_ms / 1000)
                 if self.name not in self.reached:
                     try:
                         self.store.open()
-                    except LockedError:  # it has not ended yet
+                    except LockedError:  # the predecessor has not ended yet
                         pass
                     except OSError as error:
                         self.log("error", "copies.not_taken_over", cause=str(error))
-            visit.cancel_scope.cancel()
+            tasks.cancel_scope.cancel()
         self.links[self.name].wire = None
         self.reached.discard(self.name)
-        self.log("info", "copies.taken_over", cause="the process that held them has ended")
+        self.log("info", "copies.taken_over", cause="the process that owned the store has ended")
 
-    async def _bring(self) -> None:
+    async def _deliver_to_planner(self) -> None:
+        """Deliver queued messages to the planner."""
         while True:
-            while not self.words:
-                self.worded = anyio.Event()
-                await self.worded.wait()
-            await self.decisions.report(at.MessageReceived(self.words.popleft()))
+            while not self.planner_messages:
+                self.message_queued = anyio.Event()
+                await self.message_queued.wait()
+            await self.decisions.report(at.MessageReceived(self.planner_messages.popleft()))
 
     def _tick(self) -> None:
         now = self.now_ms()
         for link in self.links.values():
             link.watch(now)
-        self._members(who.Tick())
+        self._handle_membership_event(membership.Tick())
         if self.ledger_replication is not None:
             self.ledger_replication.tick()
         if self.permits is not None:
             self.permits.tick()
         if self.store.folder is None or not self.store.check_disk(now):
             return
-        for member, ask in self.store.due_fill_requests(now, self.reached):
-            self.links[member].send(ask, now, False)
-        for key, owner in self.store.registers.find_orphaned_claims(now, self._lives, STAGGER_MS):
+        for member, request in self.store.due_fill_requests(now, self.reached):
+            self.links[member].send(request, now, False)
+        for key, owner in self.store.registers.find_orphaned_claims(now, self._is_alive, TAKEOVER_STAGGER_MS):
             if key not in self.proposals.active:
-                self._event(TakeOver(key, owner))
+                self._handle_event(TakeOver(key, owner))
         self.store.purge(now)
