--- a/flintshift/lifecycle/ledger_replicas.py
+++ b/flintshift/lifecycle/ledger_replicas.py
@@ -1,7 +1,7 @@
-"""Copies of other members' ledgers on this member's disk, in step with the rules of `copies.log_holders`.
+"""Replicas of other members' usage ledgers on this member's disk, kept by the rules of `replication.log_holders`.
 
-The disk owns the truth: where it refuses what the state machine decided, the state machine is put back to what stands
-there (docs/design/copies.md). Imported only where copies and the ledger of use are both on.
+The disk is authoritative: if it rejects what the state machine decided, the state machine is reset to the contents of
+the disk (docs/design/copies.md). Imported only if replication and the usage ledger are both on.
 """
 
 from __future__ import annotations
@@ -25,14 +25,16 @@
 from flintshift.usage import replica as on_disk
 from flintshift.usage.replica import Replica, ReplicaState
 
-TELL_REFUSED_MS = 500.0  # from a refusal until a writer hears of it: not at once, as it answers with all that it has
+REJECTION_REPORT_DELAY_MS = 500.0  # not reported at once, as the owner then sends a whole snapshot
 DISK_ERRORS = (OSError, BrokenLogError, DamagedError)
-FOLDER = "use"  # below the copies' folder
+LEDGERS_FOLDER = "use"  # within the folder of the store
 
 
 class LedgerReplicas:
-    """``send`` speaks to a member, ``answer`` to one that asked. ``taken`` is what becomes of those whose writer is
-    dead; it is set before anything is held."""
+    """Performs the actions of the state machine `LogReplicas` on the disk and sends its messages.
+
+    ``send`` sends to a member, ``answer`` to a process that sent a message. ``takeovers`` handles ledgers whose owner
+    is dead; it is set before `restore`."""
 
     takeovers: LedgerTakeovers
 
@@ -44,7 +46,7 @@
         options: CopiesOptions,
         files: Files,
         boot: str,
-        lives: Callable[[str], bool],
+        is_alive: Callable[[str], bool],
         now_ms: Callable[[], float],
         send: Callable[[str, logs.LogMessage], None],
         answer: Callable[[str, logs.LogMessage], None],
@@ -53,21 +55,21 @@
     ) -> None:
         self.options, self.files, self.boot, self.now_ms = options, files, boot, now_ms
         self.send, self.answer, self.counters, self.log = send, answer, counters, log
-        self.folder = options.folder / FOLDER
+        self.folder = options.folder / LEDGERS_FOLDER
         self.log_replicas = LogReplicas(
-            name, identity, placement.log_holders, lives, HolderConfig(options.take_over_ms)
+            name, identity, placement.log_holders, is_alive, HolderConfig(options.take_over_ms)
         )
         self.replicas: dict[LogId, Replica] = {}
-        self.refused: dict[LogId, float] = {}  # copies whose writer is to hear that their disk refused, and when
-        self.ends: dict[LogId, int] = {}  # by log, the epoch of an end that the disk refused
-        self.unsynced: list[tuple[LogId, str, logs.LogMessage]] = []
+        self.rejected_due_ms: dict[LogId, float] = {}  # by log, when its owner is notified of the error
+        self.unpersisted_ends: dict[LogId, int] = {}  # by log, the epoch of an end that the disk rejected
+        self.unsynced_answers: list[tuple[LogId, str, logs.LogMessage]] = []
         self.sync_wanted = anyio.Event()
 
     def restore(self) -> None:
-        """Hold what stands on the disk.
+        """Open the replicas that are on the disk.
 
         Raises:
-            OSError, LockedError: the folder can't be used; nothing of it is held, so that it can be tried again.
+            OSError, LockedError: the folder can't be used; no replica stays open, so that it can be retried.
         """
         try:
             self._restore()
@@ -81,7 +83,7 @@
     def _restore(self) -> None:
         for folder, state in on_disk.list_replicas(self.files, self.folder):
             log = state.member, state.life
-            sure = state.sure and (self.options.durability == "power-cut" or state.boot in ("", self.boot))
+            complete = state.sure and (self.options.durability == "power-cut" or state.boot in ("", self.boot))
             try:
                 replica = Replica(self.files, folder, state, self.options.segment_bytes)
             except DamagedError as error:
@@ -90,126 +92,139 @@
                     "usage.copy_damaged",
                     ledger=state.member,
                     cause=str(error),
-                    then="it is filled anew by whoever writes that ledger",
+                    then="the owner of that ledger sends a new snapshot",
                 )
                 on_disk.remove_contents(self.files, folder)
-                replica, sure = Replica(self.files, folder, state, self.options.segment_bytes), False
+                replica, complete = Replica(self.files, folder, state, self.options.segment_bytes), False
             self.replicas[log] = replica
-            self.log_replicas.restore(log, state.promised, state.by, replica.last, sure, state.over)
+            self.log_replicas.restore(log, state.promised, state.by, replica.last, complete, state.over)
             if not state.over:
-                replica.save_state(sure=sure, boot=self.boot)
+                replica.save_state(sure=complete, boot=self.boot)
 
     def perform(self, actions: list[logs.HolderAction]) -> None:
-        """Do what the state machine says. Where the disk refuses, nothing more is done on that ledger: what was to be
-        answered stands on no disk."""
-        refused: set[LogId] = set()
+        """Perform actions of the state machine.
+
+        After an error of the disk, the further actions on that ledger are dropped: their answers would acknowledge
+        what isn't persisted."""
+        failed_logs: set[LogId] = set()
         for action in actions:
             log = (
                 action.message.log
                 if isinstance(action, logs.Answer | logs.SendToHolder)
                 else (action.export.log if isinstance(action, logs.RecordExport) else action.log)
             )
-            if log in refused:
+            if log in failed_logs:
                 continue
             try:
                 self._perform_action(log, action)
             except DISK_ERRORS as error:
-                refused.add(log)
+                failed_logs.add(log)
                 self.on_disk_error(log, error)
-                if isinstance(action, logs.MarkFinished):  # it was told once, and is not asked for again
-                    self.ends[log] = action.epoch
+                if isinstance(action, logs.MarkFinished):  # the end is reported only once
+                    self.unpersisted_ends[log] = action.epoch
 
     def on_disk_error(self, log: LogId, error: Exception, unsynced: bool = False) -> None:
-        """The disk refused what the state machine had decided. The disk has the truth: the state machine is put back
-        to what stands there. ``unsynced``: what was written last may be gone, whatever can be read of it now."""
+        """Reset the state machine to the contents of the disk, which rejected one of its actions.
+
+        ``unsynced``: a sync failed, so the last writes may be lost in a power cut, though they can be read now."""
         self.counters.add("usage.copy_refused")
         replica = self.replicas.get(log)
-        known = replica is not None and self._recover(log, replica)
+        recovered = replica is not None and self._recover(log, replica)
         if unsynced and replica is not None:
             replica.mark_in_doubt()
         if replica is None:
             self.log_replicas.discard(log)
         elif log not in self.takeovers.table:
-            state, last = replica.state, replica.last if known else logs.NO_POSITION
-            sure = known and replica.complete
-            self.log_replicas.reset_to_disk(log, state.promised, state.by, last, sure, state.over, known)
-            self.refused.setdefault(log, self.now_ms() + TELL_REFUSED_MS)
+            state, last = replica.state, replica.last if recovered else logs.NO_POSITION
+            complete = recovered and replica.complete
+            self.log_replicas.reset_to_disk(log, state.promised, state.by, last, complete, state.over, recovered)
+            self.rejected_due_ms.setdefault(log, self.now_ms() + REJECTION_REPORT_DELAY_MS)
         self.log(
             "error",
             "usage.copy_refused",
             ledger=log[0],
             cause=str(error),
-            then="tried again"
+            then="the takeover is retried"
             if log in self.takeovers.table
-            else "it goes on from what it holds"
+            else "the replica continues from what is on the disk"
             if replica is not None and self.log_replicas.table[log].complete
-            else "it is filled anew by whoever writes that ledger",
+            else "the owner of that ledger sends a new snapshot",
         )
 
-    def report_rejected(self, now: float) -> None:
-        """A word that was refused had no answer, and a writer that writes no more would take its copy for whole."""
-        for log in [log for log, due_ms in self.refused.items() if now >= due_ms]:
-            del self.refused[log]
-            held = self.log_replicas.table.get(log)
-            if held is not None and not held.finished and log not in self.takeovers.table:
+    def report_rejected(self, now_ms: float) -> None:
+        """Notify owners of rejected messages.
+
+        Those got no answer, and an owner that writes nothing more would take its replica for complete."""
+        for log in [log for log, due_ms in self.rejected_due_ms.items() if now_ms >= due_ms]:
+            del self.rejected_due_ms[log]
+            log_replica = self.log_replicas.table.get(log)
+            if log_replica is not None and not log_replica.finished and log not in self.takeovers.table:
                 self.answer(
-                    held.promised_to, logs.ReplicaStatus(log, logs.ReplicaVerdict.GAP, held.promised, held.last)
+                    log_replica.promised_to,
+                    logs.ReplicaStatus(log, logs.ReplicaVerdict.GAP, log_replica.promised, log_replica.last),
                 )
 
     def retry_unreadable(self) -> None:
-        """Look again at copies that could not be read."""
-        for log, held in list(self.log_replicas.table.items()):
+        """Try to recover replicas that could not be read."""
+        for log, log_replica in list(self.log_replicas.table.items()):
             replica = self.replicas.get(log)
-            if held.readable or replica is None or log in self.takeovers.table or not self._recover(log, replica):
+            if (
+                log_replica.readable
+                or replica is None
+                or log in self.takeovers.table
+                or not self._recover(log, replica)
+            ):
                 continue
             state = replica.state
-            sure = replica.complete
-            self.log_replicas.reset_to_disk(log, state.promised, state.by, replica.last, sure, state.over)
-            self.log("info", "usage.copy_readable", ledger=log[0], records=replica.last[1], sure=sure)
+            complete = replica.complete
+            self.log_replicas.reset_to_disk(log, state.promised, state.by, replica.last, complete, state.over)
+            self.log("info", "usage.copy_readable", ledger=log[0], records=replica.last[1], sure=complete)
 
     def retry_ends(self) -> None:
-        """Try again to keep that a ledger is over."""
-        ends, self.ends = self.ends, {}
+        """Try again to persist that a ledger is finished."""
+        ends, self.unpersisted_ends = self.unpersisted_ends, {}
         for log, epoch in ends.items():
             if log in self.replicas and not self.replicas[log].state.over:
                 self.perform(self.log_replicas.mark_finished(log, epoch))
 
     def _recover(self, log: LogId, replica: Replica) -> bool:
-        """What stands on the disk of this copy is known, and it can go on from there. Told once, not with each look."""
-        held = self.log_replicas.table.get(log)
+        """Recover a replica from its disk, and return whether it can be appended to.
+
+        An error is logged once, not at each attempt."""
+        log_replica = self.log_replicas.table.get(log)
         try:
             replica.recover()
         except DISK_ERRORS as error:
-            if held is None or held.readable:
+            if log_replica is None or log_replica.readable:
                 self.log(
                     "warning",
                     "usage.copy_unreadable",
                     ledger=log[0],
                     folder=str(replica.folder),
                     cause=str(error),
-                    then="it is read again each 2 s; until it can be, nobody hears what it holds",
+                    then="reading it is retried every 2 s; until then no member is told what it contains",
                 )
         return replica.writable
 
     def _perform_action(self, log: LogId, action: logs.HolderAction) -> None:
         match action:
-            case logs.Promise(_, epoch, by):
-                self._promise(log, epoch, by)
+            case logs.Promise(_, epoch, process):
+                self._persist_promise(log, epoch, process)
             case logs.WriteRecords(_, epoch, first, records):
                 self.replicas[log].append(epoch, first, records)
             case logs.InstallSnapshot(_, (epoch, sequence), data):
                 self.replicas[log].install_snapshot(epoch, sequence, data)
                 self.replicas[log].save_state(sure=True)
-            case logs.RecordExport(told):
-                self.replicas[log].record_acknowledgement(told.sink, told.name, told.digest)
-            case logs.Answer(to, word):
+            case logs.RecordExport(export):
+                self.replicas[log].record_acknowledgement(export.sink, export.name, export.digest)
+            case logs.Answer(to, message):
                 if self.options.durability == "power-cut":
-                    self.unsynced.append((log, to, word))
+                    self.unsynced_answers.append((log, to, message))
                     self.sync_wanted.set()
                 else:
-                    self.answer(to, word)
-            case logs.SendToHolder(member, word):
-                self.send(member, word)
+                    self.answer(to, message)
+            case logs.SendToHolder(member, message):
+                self.send(member, message)
             case logs.TakenOver():
                 self.takeovers.begin(action)
             case logs.MarkFinished(_, epoch):
@@ -217,26 +232,27 @@
                 self.takeovers.stop(log)
             case logs.DeleteReplica():
                 self.replicas.pop(log).delete()
-            case logs.AbandonLog(_, of):
-                self._lost(log, of)
+            case logs.AbandonLog(_, writer):
+                self._abandon(log, writer)
+
+    def _abandon(self, log: LogId, writer: str) -> None:
+        """Delete the empty replica of a ledger whose owner is dead.
 
-    def _lost(self, log: LogId, of: str) -> None:
-        """A ledger of a dead writer of which nothing came here. What it booked while no copy answered was told as
-        ``usage.copies_lack`` by its writer."""
+        The owner logged ``usage.copies_lack`` when it recorded use while no replica answered."""
         self.counters.add("usage.copy_let_go")
         self.log(
             "warning",
             "usage.copy_let_go",
             ledger=log[0],
             life=log[1].hex(),
-            of=of,
-            cause="its writer is dead, and this copy was never filled",
-            then="where the writer comes back with its disk, it is copied again",
+            of=writer,
+            cause="its owner is dead, and this replica never got a snapshot",
+            then="if the owner returns with its disk, the ledger is replicated again",
         )
         self.replicas.pop(log).delete()
 
-    def _promise(self, log: LogId, epoch: int, by: str) -> None:
-        """Keep a promise; a copy counts once its first one stands on the disk."""
+    def _persist_promise(self, log: LogId, epoch: int, by: str) -> None:
+        """Persist a promise. A new replica exists once its first promise is persisted."""
         replica = self.replicas.get(log)
         if replica is not None:
             replica.save_state(promised=epoch, by=by)
@@ -252,7 +268,7 @@
         self.replicas[log] = replica
 
     def retire(self, sinks: list[str], retention_ms: float) -> None:
-        """Let go of what every sink has, and of what is too old."""
+        """Delete documents that every sink has, and those beyond the retention time."""
         for log, replica in self.replicas.items():
             try:
                 if not replica.state.over:
@@ -261,30 +277,30 @@
                 self.log("warning", "usage.retire_failed", ledger=log[0], cause=str(error))
 
     async def run(self) -> None:
-        """Acknowledge copies as their syncs end, where a power cut must not lose them."""
+        """Sync and acknowledge records as they are written, if a power cut must not lose them."""
         while True:
-            while not self.unsynced:
+            while not self.unsynced_answers:
                 self.sync_wanted = anyio.Event()
                 await self.sync_wanted.wait()
             await self.sync()
 
     async def sync(self) -> None:
-        """Acknowledge what stands on the disk, whatever becomes of the machine."""
-        told, self.unsynced = self.unsynced, []
-        for log in {log for log, _, _ in told}:
+        """Sync the replicas that have unsent answers, then send these answers."""
+        answers, self.unsynced_answers = self.unsynced_answers, []
+        for log in {log for log, _, _ in answers}:
             try:
                 replica = self.replicas.get(log)
                 if replica is not None and not replica.state.over:
                     await anyio.to_thread.run_sync(replica.ledger.log.sync)
             except DISK_ERRORS as error:
                 self.on_disk_error(log, error, unsynced=True)
-                told = [one for one in told if one[0] != log]
-        for _, to, word in told:
-            self.answer(to, word)
+                answers = [answer for answer in answers if answer[0] != log]
+        for _, to, message in answers:
+            self.answer(to, message)
 
     def close(self) -> None:
         for log, replica in self.replicas.items():
             try:
                 replica.close()
-            except DISK_ERRORS as error:  # after a start of the machine it is filled anew
+            except DISK_ERRORS as error:  # after a reboot of the machine it gets a new snapshot
                 self.log("warning", "usage.copy_not_closed", ledger=log[0], cause=str(error))
