--- a/flintshift/lifecycle/ledger_replication.py
+++ b/flintshift/lifecycle/ledger_replication.py
@@ -1,7 +1,7 @@
-"""The ledger of use on further members: this member's own is written to others here; their copies on this member stand
-in `ledger_replicas.py`, and those that it goes on with in `ledger_takeover.py`. The rules are `replication.logs`.
+"""Replicates this member's usage ledger to other members, and passes on the messages about all replicated ledgers.
 
-Imported only where copies and the ledger of use are both on.
+`ledger_replicas.py` keeps the replicas of other members' ledgers, `ledger_takeover.py` takes ledgers of dead members
+over. The rules are in `replication.logs`. Imported only if replication and the usage ledger are both on.
 """
 
 from __future__ import annotations
@@ -23,52 +23,61 @@
 from flintshift.usage import replica as on_disk
 from flintshift.usage.ledger import MAX_ANSWER_WAIT_MS, RETIRE_INTERVAL_MS, Ledger
 
-REJOIN_INTERVAL_MS = 2000.0  # between two looks for members that are in reach and do not follow
-SPARE_MS = 100.0  # before its due time, an answer waits for copies no longer: a tick may be late
+REJOIN_INTERVAL_MS = 2000.0  # between two requests to reachable members that do not follow the log
+ANSWER_RESERVE_MS = 100.0  # so long before its deadline an answer no longer waits for replicas: a tick may be late
 
 
 class LedgerReplication:
-    """``usage.ledger.Replication`` of this member's ledger. ``holder`` has the copies of the others' here."""
+    """Implements ``usage.ledger.Replication`` for this member's ledger.
 
-    def __init__(self, name: str, placement: Placement, usage: UsageOptions, holder: LedgerReplicas) -> None:
-        self.name, self.placement, self.usage, self.ledger_replicas = name, placement, usage, holder
-        self.files, self.now_ms, self.send = holder.files, holder.now_ms, holder.send
-        self.counters, self.log = holder.counters, holder.log
+    ``ledger_replicas`` keeps the replicas of other members' ledgers here."""
+
+    def __init__(self, name: str, placement: Placement, usage: UsageOptions, ledger_replicas: LedgerReplicas) -> None:
+        self.name, self.placement, self.usage, self.ledger_replicas = name, placement, usage, ledger_replicas
+        self.files, self.now_ms, self.send = ledger_replicas.files, ledger_replicas.now_ms, ledger_replicas.send
+        self.counters, self.log = ledger_replicas.counters, ledger_replicas.log
         self.ledger: Ledger | None = None
         self.writer: LogWriter | None = None  # of this member's own ledger
-        self.up: set[str] = set()
-        self.fence: str | None = None  # why another ledger is to begin, until it has
-        self.aside: Path | None = None  # where the one before was put for that
-        self.not_begun = ""  # why it has not, as it was told last
-        self.again_ms = self.retired_ms = self.now_ms()
+        self.reachable: set[str] = set()
+        self.fence_cause: str | None = None  # why a new ledger is to begin; None once it has begun
+        self.set_aside_path: Path | None = None  # where the folder of the old ledger was moved for that
+        self.logged_cause = ""  # the last logged cause why it could not begin
+        self.rejoined_ms = self.retired_ms = self.now_ms()
         self.sinks = (
             [name for name, sink in (("folder", usage.export.folder), ("http", usage.export.http)) if sink]
             if usage.export is not None
             else []
         )
-        self.takeovers = holder.takeovers = LedgerTakeovers(
-            holder, usage, self.sinks, self.up, self.now_ms, self._writer_of, self._write, self._tell_exported
+        self.takeovers = ledger_replicas.takeovers = LedgerTakeovers(
+            ledger_replicas,
+            usage,
+            self.sinks,
+            self.reachable,
+            self.now_ms,
+            self._make_writer,
+            self._perform,
+            self._send_export,
         )
 
     def replicate(self, ledger: Ledger) -> None:
-        """Copy this ledger from now on."""
+        """Replicate this ledger from now on."""
         self.ledger, ledger.replication = ledger, self
-        self._begin(ledger.folder.log.epoch)
+        self._begin_writer(ledger.folder.log.epoch)
 
-    def _begin(self, epoch: int) -> None:
+    def _begin_writer(self, epoch: int) -> None:
         assert self.ledger is not None
         folder = self.ledger.folder
-        own = self.ledger_replicas.log_replicas.own_log = self.name, folder.accounts.state.life
-        self.writer = self._writer_of(own, epoch, (epoch, folder.log.next_sequence - 1), folder.granted_position)
+        own_log = self.ledger_replicas.log_replicas.own_log = self.name, folder.accounts.state.life
+        self.writer = self._make_writer(own_log, epoch, (epoch, folder.log.next_sequence - 1), folder.granted_position)
 
-    def _writer_of(
-        self, log: LogId, epoch: int, last: logs.LogPosition, before: logs.LogPosition | None = None
+    def _make_writer(
+        self, log: LogId, epoch: int, last: logs.LogPosition, elected_position: logs.LogPosition | None = None
     ) -> LogWriter:
         holders = self.placement.log_holders(log[0])
         others = tuple(name for name in holders if name != self.name)
-        return LogWriter(log, epoch, last, others, len(holders) // 2, MAX_ANSWER_WAIT_MS, before)
+        return LogWriter(log, epoch, last, others, len(holders) // 2, MAX_ANSWER_WAIT_MS, elected_position)
 
-    # The ledger's port.
+    # The port of the ledger.
 
     @property
     def replicated_through(self) -> float:
@@ -86,83 +95,88 @@
     def on_written(self, first: int, items: list[tuple[int, bytes]], answers: bool) -> None:
         assert self.writer is not None
         if not self.writer.fenced:
-            self._write(self.writer, self.writer.handle_written(self.now_ms(), first, tuple(items), answers))
+            self._perform(self.writer, self.writer.handle_written(self.now_ms(), first, tuple(items), answers))
 
     def on_exported(self, sink: str, name: str, digest: bytes) -> None:
         if self.writer is not None:
-            self._tell_exported(self.writer, sink, name, digest)
+            self._send_export(self.writer, sink, name, digest)
 
-    def _tell_exported(self, writer: LogWriter, sink: str, name: str, digest: bytes) -> None:
+    def _send_export(self, writer: LogWriter, sink: str, name: str, digest: bytes) -> None:
         for member in writer.replicas:
             self.send(member, logs.Exported(writer.log, sink, name, digest))
 
-    # Between members.
+    # Messages between members.
 
-    def set_reachable(self, member: str, up: bool) -> None:
-        (self.up.add if up else self.up.discard)(member)
+    def set_reachable(self, member: str, reachable: bool) -> None:
+        (self.reachable.add if reachable else self.reachable.discard)(member)
         for writer in self._writers():
-            self._write(writer, writer.set_reachable(member, up))
-        if up:
+            self._perform(writer, writer.set_reachable(member, reachable))
+        if reachable:
             self.ledger_replicas.perform(self.ledger_replicas.log_replicas.announce_finished(member))
 
     def _writers(self) -> list[LogWriter]:
-        own = [self.writer] if self.writer is not None else []
-        return own + [taken.writer for taken in self.takeovers.table.values()]
+        own_writers = [self.writer] if self.writer is not None else []
+        return own_writers + [takeover.writer for takeover in self.takeovers.table.values()]
 
-    def on_status(self, member: str, at: logs.ReplicaStatus) -> None:
+    def on_status(self, member: str, status: logs.ReplicaStatus) -> None:
         for writer in self._writers():
-            if writer.log == at.log:
-                self._write(writer, writer.handle_status(self.now_ms(), member, at))
+            if writer.log == status.log:
+                self._perform(writer, writer.handle_status(self.now_ms(), member, status))
                 return
-        self.ledger_replicas.perform(self.ledger_replicas.log_replicas.handle_status(member, at))
+        self.ledger_replicas.perform(self.ledger_replicas.log_replicas.handle_status(member, status))
 
-    def on_message(self, identity: str, word: logs.LogMessage) -> None:
-        self.ledger_replicas.perform(self.ledger_replicas.log_replicas.handle_message(identity, word))
+    def on_message(self, identity: str, message: logs.LogMessage) -> None:
+        self.ledger_replicas.perform(self.ledger_replicas.log_replicas.handle_message(identity, message))
 
     def tick(self) -> None:
         now = self.now_ms()
         self.ledger_replicas.perform(self.ledger_replicas.log_replicas.tick(now))
         self.ledger_replicas.report_rejected(now)
         self.ledger_replicas.retry_ends()
-        if self.fence is not None:
-            self._begin_anew(self.fence)
-        again = now >= self.again_ms + REJOIN_INTERVAL_MS
+        if self.fence_cause is not None:
+            self._begin_new_ledger(self.fence_cause)
+        rejoin_due = now >= self.rejoined_ms + REJOIN_INTERVAL_MS
         for writer in self._writers():
-            self._write(writer, writer.tick(now, self._due_ms() if writer is self.writer else math.inf))
-            if again:
-                self._write(writer, writer.rejoin_replicas())
-        if again:
-            self.again_ms = now
+            self._perform(writer, writer.tick(now, self._answer_deadline_ms() if writer is self.writer else math.inf))
+            if rejoin_due:
+                self._perform(writer, writer.rejoin_replicas())
+        if rejoin_due:
+            self.rejoined_ms = now
             self.ledger_replicas.retry_unreadable()
-        own, ledger = self.writer, self.ledger
-        if own is not None and ledger is not None and own.last[0] != own.epoch and not ledger.commit.writes_blocked:
+        own_writer, ledger = self.writer, self.ledger
+        if (
+            own_writer is not None
+            and ledger is not None
+            and own_writer.last[0] != own_writer.epoch
+            and not ledger.commit.writes_blocked
+        ):
             ledger.write_empty_record()
         self.takeovers.advance_all()
         if now >= self.retired_ms + RETIRE_INTERVAL_MS:
             self.retired_ms = now
             self.ledger_replicas.retire(self.sinks, self.usage.retention_ms)
 
-    def _due_ms(self) -> float:
-        """When an answer that waits must leave, by the steady clock."""
+    def _answer_deadline_ms(self) -> float:
+        """When the next waiting answer must no longer wait for replicas, by the steady clock."""
         assert self.ledger is not None
-        return self.ledger.earliest_deadline_ms() - SPARE_MS
+        return self.ledger.earliest_deadline_ms() - ANSWER_RESERVE_MS
 
-    # What the writers answer.
+    # The actions of the writers.
 
-    def _write(self, writer: LogWriter, actions: list[logs.WriterAction]) -> None:
-        own = writer is self.writer
+    def _perform(self, writer: LogWriter, actions: list[logs.WriterAction]) -> None:
+        is_own = writer is self.writer
         for action in actions:
             match action:
-                case logs.SendTo(member, word):
-                    self.send(member, word)
+                case logs.SendTo(member, message):
+                    self.send(member, message)
                 case logs.SnapshotNeeded(member):
                     self.counters.add("usage.copies_filled")
                     try:
-                        self._write(writer, writer.send_snapshot(member, self._whole(writer)))
+                        self._perform(writer, writer.send_snapshot(member, self._make_snapshot(writer)))
                     except OSError as error:
                         self.log("error", "usage.copy_not_filled", name=member, cause=str(error))
                 case logs.Replicated():
-                    if own and self.ledger is not None:
+                    if is_own and self.ledger is not None:
                         self.ledger.release_answers()
                 case logs.GapBegan(cause):
                     self.counters.add("usage.copy_gaps")
@@ -171,44 +185,43 @@
                         "usage.copies_lack",
                         ledger=writer.log[0],
                         cause=cause,
-                        then="new work is refused"
+                        then="new work is rejected"
                         if self.usage.on_disk_failure == "refuse"
-                        else "booked here alone until they answer",
+                        else "use is recorded on this member alone until they answer",
                     )
-                case logs.GapEnded(for_ms):
-                    self.log("info", "usage.copies_follow", ledger=writer.log[0], after_ms=round(for_ms))
-                case logs.Elected() if own:
-                    self._stand(writer, True)
+                case logs.GapEnded(duration_ms):
+                    self.log("info", "usage.copies_follow", ledger=writer.log[0], after_ms=round(duration_ms))
+                case logs.Elected() if is_own:
+                    self._persist_grant(writer, True)
                     self.log(
                         "info",
                         "usage.copied",
                         life=writer.log[1].hex(),
                         epoch=writer.epoch,
-                        holders=[name for name, copy in writer.replicas.items() if copy.grant is not None],
+                        holders=[name for name, replica in writer.replicas.items() if replica.grant is not None],
                     )
-                case logs.EpochRaised(epoch) if own:
-                    self._stand(writer, False)
+                case logs.EpochRaised(epoch) if is_own:
+                    self._persist_grant(writer, False)
                     self.log(
                         "warning",
                         "usage.epoch_raised",
                         ledger=writer.log[0],
                         epoch=epoch,
-                        cause="another member had begun to take this ledger over",
+                        cause="another member had begun to take over this ledger",
                     )
                     if self.ledger is not None:
                         self.ledger.folder.log.epoch = epoch
-                case logs.Fenced(cause) if own:
-                    self._begin_anew(cause)
+                case logs.Fenced(cause) if is_own:
+                    self._begin_new_ledger(cause)
                 case logs.Fenced(cause):
                     self.log("warning", "usage.takeover_lost", ledger=writer.log[0], cause=cause)
                     self.takeovers.stop(writer.log)
-                    self.ledger_replicas.log_replicas.table[
-                        writer.log
-                    ].writer = ""  # whoever has it is not known here yet
+                    self.ledger_replicas.log_replicas.table[writer.log].writer = ""  # the new owner is not known yet
+
+    def _persist_grant(self, writer: LogWriter, elected: bool) -> None:
+        """Persist whether the epoch of this ledger is granted.
 
-    def _stand(self, writer: LogWriter, elected: bool) -> None:
-        """Keep whether the ledger's epoch is granted. Where the disk refuses, the ledger seems to lack something at its
-        next start and is taken over: no harm is done."""
+        If the disk rejects it, the ledger seems incomplete at the next start and is taken over, which does no harm."""
         try:
             on_disk.write_epoch_grant(
                 self.files, self.usage.folder, on_disk.EpochGrant(writer.log[1], *writer.elected_position, elected)
@@ -216,49 +229,57 @@
         except OSError as error:
             self.log("error", "usage.copy_refused", ledger=self.name, cause=str(error))
 
-    def _whole(self, writer: LogWriter) -> bytes:
+    def _make_snapshot(self, writer: LogWriter) -> bytes:
         if writer is self.writer and self.ledger is not None:
             return on_disk.snapshot_ledger(self.files, self.usage.folder, self.ledger.accounts, self.sinks)
         replica = self.ledger_replicas.replicas[writer.log]
         return on_disk.snapshot_ledger(self.files, replica.folder, replica.ledger.accounts, self.sinks)
 
-    def _begin_anew(self, cause: str) -> None:
-        """Another member goes on with this member's ledger: one of its own begins. Tried again at each look while the
-        disk refuses; what is booked meanwhile stands in memory, and is told as not held."""
-        ledger, writer, self.fence = self.ledger, self.writer, cause
+    def _begin_new_ledger(self, cause: str) -> None:
+        """Begin a new ledger for this member, as another member has taken over the current one.
+
+        It is retried at each tick while the disk rejects it. Use that is recorded meanwhile is only in memory, and is
+        logged as not replicated."""
+        ledger, writer, self.fence_cause = self.ledger, self.writer, cause
         assert ledger is not None and writer is not None
-        before = ledger.folder
+        old_folder = ledger.folder
         try:
-            if self.aside is None:
-                self.aside = before.set_aside()
+            if self.set_aside_path is None:
+                self.set_aside_path = old_folder.set_aside()
             folder, ledger.clock = open_folder(
-                self.name, ledger.row_lists, self.usage, self.log, self.files, True, max(before.log.epoch, writer.epoch)
+                self.name,
+                ledger.row_lists,
+                self.usage,
+                self.log,
+                self.files,
+                True,
+                max(old_folder.log.epoch, writer.epoch),
             )
         except DISK_ERRORS as error:
-            self._not_begun(str(error))
+            self._log_failed_begin(str(error))
             return
         self.counters.add("usage.fenced")
         self.log(
             "error",
             "usage.fenced",
             cause=cause,
-            folder=str(self.aside),
-            records_not_held=max(0, before.accounts.state.sequence - writer.replicated_sequence),
-            then="a ledger of its own begins; what stands in that folder is for people to look at",
+            folder=str(self.set_aside_path),
+            records_not_held=max(0, old_folder.accounts.state.sequence - writer.replicated_sequence),
+            then="a new ledger begins; that folder is left for inspection",
         )
-        self.fence, self.aside, self.not_begun = None, None, ""
+        self.fence_cause, self.set_aside_path, self.logged_cause = None, None, ""
         ledger.folder = folder
-        self._begin(folder.log.epoch)
+        self._begin_writer(folder.log.epoch)
         ledger.switch_folder(folder)
-        for member in self.up:
+        for member in self.reachable:
             assert self.writer is not None
-            self._write(self.writer, self.writer.set_reachable(member, True))
+            self._perform(self.writer, self.writer.set_reachable(member, True))
 
-    def _not_begun(self, cause: str) -> None:
-        """Tell each cause once, not with each try."""
-        if cause != self.not_begun:
-            self.not_begun = cause
-            self.log("error", "usage.not_begun_anew", cause=cause, then="it is tried again; use is booked in memory")
+    def _log_failed_begin(self, cause: str) -> None:
+        """Log the cause of a failure to begin a new ledger, once per cause."""
+        if cause != self.logged_cause:
+            self.logged_cause = cause
+            self.log("error", "usage.not_begun_anew", cause=cause, then="it is retried; use is recorded in memory only")
 
     # The actor.
 
@@ -270,10 +291,10 @@
         self.ledger_replicas.close()
 
     def status(self) -> list[dict[str, Any]]:
-        """For operators: each ledger that is written or copied here."""
-        found = []
+        """The status, for operators, of each ledger that is written or replicated here."""
+        statuses = []
         for writer in self._writers():
-            found.append(
+            statuses.append(
                 {
                     "member": writer.log[0],
                     "life": writer.log[1].hex(),
@@ -282,22 +303,22 @@
                     "held": writer.replicated_sequence,
                     "in_gap": writer.in_gap,
                     "role": "writes" if writer is self.writer else "took over",
-                    "copies": {name: copy.state.name.lower() for name, copy in writer.replicas.items()},
+                    "copies": {name: replica.state.name.lower() for name, replica in writer.replicas.items()},
                 }
             )
-        for log, held in self.ledger_replicas.log_replicas.table.items():
-            if log not in self.takeovers.table and not held.finished:
-                found.append(
+        for log, log_replica in self.ledger_replicas.log_replicas.table.items():
+            if log not in self.takeovers.table and not log_replica.finished:
+                statuses.append(
                     {
                         "member": log[0],
                         "life": log[1].hex(),
-                        "epoch": held.promised,
-                        "records": held.last[1],
+                        "epoch": log_replica.promised,
+                        "records": log_replica.last[1],
                         "role": "copies",
-                        "sure": held.complete,
-                        "readable": held.readable,
-                        "writer": held.writer,
-                        "writer_dead": held.writer_dead_since_ms is not None,
+                        "sure": log_replica.complete,
+                        "readable": log_replica.readable,
+                        "writer": log_replica.writer,
+                        "writer_dead": log_replica.writer_dead_since_ms is not None,
                     }
                 )
-        return found
+        return statuses
--- a/flintshift/lifecycle/ledger_takeover.py
+++ b/flintshift/lifecycle/ledger_takeover.py
@@ -1,5 +1,6 @@
-"""Ledgers of dead members that this member goes on with: what is open in them is closed and exported, and then they are
-over. Imported only where copies and the ledger of use are both on.
+"""Takes over the usage ledgers of dead members: closes their open periods, exports the documents and finishes them.
+
+Imported only if replication and the usage ledger are both on.
 """
 
 from __future__ import annotations
@@ -32,23 +33,23 @@
 
 
 class LedgerTakeover:
-    """Of a dead member, until all of it is exported."""
+    """A takeover of the ledger of a dead member, until all its documents are exported."""
 
     def __init__(self, replica: Replica, writer: LogWriter) -> None:
         self.replica, self.writer = replica, writer
-        self.opened = False  # its first record under the new epoch stands
-        self.exporting: anyio.CancelScope | None = None
-        self.look: Callable[[], object] = lambda: None
+        self.opened = False  # the first record under the new epoch is written
+        self.export_scope: anyio.CancelScope | None = None
+        self.request_check: Callable[[], object] = lambda: None
 
     @property
-    def waits(self) -> bool:
-        """Something is still to be closed, or to be written as a document."""
+    def has_unwritten_documents(self) -> bool:
+        """The ledger has open periods, or documents that are not written yet."""
         state = self.replica.ledger.accounts.state
         return bool(state.periods or state.documents)
 
 
-class Copies(Protocol):
-    """The member's copies of ledgers, as far as a takeover needs them."""
+class ReplicaHost(Protocol):
+    """The replicas of ledgers on this member, as far as a takeover uses them."""
 
     files: Files
     log_replicas: LogReplicas
@@ -62,63 +63,77 @@
 
 
 class LedgerTakeovers:
-    """``new_writer`` makes the writer of a ledger under an epoch, from its last place on; ``write`` does what a writer
-    answers; ``exported`` tells other holders what a sink has."""
+    """All takeovers of this member.
+
+    ``new_writer`` makes the writer of a ledger under an epoch, after its last position; ``perform`` performs the
+    actions of a writer; ``send_export`` notifies the other holders that a sink has a document."""
 
     def __init__(
         self,
-        copies: Copies,
+        replica_host: ReplicaHost,
         usage: UsageOptions,
         sinks: list[str],
-        up: set[str],
+        reachable: set[str],
         now_ms: Callable[[], float],
         new_writer: Callable[[LogId, int, logs.LogPosition], LogWriter],
-        write: Callable[[LogWriter, list[logs.WriterAction]], None],
-        exported: Callable[[LogWriter, str, str, bytes], None],
+        perform: Callable[[LogWriter, list[logs.WriterAction]], None],
+        send_export: Callable[[LogWriter, str, str, bytes], None],
     ) -> None:
-        self.copies, self.usage, self.sinks, self.up, self.now_ms = copies, usage, sinks, up, now_ms
-        self.new_writer, self.write, self.exported = new_writer, write, exported
-        self.files, self.send, self.counters, self.log = copies.files, copies.send, copies.counters, copies.log
+        self.replica_host, self.usage, self.sinks, self.reachable, self.now_ms = (
+            replica_host,
+            usage,
+            sinks,
+            reachable,
+            now_ms,
+        )
+        self.new_writer, self.perform, self.send_export = new_writer, perform, send_export
+        self.files, self.send, self.counters, self.log = (
+            replica_host.files,
+            replica_host.send,
+            replica_host.counters,
+            replica_host.log,
+        )
         self.table: dict[LogId, LedgerTakeover] = {}
-        self.tasks: TaskGroup | None = None  # for exports, while the node runs
+        self.tasks: TaskGroup | None = None  # for the exports, while the node runs
 
     def advance_all(self) -> None:
-        """A look at each."""
+        """Do for each takeover what can be done now."""
         for log in list(self.table):
             try:
-                self._go_on(log)
+                self._advance(log)
             except DISK_ERRORS as error:
-                self.copies.on_disk_error(log, error)
+                self.replica_host.on_disk_error(log, error)
 
-    def begin(self, told: logs.TakenOver) -> None:
-        """This member is the one that goes on with a ledger."""
-        log, epoch, last = told.log, told.epoch, told.last
-        replica = self.copies.replicas[log]
+    def begin(self, decision: logs.TakenOver) -> None:
+        """Begin the takeover of a ledger for which a majority of its holders voted."""
+        log, epoch, last = decision.log, decision.epoch, decision.last
+        replica = self.replica_host.replicas[log]
         writer = self.new_writer(log, epoch, last)
         self.table[log] = LedgerTakeover(replica, writer)
         self.counters.add("usage.took_over")
         self.log(
-            "error" if told.missing_holders else "warning",
+            "error" if decision.missing_holders else "warning",
             "usage.took_over",
             ledger=log[0],
             life=log[1].hex(),
             epoch=epoch,
-            of=told.previous_writer,
+            of=decision.previous_writer,
             records=last[1],
-            without=list(told.missing_holders),
-            cause="its writer is dead, and no more than this can be had: these hold no copy"
-            if told.missing_holders
-            else "its writer is dead, and a majority of its holders has promised the epoch",
+            without=list(decision.missing_holders),
+            cause="its owner is dead, and no more than this can be recovered: these holders have no replica"
+            if decision.missing_holders
+            else "its owner is dead, and a majority of its holders has promised the epoch",
         )
         self._open(self.table[log])
 
-    def _open(self, taken: LedgerTakeover) -> None:
-        """Write the first record under the new epoch, and ask the others to follow. Tried again while the disk
-        refuses."""
-        state, writer = taken.replica.ledger.accounts.state, taken.writer
-        taken.replica.ledger.log.epoch = writer.epoch
+    def _open(self, takeover: LedgerTakeover) -> None:
+        """Write the first record under the new epoch, and ask the other holders to follow.
+
+        It is retried while the disk rejects it."""
+        state, writer = takeover.replica.ledger.accounts.state, takeover.writer
+        takeover.replica.ledger.log.epoch = writer.epoch
         self._append(
-            taken,
+            takeover,
             Opened(
                 state.node,
                 state.life,
@@ -128,60 +143,64 @@
                 int(max(time.time() * 1000, state.last_ms)),
             ),
         )
-        taken.opened = True
-        for member in self.up:
-            self.write(writer, writer.set_reachable(member, True))
-
-    def _append(self, taken: LedgerTakeover, *entries: Entry) -> None:
-        first, items = taken.replica.write(*entries)
-        self.copies.log_replicas.table[taken.writer.log].last = taken.replica.last
-        self.write(taken.writer, taken.writer.handle_written(self.now_ms(), first, tuple(items), False))
-
-    def _go_on(self, log: LogId) -> None:
-        """Close what is open, export it, and be done with it."""
-        taken = self.table[log]
-        ledger, writer = taken.replica.ledger, taken.writer
+        takeover.opened = True
+        for member in self.reachable:
+            self.perform(writer, writer.set_reachable(member, True))
+
+    def _append(self, takeover: LedgerTakeover, *entries: Entry) -> None:
+        first, items = takeover.replica.write(*entries)
+        self.replica_host.log_replicas.table[takeover.writer.log].last = takeover.replica.last
+        self.perform(takeover.writer, takeover.writer.handle_written(self.now_ms(), first, tuple(items), False))
+
+    def _advance(self, log: LogId) -> None:
+        """Close the open periods of a ledger, write and export its documents, then finish the ledger."""
+        takeover = self.table[log]
+        ledger, writer = takeover.replica.ledger, takeover.writer
         if writer.fenced:
             return
-        if not taken.opened:
-            self._open(taken)
+        if not takeover.opened:
+            self._open(takeover)
         for action in LedgerPolicy(ledger.accounts, 0).handle(time.time() * 1000, OwnerDied()):
             if isinstance(action, Append):
-                self._append(taken, action.entry)
-        made = list(ledger.accounts.state.documents)
+                self._append(takeover, action.entry)
+        documents = list(ledger.accounts.state.documents)
+        # Documents are written and exported only once no other owner can close their periods differently.
+        if documents and writer.replicated_sequence >= writer.last[1]:
+            self._append(takeover, Published(ledger.write_documents(documents)))
+            takeover.request_check()
         if (
-            made and writer.replicated_sequence >= writer.last[1]
-        ):  # nobody exports what another may close in another way
-            self._append(taken, Published(ledger.write_documents(made)))
-            taken.look()
-        if taken.exporting is None and self.sinks and self.tasks is not None and not taken.waits:
-            taken.exporting = anyio.CancelScope()
-            self.tasks.start_soon(self._export, taken)
+            takeover.export_scope is None
+            and self.sinks
+            and self.tasks is not None
+            and not takeover.has_unwritten_documents
+        ):
+            takeover.export_scope = anyio.CancelScope()
+            self.tasks.start_soon(self._export, takeover)
         if (
             self.sinks
-            and not taken.waits
+            and not takeover.has_unwritten_documents
             and writer.replicated_sequence >= writer.last[1]
-            and not any(unacknowledged(self.files, taken.replica.folder, self.sinks).values())
+            and not any(unacknowledged(self.files, takeover.replica.folder, self.sinks).values())
         ):
             self.log("info", "usage.takeover_done", ledger=log[0], life=log[1].hex(), epoch=writer.epoch)
             for member in writer.replicas:
                 self.send(member, logs.LogFinished(log, writer.epoch))
-            self.copies.perform(self.copies.log_replicas.mark_finished(log, writer.epoch))
+            self.replica_host.perform(self.replica_host.log_replicas.mark_finished(log, writer.epoch))
 
-    async def _export(self, taken: LedgerTakeover) -> None:
-        assert self.usage.export is not None and taken.exporting is not None
-        with taken.exporting:
+    async def _export(self, takeover: LedgerTakeover) -> None:
+        assert self.usage.export is not None and takeover.export_scope is not None
+        with takeover.export_scope:
             while True:
                 export = create_export(
-                    taken.replica.folder,
+                    takeover.replica.folder,
                     self.usage.export,
                     self.log,
                     False,
                     self.files,
-                    taken.replica.ledger.accounts.state,
-                    lambda sink, name, digest: self.exported(taken.writer, sink, name, digest),
+                    takeover.replica.ledger.accounts.state,
+                    lambda sink, name, digest: self.send_export(takeover.writer, sink, name, digest),
                 )
-                taken.look = export.request_check
+                takeover.request_check = export.request_check
                 try:
                     await export.run()
                 except* DISK_ERRORS as errors:
@@ -189,7 +208,7 @@
                 await anyio.sleep(RESTART_DELAY_S)
 
     def stop(self, log: LogId) -> None:
-        """Another goes on with it, or it is over."""
-        taken = self.table.pop(log, None)
-        if taken is not None and taken.exporting is not None:
-            taken.exporting.cancel()
+        """End a takeover: another member has the ledger, or it is finished."""
+        takeover = self.table.pop(log, None)
+        if takeover is not None and takeover.export_scope is not None:
+            takeover.export_scope.cancel()
