--- a/flintshift/lifecycle/durable_state.py
+++ b/flintshift/lifecycle/durable_state.py
@@ -1,7 +1,7 @@
-"""Opens, at the start of a node, what is kept on a disk that lasts: the ledger of use and the copies.
+"""Opens the durable state of a node at its start: the usage ledger and the store of replicas.
 
-A disk may refuse for a while, and what was taken on before is owed all the same: both are tried again for as long as
-the start may take. Imported only where one of them is on.
+A disk may reject operations for a while, and what earlier processes acknowledged must not be lost: opening is retried
+for as long as the start may take. Imported only if one of the two is on.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
     from flintshift.lifecycle.replication import ReplicationService
     from flintshift.usage.ledger import Ledger
 
-UNUSABLE = (OSError, LockedError, DamagedError)
+OPEN_ERRORS = (OSError, LockedError, DamagedError)
 
 
 def open_ledger(config: Config, options: UsageOptions, log: Log, retry: StartRetry) -> Ledger:
-    """The ledger of use on its folder.
+    """Open the usage ledger in its folder.
 
     Raises:
         ConfigError: it can't be opened, or not in time.
@@ -35,18 +35,18 @@
     from flintshift.lifecycle import usage_recording
 
     copies = config.operators.copies
-    opened = partial(
+    open_step = partial(
         usage_recording.open_ledger,
         config.name,
         config.settings,
         options,
         log,
-        copied=copies is not None and copies.copies > 1,
+        replicated=copies is not None and copies.copies > 1,
     )
     try:
-        return retry.outlast(opened)
-    except UNUSABLE as error:
-        raise ConfigError(f"the ledger of use can't be opened: {error}") from error
+        return retry.outlast(open_step)
+    except OPEN_ERRORS as error:
+        raise ConfigError(f"the usage ledger can't be opened: {error}") from error
 
 
 def open_replication(
@@ -59,16 +59,16 @@
     log: Log,
     retry: StartRetry,
 ) -> ReplicationService:
-    """What is held for other members, on its folder.
+    """Create the replication service and open its store.
 
     Raises:
-        ConfigError: it can't be used, or not in time.
+        ConfigError: the folder of the store can't be used, or not in time.
     """
     from flintshift.lifecycle.replication import ReplicationService
 
     if config.name not in peers.members:
-        raise ConfigError(f"this node, {config.name}, is none of peers.members: {', '.join(peers.members)}")
-    opened = partial(
+        raise ConfigError(f"this node, {config.name}, is not in peers.members: {', '.join(peers.members)}")
+    open_step = partial(
         ReplicationService,
         config.name,
         peers,
@@ -82,18 +82,18 @@
         may_have_predecessor=config.control is not None,
     )
     try:
-        return retry.outlast(opened)
-    except UNUSABLE as error:
+        return retry.outlast(open_step)
+    except OPEN_ERRORS as error:
         raise ConfigError(f"the folder of copies can't be used: {error}") from error
 
 
-def replicate_ledger(copying: ReplicationService, ledger: Ledger, options: UsageOptions, retry: StartRetry) -> None:
-    """Have the ledger written to further members too, and theirs held here.
+def replicate_ledger(replication: ReplicationService, ledger: Ledger, options: UsageOptions, retry: StartRetry) -> None:
+    """Replicate the usage ledger to other members, and keep replicas of their ledgers.
 
     Raises:
         ConfigError: the folder can't be used, or not in time.
     """
     try:
-        retry.outlast(partial(copying.replicate_ledger, ledger, options))
-    except UNUSABLE as error:
+        retry.outlast(partial(replication.replicate_ledger, ledger, options))
+    except OPEN_ERRORS as error:
         raise ConfigError(f"the folder of copies can't be used: {error}") from error
--- a/flintshift/lifecycle/usage_recording.py
+++ b/flintshift/lifecycle/usage_recording.py
@@ -1,4 +1,7 @@
-"""The ledger at the node's side: what a request's answer is booked as. Imported only where the ledger is on."""
+"""Records the use of requests in the usage ledger of the node, and opens that ledger.
+
+Imported only if the usage ledger is on.
+"""
 
 from __future__ import annotations
 
@@ -26,61 +29,70 @@
     row_number,
 )
 
-SERVED, POORER, REFUSED, FAILED = (OUTCOMES.index(word) for word in ("served", "poorer", "refused", "failed"))
-WORDS = {Verdict.SERVED: SERVED, Verdict.REFUSED: REFUSED, Verdict.FAILED: FAILED, Verdict.CONFLICT: FAILED}
+SERVED, POORER, REFUSED, FAILED = (OUTCOMES.index(outcome) for outcome in ("served", "poorer", "refused", "failed"))
+OUTCOME_OF_VERDICT = {
+    Verdict.SERVED: SERVED,
+    Verdict.REFUSED: REFUSED,
+    Verdict.FAILED: FAILED,
+    Verdict.CONFLICT: FAILED,
+}
 
 
-ROWS_MOST = 10_000  # clubs times classes, of a life of the node
+MAX_ROWS = 10_000  # pairs of a club and a class, over the lifetime of the process
 
 
-def nobody(answer: Answer) -> None:
-    """Whom a settled attempt tells."""
+def ignore_answer(answer: Answer) -> None:
+    """The callback of an attempt whose answer was recorded already."""
 
 
 class LedgerRecorder:
-    """Makes a claim of each final answer, and a mark once it was written. ``steady_ms`` turns a time of the node's
-    clock into one of the ledger's steady clock, by which held answers are due."""
+    """Implements ``core.ports.UsageRecorder``: writes a claim for each final answer, and a mark once it was sent.
+
+    ``steady_ms`` converts a time of the node's clock to the ledger's steady clock, which the deadlines of delayed
+    answers use."""
 
     def __init__(self, ledger: Ledger, settings: api.Settings, steady_ms: Callable[[float], float]) -> None:
         self.ledger, self.steady_ms = ledger, steady_ms
-        self.lists = [tenant.name for tenant in settings.tenants], [kind.name for kind in settings.classes]
-        self._number()
-
-    def _number(self) -> None:
-        clubs, classes = self.lists
-        self.bases = {  # the number of a row's first outcome
-            (club, class_name, front): row_number(place, class_, len(classes), number, 0)
-            for place, club in enumerate((*clubs, None))
-            for class_, class_name in enumerate(classes)
-            for number, front in enumerate(FRONTS)
+        self.row_lists = [tenant.name for tenant in settings.tenants], [kind.name for kind in settings.classes]
+        self._number_rows()
+
+    def _number_rows(self) -> None:
+        clubs, classes = self.row_lists
+        self.first_rows = {  # the row number of the first outcome
+            (club, class_name, front): row_number(club_index, class_index, len(classes), front_index, 0)
+            for club_index, club in enumerate((*clubs, None))
+            for class_index, class_name in enumerate(classes)
+            for front_index, front in enumerate(FRONTS)
         }
 
-    def _with(self, settings: api.Settings) -> tuple[list[str], list[str]]:
-        """The lists with what the settings add. What they drop stays: its requests may be open, or come again."""
-        clubs, classes = self.lists
+    def _extended_lists(self, settings: api.Settings) -> tuple[list[str], list[str]]:
+        """The lists with the clubs and classes that the settings add.
+
+        Those that the settings drop stay: their requests may be open or may be repeated."""
+        clubs, classes = self.row_lists
         return (
             [*clubs, *(club.name for club in settings.tenants if club.name not in clubs)],
             [*classes, *(kind.name for kind in settings.classes if kind.name not in classes)],
         )
 
     def refuses(self, settings: api.Settings) -> str | None:
-        """Why these settings can't be booked in this life."""
-        clubs, classes = self._with(settings)
+        """Why the use under these settings can't be recorded by this process; None: it can."""
+        clubs, classes = self._extended_lists(settings)
         rows = (len(clubs) + 1) * len(classes)
         return (
             None
-            if rows <= ROWS_MOST
+            if rows <= MAX_ROWS
             else (
-                f"the ledger of use would have rows for {len(clubs)} clubs and {len(classes)} classes, with those of "
-                f"earlier settings: {rows} pairs, and {ROWS_MOST} may be; a restart forgets the earlier ones"
+                f"the usage ledger would have rows for {len(clubs)} clubs and {len(classes)} classes, with those of "
+                f"earlier settings: {rows} pairs, and at most {MAX_ROWS} are possible; a restart drops the earlier ones"
             )
         )
 
     def change(self, settings: api.Settings) -> None:
-        lists = self._with(settings)
-        if lists != self.lists:
-            self.lists = lists
-            self._number()
+        lists = self._extended_lists(settings)
+        if lists != self.row_lists:
+            self.row_lists = lists
+            self._number_rows()
             self.ledger.set_row_lists(*lists)
 
     @property
@@ -88,15 +100,17 @@
         return self.ledger.rejects_work
 
     def _row(self, attempt: Attempt, front: str) -> int:
-        base = self.bases.get((attempt.tenant, attempt.class_name, front))
-        return self.bases[None, attempt.class_name, front] if base is None else base
+        base = self.first_rows.get((attempt.tenant, attempt.class_name, front))
+        return self.first_rows[None, attempt.class_name, front] if base is None else base
 
     def track(self, attempt: Attempt, front: str) -> None:
-        attempt.on_answer = partial(self._told, attempt, front, attempt.on_answer)
+        attempt.on_answer = partial(self._on_answer, attempt, front, attempt.on_answer)
 
-    def _told(self, attempt: Attempt, front: str, tell: Callable[[Answer], None], answer: Answer) -> None:
-        attempt.on_answer = nobody  # breaks the cycle of attempt and callback, which only the collector would free
-        outcome = POORER if attempt.call_skipped and answer.verdict is Verdict.SERVED else WORDS[answer.verdict]
+    def _on_answer(self, attempt: Attempt, front: str, deliver: Callable[[Answer], None], answer: Answer) -> None:
+        attempt.on_answer = ignore_answer  # breaks a cycle that only the garbage collector would free
+        outcome = (
+            POORER if attempt.call_skipped and answer.verdict is Verdict.SERVED else OUTCOME_OF_VERDICT[answer.verdict]
+        )
         attempt.ticket = self.ledger.claim(
             bytes.fromhex(attempt.id),
             self._row(attempt, front) + outcome,
@@ -105,17 +119,17 @@
             attempt.call_count,
             len(attempt.body),
             len(answer.body),
-            partial(tell, answer),
+            partial(deliver, answer),
             self.steady_ms(attempt.deadline_at_ms),
         )
 
-    def record_delivery(self, attempt: Attempt, arrived: bool) -> None:
+    def record_delivery(self, attempt: Attempt, written: bool) -> None:
         if attempt.ticket is not None:
-            self.ledger.mark_delivery(attempt.ticket, arrived)
+            self.ledger.mark_delivery(attempt.ticket, written)
 
     def record_disconnect(self, attempt: Attempt, front: str) -> None:
-        attempt.on_answer = nobody  # guards against a second claim, where it is answered all the same
-        if attempt.ticket is not None:  # its answer was on its way
+        attempt.on_answer = ignore_answer  # prevents a second claim if the attempt is answered nevertheless
+        if attempt.ticket is not None:  # its answer was being sent
             self.ledger.mark_delivery(attempt.ticket, False)
             return
         attempt.ticket = self.ledger.claim(
@@ -142,56 +156,63 @@
     options: UsageOptions,
     log: Log,
     files: Files,
-    copied: bool = False,
-    above: int = 0,
+    replicated: bool = False,
+    previous_epoch: int = 0,
 ) -> tuple[LedgerFolder, LedgerClock]:
-    """The folder, recovered, with a life begun in it. ``copied``: further members hold copies; a ledger that begins
-    then has an epoch above all of this node's earlier ones (the time in seconds, or ``above`` and one).
+    """Recover the ledger's folder, open it for writing, and return it with its clock.
+
+    ``replicated``: other members have replicas of the ledger. A new ledger then gets an epoch above all earlier ones of
+    this node: the time in seconds, or ``previous_epoch`` plus one if that is higher.
 
     Raises:
-        OSError, LockedError, DamagedError: the folder can't be used; the text says why.
+        OSError, LockedError, DamagedError: the folder can't be used; the text gives the reason.
     """
     folder = LedgerFolder(files, options.folder)
     try:
-        found, last_ms = folder.recovery, folder.accounts.state.last_ms
+        recovery, last_ms = folder.recovery, folder.accounts.state.last_ms
         now = time.time() * 1000
         clock = LedgerClock(now, time.monotonic() * 1000, last_ms)
-        life = folder.accounts.state.life or os.urandom(16)
-        if copied:
+        ledger_id = folder.accounts.state.life or os.urandom(16)
+        if replicated:
             from flintshift.usage.replica import position_before_grant
 
-            reach = folder.reach
+            position = folder.reach
             folder.granted_position = position_before_grant(
-                files, options.folder, life, (reach.epoch, reach.next_sequence - 1)
+                files, options.folder, ledger_id, (position.epoch, position.next_sequence - 1)
             )
-            if not reach.epoch:
-                folder.log.epoch = max(int(now / 1000), above + 1)
-        folder.open(name, life, options.period_ms, *lists, int(max(now, last_ms)))
+            if not position.epoch:
+                folder.log.epoch = max(int(now / 1000), previous_epoch + 1)
+        folder.open(name, ledger_id, options.period_ms, *lists, int(max(now, last_ms)))
     except BaseException:
         folder.close()
         raise
-    for warning in found.warnings:
+    for warning in recovery.warnings:
         log("warning", "usage.recovery", text=warning)
     log(
         "info",
         "usage.opened",
         folder=str(options.folder),
         epoch=folder.log.epoch,
-        records=found.records,
-        from_snapshot=found.from_snapshot,
-        torn_bytes=found.truncated_bytes,
-        in_doubt=found.in_doubt,
+        records=recovery.records,
+        from_snapshot=recovery.from_snapshot,
+        torn_bytes=recovery.truncated_bytes,
+        in_doubt=recovery.in_doubt,
     )
     return folder, clock
 
 
 def open_ledger(
-    name: str, settings: api.Settings, options: UsageOptions, log: Log, files: Files | None = None, copied: bool = False
+    name: str,
+    settings: api.Settings,
+    options: UsageOptions,
+    log: Log,
+    files: Files | None = None,
+    replicated: bool = False,
 ) -> Ledger:
-    """The ledger on its folder, recovered.
+    """Open the ledger in its folder and recover it.
 
     Raises:
-        OSError, LockedError, DamagedError: the folder can't be used; the text says why.
+        OSError, LockedError, DamagedError: the folder can't be used; the text gives the reason.
     """
     folder, clock = open_folder(
         name,
@@ -199,7 +220,7 @@
         options,
         log,
         files or DiskFiles(),
-        copied,
+        replicated,
     )
     sinks = []
     if options.export is not None:
