--- a/flintshift/lifecycle/consensus_in_upgrade.py
+++ b/flintshift/lifecycle/consensus_in_upgrade.py
@@ -1,5 +1,7 @@
-"""An upgrade of a member whose keys are agreed with the fleet: the two processes share sockets and limits, and ask the
-holders of a key, of whom their member is one, as any two members do. Imported only where both are on.
+"""Claims during the upgrade of a member whose keys are agreed with other members.
+
+The two processes share sockets and limits. Each of them asks the holders of a key, of which their own member is one, as
+any two members do. Imported only if the control socket and replication are both on.
 """
 
 from __future__ import annotations
@@ -13,7 +15,8 @@
 
 
 class ConsensusInUpgrade:
-    """The decision planner's port (``core.ports.Claims``)."""
+    """Implements ``core.ports.Claims``: sends claims to the holders of a key, and what concerns the other process to
+    the upgrade."""
 
     required = True
 
@@ -42,11 +45,11 @@
     def on_key_freed(self, attempt: Attempt) -> None:
         self.claims.on_key_freed(attempt)
 
-    def on_message(self, word: Any) -> None:
-        if isinstance(word, tuple):  # of the other process, with the link it came by
-            self.upgrade.on_message(word)
+    def on_message(self, message: Any) -> None:
+        if isinstance(message, tuple):  # a message of the other process, and the link on which it arrived
+            self.upgrade.on_message(message)
         else:
-            self.claims.on_message(word)
+            self.claims.on_message(message)
 
     def tick(self) -> None:
         self.upgrade.tick()
--- a/flintshift/lifecycle/exports.py
+++ b/flintshift/lifecycle/exports.py
@@ -1,4 +1,7 @@
-"""The wiring of the exporter, in the node and on its own; imported only where there is something to export to."""
+"""Creates the exporter of usage documents, for the node and for the command line.
+
+Imported only if a sink is configured.
+"""
 
 from __future__ import annotations
 
@@ -20,10 +23,11 @@
 from flintshift.usage.ledger import Ledger
 from flintshift.usage.sinks import FolderSink, HttpSink, Sink
 
-RESTART_DELAY_S = 30.0  # after what stopped an exporter: a disk that refuses, or a file that was damaged
+RESTART_DELAY_S = 30.0  # after an error that stopped the exporter: of the disk, or a damaged file
 
 
-def sinks_of(options: ExportOptions, files: Files, ledger: str = "") -> dict[str, Sink]:
+def create_sinks(options: ExportOptions, files: Files, ledger: str = "") -> dict[str, Sink]:
+    """The configured sinks by name. ``ledger`` identifies a replicated ledger to an HTTP sink."""
     sinks: dict[str, Sink] = {}
     if options.folder is not None:
         sinks["folder"] = FolderSink(files, options.folder)
@@ -38,47 +42,52 @@
     log: Log,
     until_done: bool,
     files: Files | None = None,
-    copied: AccountsState | None = None,
-    noted: Callable[[str, str, bytes], object] = lambda sink, name, digest: None,
+    replicated: AccountsState | None = None,
+    on_acknowledged: Callable[[str, str, bytes], object] = lambda sink, name, digest: None,
 ) -> ExportDriver:
-    """``copied``: the ledger's state, where further members hold it: whoever writes it exports under its epoch."""
+    """Create an exporter of the documents in a folder.
+
+    ``replicated``: the state of the ledger if other members have replicas of it; its owner exports under its epoch.
+    """
     files = files or DiskFiles()
-    pace = DeliveryConfig(options.backoff_ms, options.backoff_most_ms, options.attempts_per_hour)
-    ledger = f"{copied.node}.{copied.life.hex()}" if copied is not None else ""
+    delivery_config = DeliveryConfig(options.backoff_ms, options.backoff_most_ms, options.attempts_per_hour)
+    ledger = f"{replicated.node}.{replicated.life.hex()}" if replicated is not None else ""
     return ExportDriver(
         files,
         folder,
-        sinks_of(options, files, ledger),
-        pace,
+        create_sinks(options, files, ledger),
+        delivery_config,
         random.SystemRandom().random,
         lambda: time.monotonic() * 1000,
         log,
         until_done,
-        copied.epoch if copied is not None else None,
-        noted,
+        replicated.epoch if replicated is not None else None,
+        on_acknowledged,
     )
 
 
 def create_export_actor(ledger: Ledger, usage: UsageOptions, log: Log) -> Callable[[], Coroutine[Any, Any, None]]:
-    """The exporter as an actor of the node. What stops it stops no request: it is told, and begun again later."""
+    """The exporter as an actor of the node. An error that stops it is logged, and it is restarted after a delay.
+
+    No request fails through it."""
     options = usage.export
     assert options is not None
 
     async def run() -> None:
         while True:
-            copies = ledger.replication
+            replication = ledger.replication
             export = create_export(
                 usage.folder,
                 options,
                 log,
                 False,
                 ledger.folder.files,
-                ledger.accounts.state if copies is not None else None,
-                copies.on_exported if copies is not None else lambda sink, name, digest: None,
+                ledger.accounts.state if replication is not None else None,
+                replication.on_exported if replication is not None else lambda sink, name, digest: None,
             )
             ledger.on_documents_published = export.request_check
-            with anyio.CancelScope() as turn:
-                ledger.on_folder_switched = turn.cancel
+            with anyio.CancelScope() as scope:
+                ledger.on_folder_switched = scope.cancel
                 try:
                     await export.run()
                 except* (OSError, DamagedError) as errors:
--- a/flintshift/lifecycle/replicated_claims.py
+++ b/flintshift/lifecycle/replicated_claims.py
@@ -1,5 +1,5 @@
-"""The decision planner's port where keys are agreed with further members: a try of a keyed request becomes a claim, and
-what the holders say becomes the planner's next events. Imported only where copies are on.
+"""Claims of keys that are agreed with other members: a try of a keyed request becomes a claim, and the answers of the
+holders become events of the planner. Imported only if replication is on.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from flintshift.core.attempts import Attempt
 from flintshift.core.counters import Counters
 from flintshift.core.decisions import Decisions
-from flintshift.core.keys import KeyEntry as Held
+from flintshift.core.keys import KeyEntry as TableEntry
 from flintshift.core.keys import Stage, fingerprint
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log
@@ -34,8 +34,10 @@
 
 
 class ReplicatedClaims:
-    """``core.ports.Claims``. ``wall_ms`` is the node's clock, ``now_ms`` the one of the proposals, ``tell`` hands an
-    event to them in a turn of the planner."""
+    """Implements ``core.ports.Claims``.
+
+    ``wall_ms`` is the node's clock, ``now_ms`` that of the proposals. ``send_event`` passes an event to the proposals,
+    in a turn of the planner."""
 
     required = True
 
@@ -45,63 +47,71 @@
         limits: Limits,
         wall_ms: Callable[[], float],
         now_ms: Callable[[], float],
-        tell: Callable[[Event], None],
+        send_event: Callable[[Event], None],
         counters: Counters,
         log: Log,
     ) -> None:
         self.decisions, self.limits, self.wall_ms, self.now_ms = decisions, limits, wall_ms, now_ms
-        self.tell, self.counters, self.log = tell, counters, log
-        self.keys: dict[str, Key] = {}  # of tries that wait for the holders' word
+        self.send_event, self.counters, self.log = send_event, counters, log
+        self.pending_keys: dict[str, Key] = {}  # by request id, of tries that wait for an answer of the holders
 
     def in_doubt(self, attempt: Attempt) -> bool:
         return False
 
     def request_claim(self, attempt: Attempt) -> None:
-        spare = attempt.deadline_at_ms - self.limits.claim_reserve_ms - self.wall_ms()
+        available_ms = attempt.deadline_at_ms - self.limits.claim_reserve_ms - self.wall_ms()
         key = key_of(attempt)
-        self.keys[attempt.id] = key
-        self.tell(
+        self.pending_keys[attempt.id] = key
+        self.send_event(
             Claim(
                 key,
                 attempt.id,
                 fingerprint(attempt),
-                self._keep_ms(attempt),
-                self.now_ms() + min(self.limits.claim_timeout_ms, max(spare, 0.0)),
+                self._retention_ms(attempt),
+                self.now_ms() + min(self.limits.claim_timeout_ms, max(available_ms, 0.0)),
                 attempt.marked_repeat or not self.decisions.catalogue.effective_settings.marks_repeats,
             )
         )
 
-    def _keep_ms(self, attempt: Attempt) -> float:
+    def _retention_ms(self, attempt: Attempt) -> float:
         assert attempt.request_class is not None
-        return self._promised_ms(attempt.request_class)
-
-    def _promised_ms(self, kind: RequestClass) -> float:
-        """From a try's arrival until nothing is promised of it any more."""
-        return kind.repeat_window_ms + kind.deadline_ms + self.limits.key_margin_ms + self.limits.max_repeat_delay_ms
+        return self._class_retention_ms(attempt.request_class)
+
+    def _class_retention_ms(self, request_class: RequestClass) -> float:
+        """How long after the arrival of a try its key must be remembered."""
+        return (
+            request_class.repeat_window_ms
+            + request_class.deadline_ms
+            + self.limits.key_margin_ms
+            + self.limits.max_repeat_delay_ms
+        )
 
     def max_retention_ms(self) -> float:
-        """The same for the class that is kept longest, as clocks of members may differ."""
-        promised = (self._promised_ms(kind) for kind in self.decisions.catalogue.effective_settings.classes)
-        least = self.limits.key_margin_ms + self.limits.max_repeat_delay_ms
-        return max(promised, default=least) + self.limits.clock_skew_ms
+        """The longest such time of all classes, with a reserve as the clocks of members may differ."""
+        retention_times = (
+            self._class_retention_ms(request_class)
+            for request_class in self.decisions.catalogue.effective_settings.classes
+        )
+        min_ms = self.limits.key_margin_ms + self.limits.max_repeat_delay_ms
+        return max(retention_times, default=min_ms) + self.limits.clock_skew_ms
 
     def cancel_claim(self, request: str) -> None:
-        key = self.keys.pop(request, None)
+        key = self.pending_keys.pop(request, None)
         if key is not None:
-            self.tell(CallerDeparted(key, request))
+            self.send_event(CallerDeparted(key, request))
 
     def on_key_claimed(self, attempt: Attempt) -> None:
-        """The table holds its entry; the holders have its claim."""
+        """Nothing to do: the key table has the entry, and the holders have the claim."""
 
     def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
-        due = attempt.deadline_at_ms - self.limits.claim_reserve_ms - self.wall_ms()
-        self.tell(
+        available_ms = attempt.deadline_at_ms - self.limits.claim_reserve_ms - self.wall_ms()
+        self.send_event(
             Finish(
                 key_of(attempt),
                 attempt.id,
                 fingerprint(attempt),
-                self._keep_ms(attempt),
-                self.now_ms() + max(due, 0.0),
+                self._retention_ms(attempt),
+                self.now_ms() + max(available_ms, 0.0),
                 outcome,
                 result,
             )
@@ -109,32 +119,36 @@
         return True
 
     def on_run_ended(self, attempt: Attempt) -> None:
-        """Its end is kept by the holders already."""
+        """Nothing to do: the holders have the outcome already."""
 
     def on_key_freed(self, attempt: Attempt) -> None:
-        self.tell(Free(key_of(attempt), attempt.id))
+        self.send_event(Free(key_of(attempt), attempt.id))
 
     def tick(self) -> None:
-        """The proposals have a clock of their own."""
+        """Nothing to do: the proposals have their own timer."""
 
-    def on_message(self, word: Action) -> None:
-        """In a turn of the planner."""
+    def on_message(self, action: Action) -> None:
+        """Convert an action of the proposals into events of the planner, in a turn of the planner."""
         pending, keys = self.decisions.pending, self.decisions.keys
-        match word:
+        match action:
             case Granted(owner):
-                self.keys.pop(owner, None)
+                self.pending_keys.pop(owner, None)
                 pending.append(at.ClaimAnswered(owner, True))
             case ClaimedByOther(waiting, key, value):
-                until = self.wall_ms() + self.limits.clock_skew_ms + self.limits.claim_timeout_ms
-                held = Held(value.owner, until, value.fingerprint, value.outcome, value.result, foreign=True)
-                pending.extend(at.RunFinished(follower, Outcome.ERROR) for follower in keys.adopt(key, held, -math.inf))
+                live_until_ms = self.wall_ms() + self.limits.clock_skew_ms + self.limits.claim_timeout_ms
+                adopted_entry = TableEntry(
+                    value.owner, live_until_ms, value.fingerprint, value.outcome, value.result, foreign=True
+                )
+                pending.extend(
+                    at.RunFinished(follower, Outcome.ERROR) for follower in keys.adopt(key, adopted_entry, -math.inf)
+                )
                 for owner in waiting:
-                    self.keys.pop(owner, None)
+                    self.pending_keys.pop(owner, None)
                     pending.append(at.ClaimAnswered(owner, False))
             case MajorityUnavailable(owner, may_have_run, cause):
-                self.keys.pop(owner, None)
+                self.pending_keys.pop(owner, None)
                 self.counters.add("copies.no_word")
-                # Without the request's id, so that a flood of them is told as one with its count.
+                # Without the request's id, so that many such lines are logged as one with its count.
                 self.log("warning", "copies.no_word", name=cause, may_have_run=may_have_run)
                 self.log("debug", "copies.no_word_for", request=owner, may_have_run=may_have_run, cause=cause)
                 pending.append(at.ClaimAnswered(owner, None, not may_have_run))
@@ -147,26 +161,28 @@
                         request=owner,
                         key=key[1],
                         outcome=outcome.value,
-                        cause="another member settled this run while this one was out of reach",
+                        cause="another member settled this run while this one was unreachable",
                     )
                 pending.append(at.OutcomeRecorded(owner, outcome, result))
             case OutcomeOverdue(owner):
                 pending.append(at.OutcomeRecorded(owner, None))
             case FollowedKeyEnded(key, value):
-                other = keys.foreign_entry(key, value.owner)
-                if other is None:
+                entry = keys.foreign_entry(key, value.owner)
+                if entry is None:
                     return
                 if value.stage is Stage.FREE:
                     pending.extend(
-                        at.RunFinished(one, Outcome.REJECTED) for one in keys.release_foreign(key, value.owner)
+                        at.RunFinished(follower, Outcome.REJECTED)
+                        for follower in keys.release_foreign(key, value.owner)
                     )
                 else:
                     outcome = value.outcome or Outcome.ERROR
                     pending.extend(
-                        at.RunFinished(one, outcome, 0.0, value.result)
-                        for one in keys.record_outcome(other, outcome, value.result)
+                        at.RunFinished(follower, outcome, 0.0, value.result)
+                        for follower in keys.record_outcome(entry, outcome, value.result)
                     )
 
 
 def key_of(attempt: Attempt) -> Key:
+    """The replicated key of an attempt: its class and its request key."""
     return attempt.class_name, attempt.request_key or ""
--- a/flintshift/lifecycle/start_permits.py
+++ b/flintshift/lifecycle/start_permits.py
@@ -1,5 +1,6 @@
-"""Start permits at the node's side: the hearts of `startup/permits.py`, the members' links and the log. Imported only
-where `startup.at-once`, peers and copies are on.
+"""Connects the state machines of `startup/permits.py` to the links of the members and to the log.
+
+Imported only if `startup.at-once`, peers and replication are on.
 """
 
 from __future__ import annotations
@@ -23,8 +24,10 @@
 
 
 class StartPermits:
-    """This process wants one, and grants them to others. ``send`` speaks to a member, ``answer`` to a process that
-    asked, ``go`` is called once the start may go on."""
+    """Requests a start permit for this process, and grants permits to others.
+
+    ``send`` sends to a member, ``answer`` to a process that sent a request; ``on_proceed`` is called once the start may
+    proceed."""
 
     def __init__(
         self,
@@ -33,55 +36,55 @@
         members: tuple[str, ...],
         at_once: int,
         uniform: Uniform,
-        lives: Callable[[str], bool],
+        is_alive: Callable[[str], bool],
         reached: set[str],
         send: Callable[[str, PermitRequest], None],
         answer: Callable[[str, Permit], None],
-        go: Callable[[], None],
+        on_proceed: Callable[[], None],
         counters: Counters,
         log: Log,
     ) -> None:
         self.name, self.identity, self.reached = name, identity, reached
-        self.send, self.answer, self.go, self.counters, self.log = send, answer, go, counters, log
+        self.send, self.answer, self.on_proceed, self.counters, self.log = send, answer, on_proceed, counters, log
         self.requester = PermitRequester(name, members, uniform)
-        self.granter = PermitGranter(at_once, lives)
+        self.granter = PermitGranter(at_once, is_alive)
 
     @staticmethod
-    def _now() -> float:
+    def _now_ms() -> float:
         return time.monotonic() * 1000
 
     def may_proceed(self) -> bool:
-        """Ask, if it has not been asked."""
-        self._act(self.requester.request_permit(self._now(), self.reached))
+        """Request a permit unless that has begun, and return whether the start may proceed."""
+        self._perform(self.requester.request_permit(self._now_ms(), self.reached))
         return self.requester.proceeded
 
     def tick(self) -> None:
-        self._act(self.requester.tick(self._now(), self.reached))
+        self._perform(self.requester.tick(self._now_ms(), self.reached))
 
     def finish(self) -> None:
-        self._act(self.requester.finish())
+        self._perform(self.requester.finish())
 
-    def on_request(self, identity: str, word: PermitRequest) -> None:
-        told = self.granter.on_request(self._now(), identity, word)
-        if told is not None:
-            self.counters.add("startup.permits_granted" if told.granted else "startup.permits_refused")
-            self.answer(identity, told)
+    def on_request(self, identity: str, request: PermitRequest) -> None:
+        permit = self.granter.on_request(self._now_ms(), identity, request)
+        if permit is not None:
+            self.counters.add("startup.permits_granted" if permit.granted else "startup.permits_refused")
+            self.answer(identity, permit)
 
     def on_permit(self, member: str, permit: Permit) -> None:
-        self._act(self.requester.on_permit(self._now(), member, permit))
+        self._perform(self.requester.on_permit(self._now_ms(), member, permit))
 
-    def _act(self, actions: list[Action]) -> None:
+    def _perform(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case SendPermitRequest(to, word) if to == self.name:
-                    told = self.granter.on_request(self._now(), self.identity, word)
-                    if told is not None:
-                        self.on_permit(self.name, told)
-                case SendPermitRequest(to, word):
-                    self.send(to, word)
+                case SendPermitRequest(to, request) if to == self.name:
+                    permit = self.granter.on_request(self._now_ms(), self.identity, request)
+                    if permit is not None:
+                        self.on_permit(self.name, permit)
+                case SendPermitRequest(to, request):
+                    self.send(to, request)
                 case Proceed(cause, after_ms):
                     self.log("info", "startup.goes_on", cause=cause, after_ms=round(after_ms))
-                    self.go()
+                    self.on_proceed()
 
     def status(self) -> dict[str, Any]:
         return {"held": sorted(self.granter.granted_until_ms), "waiting": sorted(self.granter.waiting)}
