--- a/flintshift/lifecycle/ledger_replicas.py
+++ b/flintshift/lifecycle/ledger_replicas.py
@@ -299,6 +299,7 @@
             self.answer(to, message)
 
     def close(self) -> None:
+        """Close all replicas."""
         for log, replica in self.replicas.items():
             try:
                 replica.close()
--- a/flintshift/lifecycle/ledger_replication.py
+++ b/flintshift/lifecycle/ledger_replication.py
@@ -108,6 +108,7 @@
     # Messages between members.
 
     def set_reachable(self, member: str, reachable: bool) -> None:
+        """Note that a member has become reachable or unreachable."""
         (self.reachable.add if reachable else self.reachable.discard)(member)
         for writer in self._writers():
             self._perform(writer, writer.set_reachable(member, reachable))
@@ -115,10 +116,12 @@
             self.ledger_replicas.perform(self.ledger_replicas.log_replicas.announce_finished(member))
 
     def _writers(self) -> list[LogWriter]:
+        """The writers of this member's own ledger and of those that it takes over."""
         own_writers = [self.writer] if self.writer is not None else []
         return own_writers + [takeover.writer for takeover in self.takeovers.table.values()]
 
     def on_status(self, member: str, status: logs.ReplicaStatus) -> None:
+        """Handle the status of a replica that another member reports."""
         for writer in self._writers():
             if writer.log == status.log:
                 self._perform(writer, writer.handle_status(self.now_ms(), member, status))
@@ -126,9 +129,11 @@
         self.ledger_replicas.perform(self.ledger_replicas.log_replicas.handle_status(member, status))
 
     def on_message(self, identity: str, message: logs.LogMessage) -> None:
+        """Handle a message of another process about a log that this member replicates."""
         self.ledger_replicas.perform(self.ledger_replicas.log_replicas.handle_message(identity, message))
 
     def tick(self) -> None:
+        """Perform what is due for the writers, the replicas and the takeovers."""
         now = self.now_ms()
         self.ledger_replicas.perform(self.ledger_replicas.log_replicas.tick(now))
         self.ledger_replicas.report_rejected(now)
@@ -230,6 +235,7 @@
             self.log("error", "usage.copy_refused", ledger=self.name, cause=str(error))
 
     def _make_snapshot(self, writer: LogWriter) -> bytes:
+        """A snapshot of the ledger that this writer writes."""
         if writer is self.writer and self.ledger is not None:
             return on_disk.snapshot_ledger(self.files, self.usage.folder, self.ledger.accounts, self.sinks)
         replica = self.ledger_replicas.replicas[writer.log]
@@ -284,6 +290,7 @@
     # The actor.
 
     async def run(self) -> None:
+        """Run the syncs of the replicas and the exports of the takeovers until cancelled."""
         async with anyio.create_task_group() as self.takeovers.tasks:
             await self.ledger_replicas.run()
 
--- a/flintshift/lifecycle/ledger_takeover.py
+++ b/flintshift/lifecycle/ledger_takeover.py
@@ -39,7 +39,7 @@
         self.replica, self.writer = replica, writer
         self.opened = False  # the first record under the new epoch is written
         self.export_scope: anyio.CancelScope | None = None
-        self.request_check: Callable[[], object] = lambda: None
+        self.request_export_check: Callable[[], object] = lambda: None
 
     @property
     def has_unwritten_documents(self) -> bool:
@@ -65,7 +65,7 @@
 class LedgerTakeovers:
     """All takeovers of this member.
 
-    ``new_writer`` makes the writer of a ledger under an epoch, after its last position; ``perform`` performs the
+    ``make_writer`` makes the writer of a ledger under an epoch, after its last position; ``perform`` performs the
     actions of a writer; ``send_export`` notifies the other holders that a sink has a document."""
 
     def __init__(
@@ -75,7 +75,7 @@
         sinks: list[str],
         reachable: set[str],
         now_ms: Callable[[], float],
-        new_writer: Callable[[LogId, int, logs.LogPosition], LogWriter],
+        make_writer: Callable[[LogId, int, logs.LogPosition], LogWriter],
         perform: Callable[[LogWriter, list[logs.WriterAction]], None],
         send_export: Callable[[LogWriter, str, str, bytes], None],
     ) -> None:
@@ -86,7 +86,7 @@
             reachable,
             now_ms,
         )
-        self.new_writer, self.perform, self.send_export = new_writer, perform, send_export
+        self.make_writer, self.perform, self.send_export = make_writer, perform, send_export
         self.files, self.send, self.counters, self.log = (
             replica_host.files,
             replica_host.send,
@@ -108,7 +108,7 @@
         """Begin the takeover of a ledger for which a majority of its holders voted."""
         log, epoch, last = decision.log, decision.epoch, decision.last
         replica = self.replica_host.replicas[log]
-        writer = self.new_writer(log, epoch, last)
+        writer = self.make_writer(log, epoch, last)
         self.table[log] = LedgerTakeover(replica, writer)
         self.counters.add("usage.took_over")
         self.log(
@@ -167,7 +167,7 @@
         # Documents are written and exported only once no other owner can close their periods differently.
         if documents and writer.replicated_sequence >= writer.last[1]:
             self._append(takeover, Published(ledger.write_documents(documents)))
-            takeover.request_check()
+            takeover.request_export_check()
         if (
             takeover.export_scope is None
             and self.sinks
@@ -200,7 +200,7 @@
                     takeover.replica.ledger.accounts.state,
                     lambda sink, name, digest: self.send_export(takeover.writer, sink, name, digest),
                 )
-                takeover.request_check = export.request_check
+                takeover.request_export_check = export.request_check
                 try:
                     await export.run()
                 except* DISK_ERRORS as errors:
--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -33,7 +33,7 @@
 FIRST_REOPEN_DELAY_MS = 25.0  # from a failure to the first attempt to reopen the log; doubled after each
 MAX_REOPEN_DELAY_MS = 1000.0
 
-PendingVote = tuple[str, Vote, Key]  # for this process, about that key
+PendingVote = tuple[str, Vote, Key]  # the process that asked, the vote and the key
 
 
 class Host(Protocol):
@@ -138,6 +138,7 @@
         self.opened.set()
 
     def close(self) -> None:
+        """Close the folder, if this process owns it."""
         if self.folder is not None:
             self.folder.close()
 
@@ -194,6 +195,7 @@
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
+        """Write the changes of this turn, then send its votes."""
         self.flush_scheduled = False
         entries, self.pending_entries = self.pending_entries, []
         votes, self.pending_votes = self.pending_votes, []
@@ -246,6 +248,7 @@
         return True
 
     def _on_disk_failed(self, error: Exception) -> None:
+        """Stop voting until the log can be reopened."""
         self.log(
             "error",
             "copies.disk_refuses",
@@ -302,6 +305,7 @@
                 self._recover_disk(error)
 
     def _reopen(self, now: float) -> None:
+        """Try again to reopen the log; vote again if it succeeds."""
         assert self.folder is not None and self.disk_failed_since_ms is not None
         try:
             self.folder.reopen(self.registers.entries(now), self.now_ms())
--- a/flintshift/lifecycle/replicated_claims.py
+++ b/flintshift/lifecycle/replicated_claims.py
@@ -172,14 +172,13 @@
                     return
                 if value.stage is Stage.FREE:
                     pending.extend(
-                        at.RunFinished(follower, Outcome.REJECTED)
-                        for follower in keys.release_foreign(key, value.owner)
+                        at.RunFinished(request, Outcome.REJECTED) for request in keys.release_foreign(key, value.owner)
                     )
                 else:
                     outcome = value.outcome or Outcome.ERROR
                     pending.extend(
-                        at.RunFinished(follower, outcome, 0.0, value.result)
-                        for follower in keys.record_outcome(entry, outcome, value.result)
+                        at.RunFinished(request, outcome, 0.0, value.result)
+                        for request in keys.record_outcome(entry, outcome, value.result)
                     )
 
 
--- a/flintshift/lifecycle/replication.py
+++ b/flintshift/lifecycle/replication.py
@@ -242,6 +242,7 @@
     # The state machines.
 
     def _handle_event(self, event: Event) -> None:
+        """Pass an event to the proposals and perform their actions."""
         for action in self.proposals.handle(self.now_ms(), event):
             match action:
                 case Send(to, ask) if to == self.name and self.store.folder is not None:
@@ -320,6 +321,7 @@
         self.log("warning", "peers.link_refused", cause=cause)
 
     def _on_requests(self, member: str, identity: str, messages: list[Any]) -> None:
+        """Handle messages that arrived on a link that another process opened."""
         self._handle_membership_event(membership.MessageReceived(identity))
         for message in messages:
             match message:
@@ -337,6 +339,7 @@
                     self.ledger_replication.on_message(identity, message)
 
     def _on_answers(self, member: str, identity: str, messages: list[Any]) -> None:
+        """Handle messages that arrived on a link that this process opened."""
         self._handle_membership_event(membership.MessageReceived(identity))
         for message in messages:
             match message:
@@ -354,6 +357,7 @@
                     self._handle_membership_event(message)
 
     def _on_link_up(self, member: str, hello: pb.Hello) -> None:
+        """Notify the state machines that a member is reachable."""
         self._on_hello(member, hello)
         self.reached.add(member)
         self.link_errors.pop(member, None)
@@ -363,6 +367,7 @@
             self.ledger_replication.set_reachable(member, True)
 
     def _on_link_down(self, member: str, cause: str) -> None:
+        """Notify the state machines that a member is unreachable, or log why it can't be linked."""
         if member == self.name and self.store.folder is not None:
             return
         if member in self.reached:
@@ -379,6 +384,7 @@
     # The actor.
 
     async def run(self) -> None:
+        """Run replication until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._serve_members)
             for member, link in self.links.items():
@@ -443,6 +449,7 @@
             await self.decisions.report(at.MessageReceived(self.planner_messages.popleft()))
 
     def _tick(self) -> None:
+        """Check links, membership, ledgers, start permits and the store."""
         now = self.now_ms()
         for link in self.links.values():
             link.watch(now)
--- a/flintshift/lifecycle/start_permits.py
+++ b/flintshift/lifecycle/start_permits.py
@@ -59,18 +59,22 @@
         return self.requester.proceeded
 
     def tick(self) -> None:
+        """Request or renew the permit if that is due."""
         self._perform(self.requester.tick(self._now_ms(), self.reached))
 
     def finish(self) -> None:
+        """Give the permit back: the start has ended."""
         self._perform(self.requester.finish())
 
     def on_request(self, identity: str, request: PermitRequest) -> None:
+        """Answer the permit request of another process."""
         permit = self.granter.on_request(self._now_ms(), identity, request)
         if permit is not None:
             self.counters.add("startup.permits_granted" if permit.granted else "startup.permits_refused")
             self.answer(identity, permit)
 
     def on_permit(self, member: str, permit: Permit) -> None:
+        """Handle the answer of another member to a permit request."""
         self._perform(self.requester.on_permit(self._now_ms(), member, permit))
 
     def _perform(self, actions: list[Action]) -> None:
@@ -87,4 +91,5 @@
                     self.on_proceed()
 
     def status(self) -> dict[str, Any]:
+        """The processes that have or wait for a permit of this member, for operators."""
         return {"held": sorted(self.granter.granted_until_ms), "waiting": sorted(self.granter.waiting)}
--- a/flintshift/lifecycle/usage_recording.py
+++ b/flintshift/lifecycle/usage_recording.py
@@ -57,6 +57,7 @@
         self._number_rows()
 
     def _number_rows(self) -> None:
+        """Number the rows anew after the lists have changed."""
         clubs, classes = self.row_lists
         self.first_rows = {  # the row number of the first outcome
             (club, class_name, front): row_number(club_index, class_index, len(classes), front_index, 0)
@@ -89,6 +90,7 @@
         )
 
     def change(self, settings: api.Settings) -> None:
+        """Add rows for the clubs and classes that new settings add."""
         lists = self._extended_lists(settings)
         if lists != self.row_lists:
             self.row_lists = lists
@@ -97,6 +99,7 @@
 
     @property
     def refusing(self) -> bool:
+        """Whether use could not be recorded now."""
         return self.ledger.rejects_work
 
     def _row(self, attempt: Attempt, front: str) -> int:
@@ -104,9 +107,11 @@
         return self.first_rows[None, attempt.class_name, front] if base is None else base
 
     def track(self, attempt: Attempt, front: str) -> None:
+        """Record the use of this attempt when it is answered."""
         attempt.on_answer = partial(self._on_answer, attempt, front, attempt.on_answer)
 
     def _on_answer(self, attempt: Attempt, front: str, deliver: Callable[[Answer], None], answer: Answer) -> None:
+        """Write the claim of an answer; the ledger delivers the answer once the claim is durable."""
         attempt.on_answer = ignore_answer  # breaks a cycle that only the garbage collector would free
         outcome = (
             POORER if attempt.call_skipped and answer.verdict is Verdict.SERVED else OUTCOME_OF_VERDICT[answer.verdict]
@@ -124,10 +129,12 @@
         )
 
     def record_delivery(self, attempt: Attempt, written: bool) -> None:
+        """Record whether the answer could be written to the caller."""
         if attempt.ticket is not None:
             self.ledger.mark_delivery(attempt.ticket, written)
 
     def record_disconnect(self, attempt: Attempt, front: str) -> None:
+        """Record the use of an attempt whose caller has disconnected."""
         attempt.on_answer = ignore_answer  # prevents a second claim if the attempt is answered nevertheless
         if attempt.ticket is not None:  # its answer was being sent
             self.ledger.mark_delivery(attempt.ticket, False)
@@ -146,6 +153,7 @@
         )
 
     def record_late_run(self, attempt: Attempt, took_ms: float) -> None:
+        """Record a run that ended after the answer."""
         if attempt.ticket is not None and took_ms > 0:
             self.ledger.add_late_run(attempt.ticket, int(took_ms * 1000), 0)
 
