--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -47,12 +47,12 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from flintshift.lifecycle.books import Books
-    from flintshift.lifecycle.copying import Copying
     from flintshift.lifecycle.fair_door import FairDoor
+    from flintshift.lifecycle.replication import ReplicationService
     from flintshift.lifecycle.start_permits import StartPermits
     from flintshift.lifecycle.starting import Starting
     from flintshift.lifecycle.upgrade import Upgrade
+    from flintshift.lifecycle.usage_recording import LedgerRecorder
     from flintshift.startup.backoff import Uniform
     from flintshift.usage.ledger import Ledger
     from flintshift.wire.control_front import ControlFront
@@ -109,9 +109,9 @@
     def _wire_operators(self, options: Operators) -> None:
         """The parts that the operators' file switches on; each is imported only then."""
         self.ledger: Ledger | None = None
-        self.books: Books | None = None
+        self.books: LedgerRecorder | None = None
         self.fair: FairDoor | None = None
-        self.copying: Copying | None = None
+        self.copying: ReplicationService | None = None
         self.starting: Starting | None = None
         self.permits: StartPermits | None = None
         self.door: ControlFront | None = None
@@ -192,40 +192,40 @@
         self.upgrade = Upgrade(self)
         self.decisions.waiting_claims.claims = self.upgrade
         if self.copying is not None:
-            from flintshift.lifecycle.agreeing import Agreeing
+            from flintshift.lifecycle.consensus_in_upgrade import ConsensusInUpgrade
 
-            self.decisions.waiting_claims.claims = Agreeing(self.upgrade, self.copying.claims)
+            self.decisions.waiting_claims.claims = ConsensusInUpgrade(self.upgrade, self.copying.claims)
         for front, _ in self.fronts:
             front.leave()  # until it is known that this process takes the clients
 
     def _keep_books(self, options: UsageOptions) -> None:
-        from flintshift.lifecycle.books import Books
-        from flintshift.lifecycle.durable_parts import open_ledger
+        from flintshift.lifecycle.durable_state import open_ledger
+        from flintshift.lifecycle.usage_recording import LedgerRecorder
 
         self.ledger = open_ledger(self.config, options, self.log, self.retry)
-        books = self.books = Books(self.ledger, self.config.settings, self.now_ms.steady_ms)
+        books = self.books = LedgerRecorder(self.ledger, self.config.settings, self.now_ms.steady_ms)
         self.decisions.runs.usage_recorder = books
         for front, _ in self.fronts:
             front.books = books
         self.actors.append(self.ledger.run)
         if options.export is not None:
-            from flintshift.lifecycle.exports import open_export
+            from flintshift.lifecycle.exports import create_export_actor
 
-            self.actors.append(open_export(self.ledger, options, self.log))
+            self.actors.append(create_export_actor(self.ledger, options, self.log))
 
     def _keep_copies(self, peers: PeersOptions, options: CopiesOptions) -> None:
-        from flintshift.lifecycle.durable_parts import copy_ledger, open_copies
+        from flintshift.lifecycle.durable_state import open_replication, replicate_ledger
         from flintshift.replication.store import STATUS_SOCKET
 
-        copying = open_copies(
+        copying = open_replication(
             self.config, peers, options, self.decisions, self.counters, self.now_ms, self.log, self.retry
         )
         if self.ledger is not None and self.config.operators.usage is not None and options.copies > 1:
-            copy_ledger(copying, self.ledger, self.config.operators.usage, self.retry)
+            replicate_ledger(copying, self.ledger, self.config.operators.usage, self.retry)
         self.copying = copying
         self.decisions.waiting_claims.claims, self.decisions.waiting_claims.may_run_elsewhere = copying.claims, True
         self.actors.append(copying.run)
-        self._show(options.folder / STATUS_SOCKET, "copies", copying.shown, "how the copies stand")
+        self._show(options.folder / STATUS_SOCKET, "copies", copying.status, "how the copies stand")
 
     def _watch_start(self, options: StartupOptions) -> None:
         from flintshift.lifecycle.starting import Starting
@@ -233,7 +233,7 @@
 
         settings = self.config.settings
         if options.at_once is not None and self.copying is not None:
-            self.permits = self.copying.start_permits(options.at_once, self.uniform, self.tell_lists)
+            self.permits = self.copying.create_start_permits(options.at_once, self.uniform, self.tell_lists)
         permits = self.permits
         starting = self.starting = Starting(
             options,
@@ -242,9 +242,9 @@
                 self.bound,
                 self.decisions.serving_status.workers_up,
                 self.registration.accepted_reports > 0,
-                permits is None or permits.starter.proceeded,
+                permits is None or permits.requester.proceeded,
             ),
-            permits.done if permits is not None else lambda: None,
+            permits.finish if permits is not None else lambda: None,
             self.uniform,
             self.counters,
             self.log,
@@ -416,7 +416,7 @@
             and posture.workers_up
             and not posture.draining
             and self.alone()
-            and not self.permits.may_go()
+            and not self.permits.may_proceed()
         ):
             return  # told again once it may
         if posture.workers_up or posture.draining:
