--- a/flintshift/lifecycle/status_socket.py
+++ b/flintshift/lifecycle/status_socket.py
@@ -14,7 +14,7 @@
 
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
-from flintshift.wire.link import BROKEN
+from flintshift.wire.link import CONNECTION_ERRORS
 from flintshift.wire.unix import listens, open_path
 
 
@@ -74,5 +74,5 @@
             async with stream:
                 with anyio.move_on_after(self.limits.status_write_timeout_ms / 1000):
                     await stream.send(json.dumps(self.shown()).encode() + b"\n")
-        except BROKEN:
+        except CONNECTION_ERRORS:
             self.counters.add(f"{self.part}.show_broken")
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -57,7 +57,7 @@
 from flintshift.wire.acceptor import listening
 from flintshift.wire.front import Front
 from flintshift.wire.handover import Link, UpgradeError, join, meeting_path
-from flintshift.wire.link import BROKEN
+from flintshift.wire.link import CONNECTION_ERRORS
 from flintshift.wire.unix import open_path
 
 
@@ -177,7 +177,7 @@
             return
         try:
             link = Link(stream, self.limits)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             self.node.counters.add("upgrade.not_watched")
             await stream.aclose()
             return
--- a/flintshift/wire/connection.py
+++ b/flintshift/wire/connection.py
@@ -20,7 +20,7 @@
 
 from flintshift.core.limits import Limits
 from flintshift.wire.caller_stream import CallerStream
-from flintshift.wire.link import BROKEN
+from flintshift.wire.link import CONNECTION_ERRORS
 
 LOOK_S = 0.01  # between two looks whether a peer has ended too, or has taken what was written
 
@@ -124,7 +124,7 @@
         from when the system has taken all that was written."""
         self.enter(ConnectionState.HALF_CLOSED)
         # uvloop raises a RuntimeError where the connection is closed already.
-        with contextlib.suppress(*BROKEN, RuntimeError):
+        with contextlib.suppress(*CONNECTION_ERRORS, RuntimeError):
             await self.stream.send_eof()
             with anyio.move_on_after(limits.write_timeout_ms / 1000):
                 while self.stream.unsent:
--- a/flintshift/wire/control_front.py
+++ b/flintshift/wire/control_front.py
@@ -21,7 +21,7 @@
 from flintshift.core.ports import Log, log_nothing
 from flintshift.wire.caller_stream import caller_stream
 from flintshift.wire.fields import UnusableError, written
-from flintshift.wire.link import BROKEN
+from flintshift.wire.link import CONNECTION_ERRORS
 
 TURNS = 3  # of the loop, from accepting a connection to reading what came with it
 
@@ -121,7 +121,7 @@
                         )
                         return
                     self.counters.add("control.cut")  # it said nothing, or half a call
-        except (*BROKEN, ValueError, RuntimeError):  # the last two: it went before it was looked at
+        except (*CONNECTION_ERRORS, ValueError, RuntimeError):  # the last two: it went before it was looked at
             self.counters.add("control.broken")
         finally:
             self.calls.pop(call, None)
--- a/flintshift/wire/front.py
+++ b/flintshift/wire/front.py
@@ -20,7 +20,7 @@
 from flintshift.wire.caller_stream import CallerStream
 from flintshift.wire.connection import CloseReason, Connection, ConnectionState
 from flintshift.wire.fields import Fields, UnusableError
-from flintshift.wire.link import BROKEN
+from flintshift.wire.link import CONNECTION_ERRORS
 
 
 class Exchange:
@@ -124,7 +124,7 @@
 
     async def _accepted(self, stream: CallerStream) -> None:
         # uvloop may raise a RuntimeError where the connection is closed already: that must not end the node.
-        with contextlib.suppress(*BROKEN, RuntimeError):
+        with contextlib.suppress(*CONNECTION_ERRORS, RuntimeError):
             async with stream:
                 await self._admit(stream)
 
@@ -153,7 +153,7 @@
             with connection.scope:
                 await self.converse(connection)
                 await self._shut(connection)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             connection.close_for(CloseReason.CALLER_GONE)
             self.counters.add(f"{self.name}.connections_broken")
         except Exception as error:  # a fault met on one connection must not end the others
@@ -307,7 +307,7 @@
                     await anyio.sleep_forever()
                 try:
                     data = await connection.stream.receive(self.limits.read_chunk_bytes)
-                except BROKEN:
+                except CONNECTION_ERRORS:
                     if self.books is not None:
                         self.books.record_disconnect(attempt, self.name)
                     await self.decisions.report(CallerDisconnected(attempt))
--- a/flintshift/wire/handover.py
+++ b/flintshift/wire/handover.py
@@ -19,7 +19,7 @@
 from flintshift.core.mailbox import Mailbox
 from flintshift.handover.messages import VERSION, Copied, Hello, Known, Left, Welcome, Word
 from flintshift.wire.handover_codec import FrameError, Unpacker, packed
-from flintshift.wire.link import BROKEN
+from flintshift.wire.link import CONNECTION_ERRORS
 from flintshift.wire.unix import short
 
 CREDENTIALS = struct.Struct("3i")
@@ -77,7 +77,7 @@
                 told = told[self.stream.extra(anyio.abc.SocketAttribute.raw_socket).send(told) :]
             except BlockingIOError:  # the other is slow: it waits as the rest does
                 pass
-            except BROKEN:
+            except CONNECTION_ERRORS:
                 self.break_off()
                 return
         if told != b"" and not self.outbox.offer(told):
@@ -130,7 +130,7 @@
                     while True:
                         for word in self.unpacker.feed(await self.stream.receive(self.limits.read_chunk_bytes)):
                             await heard(word)
-                except (FrameError, *BROKEN) as error:
+                except (FrameError, *CONNECTION_ERRORS) as error:
                     self.broken, cause = True, f"{type(error).__name__} {error}".strip()
                 tasks.cancel_scope.cancel()
         finally:
@@ -166,7 +166,7 @@
                     batch += more if isinstance(more, bytes) else packed(more)
                     self.outbox.take_now()
                 await self.stream.send(bytes(batch))
-        except BROKEN:
+        except CONNECTION_ERRORS:
             self.break_off()
 
 
@@ -194,7 +194,7 @@
                 link.early += link.unpacker.feed(data)
     except TimeoutError as error:
         raise mute(limits) from error
-    except BROKEN:
+    except CONNECTION_ERRORS:
         await stream.aclose()
         return None
     except FrameError as error:
--- a/flintshift/wire/link.py
+++ b/flintshift/wire/link.py
@@ -7,7 +7,7 @@
 
 from flintshift.core.limits import Limits
 
-BROKEN = (
+CONNECTION_ERRORS = (
     OSError,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
@@ -18,7 +18,7 @@
 )
 
 
-class JunkError(Exception):
+class MalformedMessageError(Exception):
     """A peer sent what its protocol does not know."""
 
 
--- a/flintshift/wire/names.py
+++ b/flintshift/wire/names.py
@@ -12,7 +12,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.wire import faults
-from flintshift.wire.link import BROKEN, connect
+from flintshift.wire.link import CONNECTION_ERRORS, connect
 
 
 class NameService:
@@ -34,7 +34,7 @@
                         word = "taken"
         except TimeoutError:
             word = "unanswered" if sent.is_set() else word
-        except (*BROKEN, h11.ProtocolError):
+        except (*CONNECTION_ERRORS, h11.ProtocolError):
             pass
         except Exception as error:  # whatever else the event loop may raise costs this report, and not the node
             faults.met(self.counters, "names", error)
--- a/flintshift/wire/peer_codec.py
+++ b/flintshift/wire/peer_codec.py
@@ -13,7 +13,7 @@
 from flintshift.replication.refill import FillAsk, Page
 from flintshift.replication.registers import Entry
 from flintshift.startup.permits import Permit, PermitRequest
-from flintshift.wire.link import JunkError
+from flintshift.wire.link import MalformedMessageError
 
 OUTCOMES = (
     Outcome.OK,
@@ -32,7 +32,7 @@
 Told = Ask | Vote | Ended | FillAsk | Page | Accused | logs.LogMessage | PermitRequest | Permit
 
 
-class WordsError(JunkError, ValueError):
+class WordsError(MalformedMessageError, ValueError):
     """What came is no batch of these words."""
 
 
--- a/flintshift/wire/peer_link.py
+++ b/flintshift/wire/peer_link.py
@@ -23,7 +23,7 @@
 from flintshift.core.limits import Limits
 from flintshift.proto import peers_pb2 as pb
 from flintshift.startup.backoff import Backoff
-from flintshift.wire.link import BROKEN, JunkError
+from flintshift.wire.link import CONNECTION_ERRORS, MalformedMessageError
 from flintshift.wire.peer_codec import PEER_FRAME_MOST, Word, WordsError, batch_of, read_batch, words_of
 
 SCHEMA = 1  # of `proto/peers.proto`; with a member of the schema before or after, what the lower of both has
@@ -102,7 +102,7 @@
                 told = bytes(self.data[HEAD : HEAD + size])
                 del self.data[: HEAD + size]
                 self.got(self, read_batch(told))
-        except (JunkError, UnicodeError) as error:
+        except (MalformedMessageError, UnicodeError) as error:
             self.end(f"{type(error).__name__} {error}")
 
     def pause_writing(self) -> None:
@@ -226,7 +226,7 @@
                     self.wire, self.asked_ms = wire, math.inf
                     self.up(self.member, wire.greeted)
                     await wire.ended.wait()
-            except BROKEN as error:
+            except CONNECTION_ERRORS as error:
                 wire.cause = f"{type(error).__name__} {error}".strip()
             finally:
                 wire.end("this end closed it")
@@ -310,7 +310,7 @@
         if told.member:
             wire.send(self.greeting.hello(*self.stores(told.member), refused=refused))
         if refused:
-            raise JunkError(refused)
+            raise MalformedMessageError(refused)
         wire.greeted = told
         self.wires[told.identity] = wire
         self.met(told.member, told)
--- a/flintshift/wire/pool.py
+++ b/flintshift/wire/pool.py
@@ -18,7 +18,7 @@
 from flintshift.startup.backoff import Backoff, Uniform
 from flintshift.wire import faults
 from flintshift.wire import pool_codec as codec
-from flintshift.wire.link import BROKEN, JunkError, connect
+from flintshift.wire.link import CONNECTION_ERRORS, MalformedMessageError, connect
 from flintshift.wire.outcomes import OUTCOMES
 from flintshift.wire.pool_codec import Command, CommandKind, NoticeError
 from flintshift.wire.pool_recovery import JunkNotices, Silence, Unheard
@@ -136,11 +136,11 @@
         except* NoticeError as errors:
             self.counters.add("pool.junk")
             self._junk(errors)
-        except* JunkError:
+        except* MalformedMessageError:
             self.counters.add("pool.junk")
         except* SilentError:
             self.counters.add("pool.silent")
-        except* BROKEN:
+        except* CONNECTION_ERRORS:
             pass
         except* Exception as errors:  # whatever else the event loop may raise ends this link, and not the node
             faults.met(self.counters, "pool", errors)
--- a/flintshift/wire/pool_codec.py
+++ b/flintshift/wire/pool_codec.py
@@ -11,7 +11,7 @@
 
 from flintshift.core.attempts import Attempt
 from flintshift.interface import Outcome
-from flintshift.wire.link import JunkError
+from flintshift.wire.link import MalformedMessageError
 from flintshift.wire.outcomes import OUTCOMES
 
 NUMBER_MOST = 2**53  # notices are numbered from 1; a larger number is no number of one
@@ -84,7 +84,7 @@
 Notice = Bound | Numbered | Polled | Verified | Unknown
 
 
-class NoticeError(JunkError):
+class NoticeError(MalformedMessageError):
     """A line that is no notice; ``number`` is that of a numbered one whose rest is junk, else 0."""
 
     def __init__(self, text: str, number: int = 0) -> None:
--- a/flintshift/wire/uwsgi_apps.py
+++ b/flintshift/wire/uwsgi_apps.py
@@ -15,7 +15,7 @@
 from flintshift.interface import Outcome
 from flintshift.wire import faults
 from flintshift.wire.dnssd import Browser
-from flintshift.wire.link import BROKEN, connect
+from flintshift.wire.link import CONNECTION_ERRORS, connect
 from flintshift.wire.outcomes import OUTCOMES
 
 
@@ -65,7 +65,7 @@
         for at in self.browser.servers(attempt.class_name):
             try:
                 stream = await connect(at, self.limits)
-            except BROKEN:  # it never ran there: the next server may have it
+            except CONNECTION_ERRORS:  # it never ran there: the next server may have it
                 self.counters.add("apps.not_reached")
                 continue
             try:
@@ -74,7 +74,7 @@
                         return await self._ask(stream, attempt)
             except TimeoutError:
                 return OUTCOMES["link", "silent"], b""
-            except (*BROKEN, h11.ProtocolError):  # it may have run: no other server may have it
+            except (*CONNECTION_ERRORS, h11.ProtocolError):  # it may have run: no other server may have it
                 return OUTCOMES["link", "broken"], b""
         return OUTCOMES["link", "refused"], b""
 
--- a/flintshift/wire/vault.py
+++ b/flintshift/wire/vault.py
@@ -19,7 +19,7 @@
 from flintshift.core.mailbox import Mailbox
 from flintshift.interface import Outcome
 from flintshift.wire import faults
-from flintshift.wire.link import BROKEN, JunkError, connect
+from flintshift.wire.link import CONNECTION_ERRORS, MalformedMessageError, connect
 from flintshift.wire.outcomes import OUTCOMES
 
 
@@ -137,7 +137,7 @@
             return REFUSED
         try:
             line = await self._connect(to)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             return REFUSED
         return await self._on(line, ask)
 
@@ -148,10 +148,10 @@
                 word, reply = await self._ask(line, ask, max(1, round(left_ms)))
         except TimeoutError:
             return SILENT  # nothing more is to be had of the connection
-        except JunkError:
+        except MalformedMessageError:
             self.counters.add("vault.junk")
             return BROKEN_OFF
-        except BROKEN:
+        except CONNECTION_ERRORS:
             self.counters.add("vault.links_lost")
             return BROKEN_OFF
         else:
@@ -191,11 +191,11 @@
                 with anyio.fail_after(self.limits.vault_reply_timeout_ms / 1000):  # a reply comes whole, or is junk
                     request, word, reply = await self._reply(line.reader)
             except TimeoutError as error:
-                raise JunkError("a reply without end") from error
+                raise MalformedMessageError("a reply without end") from error
             if request == ask.request:
                 return word, reply
             self.counters.add("vault.strays")  # a reply to nothing that was asked here
-        raise JunkError("strays without end")
+        raise MalformedMessageError("strays without end")
 
     async def _reply(self, reader: BufferedByteReceiveStream) -> tuple[str, str, bytes]:
         parts = (await reader.receive_until(b"\r\n", self.limits.max_vault_line_bytes)).decode("latin-1").split(" ")
@@ -210,10 +210,10 @@
         ):
             reply = await reader.receive_exactly(int(parts[2]))
             if await reader.receive_exactly(2) != b"\r\n":
-                raise JunkError("no line end after a reply")
+                raise MalformedMessageError("no line end after a reply")
             return parts[0], word, reply
         if word == "yes" or ("call", word) not in OUTCOMES or len(parts) != 2:
-            raise JunkError(word)
+            raise MalformedMessageError(word)
         return parts[0], word, b""
 
     async def _sweep(self) -> None:
