--- a/flintshift/lifecycle/config.py
+++ b/flintshift/lifecycle/config.py
@@ -17,7 +17,7 @@
 from flintshift.settings.platform import GAUGES, FormError, flat, settings_from
 from flintshift.settings.shape import fault
 from flintshift.settings.units import address
-from flintshift.wire.failures import may_pass
+from flintshift.wire.failures import is_transient
 
 SETTLED_S = 1.0  # a file that has not changed for so long is not being written
 
@@ -66,7 +66,7 @@
     try:
         told = json.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
-        if may_pass(error):
+        if is_transient(error):
             raise UnreadableError(path, error) from error
         raise ConfigError(f"{path}: {' '.join(str(error).split())}") from error
     except (ValueError, RecursionError) as error:
@@ -156,6 +156,6 @@
     try:
         return read(path)
     except FaultsError as error:
-        if isinstance(error.__cause__, OSError) and may_pass(error.__cause__):
+        if isinstance(error.__cause__, OSError) and is_transient(error.__cause__):
             raise UnreadableError(str(path), error.__cause__) from error
         raise ConfigError(str(error)) from error
--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/copying.py
@@ -54,7 +54,7 @@
 from flintshift.startup.permits import Permit, PermitRequest
 from flintshift.storage.files import DiskFiles, Files, LockedError
 from flintshift.wire.acceptor import listening
-from flintshift.wire.failures import may_pass
+from flintshift.wire.failures import is_transient
 from flintshift.wire.peer_link import Greeting, OutLink, PeerFront
 
 if TYPE_CHECKING:
@@ -398,7 +398,7 @@
                 break
             except OSError as error:
                 # A guest's address is held until the process before it ends, however long that takes.
-                if not (may_pass(error) if self.guest else self.again(error)):
+                if not (is_transient(error) if self.guest else self.again(error)):
                     raise
             await anyio.sleep(self.limits.start_retry_delay_ms / 1000)
         await self.front.serve(raw)
--- a/flintshift/lifecycle/start_retry.py
+++ b/flintshift/lifecycle/start_retry.py
@@ -8,7 +8,7 @@
 
 from flintshift.core.limits import Limits
 from flintshift.lifecycle import signals
-from flintshift.wire.failures import may_pass
+from flintshift.wire.failures import is_transient
 from flintshift.wire.standard_error import say
 
 Result = TypeVar("Result")
@@ -41,7 +41,7 @@
         """Whether what failed so is to be tried again after ``WAIT_S``; a cause that is new is told."""
         self.tries += 1
         left_s = self.latest_s - self.monotonic_s()
-        if not may_pass(error) or left_s <= 0:
+        if not is_transient(error) or left_s <= 0:
             return False
         cause = str(error)
         if cause not in self.told:
--- a/flintshift/wire/failures.py
+++ b/flintshift/wire/failures.py
@@ -8,7 +8,7 @@
 
 import errno
 
-LASTING = frozenset(
+PERMANENT_ERRNOS = frozenset(
     {
         errno.EACCES,
         errno.EPERM,
@@ -27,10 +27,10 @@
 """A right, a file, a name or a feature of the system is missing: only somebody who changes that helps."""
 
 
-def may_pass(error: OSError) -> bool:
+def is_transient(error: OSError) -> bool:
     """The same call may go well later, with nothing changed by anybody.
 
-    >>> may_pass(OSError(errno.EADDRNOTAVAIL, "")), may_pass(OSError(errno.EACCES, ""))
+    >>> is_transient(OSError(errno.EADDRNOTAVAIL, "")), is_transient(OSError(errno.EACCES, ""))
     (True, False)
     """
-    return error.errno not in LASTING
+    return error.errno not in PERMANENT_ERRNOS
--- a/tests/lifecycle/test_start_retry.py
+++ b/tests/lifecycle/test_start_retry.py
@@ -16,7 +16,7 @@
 from flintshift.lifecycle.signal_queue import SignalQueue
 from flintshift.lifecycle.start_retry import StartRetry, ToldToLeaveError
 from flintshift.settings.embedded import configuration
-from flintshift.wire.failures import LASTING
+from flintshift.wire.failures import PERMANENT_ERRNOS
 
 pytestmark = pytest.mark.anyio
 
@@ -44,14 +44,14 @@
     return step
 
 
-@pytest.mark.parametrize("error", sorted(set(errno.errorcode) - LASTING))
+@pytest.mark.parametrize("error", sorted(set(errno.errorcode) - PERMANENT_ERRNOS))
 def test_what_may_pass_is_tried_again(error):
     start = Start()
     assert start.retry.outlast(failing(error, 20)) == 21
     assert len(start.said) == 1 and "it is tried again, for 30 s" in start.said[0]
 
 
-@pytest.mark.parametrize("error", sorted(LASTING))
+@pytest.mark.parametrize("error", sorted(PERMANENT_ERRNOS))
 def test_what_lasts_is_not_tried_again(error):
     start = Start()
     with pytest.raises(OSError, match="it failed"):
