--- a/flintshift/cli/asking.py
+++ b/flintshift/cli/asking.py
@@ -11,7 +11,7 @@
 
 import click
 
-from flintshift.wire.unix import short
+from flintshift.wire.unix import short_socket_path
 
 WITHIN_S = 5.0
 MOST = 16 << 20  # bytes
@@ -24,7 +24,7 @@
         OSError: nobody listens there, it takes too long, or what listens tells too much to be a node.
     """
     until, data = time.monotonic() + WITHIN_S, b""
-    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as raw, short(path) as name:
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as raw, short_socket_path(path) as name:
         raw.settimeout(WITHIN_S)
         raw.connect(name)
         while more := raw.recv(65_536):
--- a/flintshift/lifecycle/status_socket.py
+++ b/flintshift/lifecycle/status_socket.py
@@ -15,7 +15,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.wire.link import CONNECTION_ERRORS
-from flintshift.wire.unix import listens, open_path
+from flintshift.wire.unix import is_listening, open_unix_listener
 
 
 class StatusSocket:
@@ -50,9 +50,9 @@
     async def _serve(self) -> str:
         """Until cancelled; else why it can't."""
         try:
-            if listens(self.path):
+            if is_listening(self.path):
                 return "another process listens there"
-            listening = await SocketListener.from_socket(open_path(self.path))
+            listening = await SocketListener.from_socket(open_unix_listener(self.path))
         except (OSError, ValueError) as error:  # ValueError: what the system said of the socket can't be
             return str(error)
         async with listening as listener:
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -58,7 +58,7 @@
 from flintshift.wire.front import Front
 from flintshift.wire.handover import Link, UpgradeError, join, meeting_path
 from flintshift.wire.link import CONNECTION_ERRORS
-from flintshift.wire.unix import open_path
+from flintshift.wire.unix import open_unix_listener
 
 
 class Host(Protocol):
@@ -156,7 +156,7 @@
         told = ""
         while True:
             try:
-                return await SocketListener.from_socket(open_path(self.path))
+                return await SocketListener.from_socket(open_unix_listener(self.path))
             except (OSError, ValueError) as error:  # ValueError: what the system said of the socket can't be
                 if str(error) != told:
                     told = str(error)
--- a/flintshift/wire/handover.py
+++ b/flintshift/wire/handover.py
@@ -20,7 +20,7 @@
 from flintshift.handover.messages import VERSION, Copied, Hello, Known, Left, Welcome, Word
 from flintshift.wire.handover_codec import FrameError, Unpacker, packed
 from flintshift.wire.link import CONNECTION_ERRORS
-from flintshift.wire.unix import short
+from flintshift.wire.unix import short_socket_path
 
 CREDENTIALS = struct.Struct("3i")
 SOCKETS_MOST = 4
@@ -178,7 +178,7 @@
         UpgradeError: there is one, and it does not hand over.
     """
     try:
-        with anyio.fail_after(limits.welcome_timeout_ms / 1000), short(path) as name:
+        with anyio.fail_after(limits.welcome_timeout_ms / 1000), short_socket_path(path) as name:
             stream = await anyio.connect_unix(name)
     except TimeoutError as error:
         raise mute(limits) from error
--- a/flintshift/wire/unix.py
+++ b/flintshift/wire/unix.py
@@ -13,7 +13,7 @@
 
 
 @contextlib.contextmanager
-def short(path: Path) -> Iterator[str]:
+def short_socket_path(path: Path) -> Iterator[str]:
     """A name for the path that fits a socket's address however deep the folder lies."""
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
@@ -22,18 +22,18 @@
         os.close(folder)
 
 
-def listens(path: Path) -> bool:
+def is_listening(path: Path) -> bool:
     """Whether a process listens there now; asked without waiting.
 
     Raises:
         OSError: the folder can't be looked into.
     """
-    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as raw, short(path) as name:
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as raw, short_socket_path(path) as name:
         raw.setblocking(False)
         return raw.connect_ex(name) in (0, errno.EAGAIN)  # EAGAIN: its queue is full
 
 
-def open_path(path: Path) -> socket.socket:
+def open_unix_listener(path: Path) -> socket.socket:
     """The path, listening, for this user alone. A socket that nobody is to listen at any more goes.
 
     Raises:
@@ -44,7 +44,7 @@
     try:
         if path.is_socket():
             path.unlink()
-        with short(path) as name:
+        with short_socket_path(path) as name:
             raw.bind(name)
         path.chmod(0o600)
         raw.listen(BACKLOG)
--- a/tests/door/test_fair_door.py
+++ b/tests/door/test_fair_door.py
@@ -18,7 +18,7 @@
 from flintshift.lab.model import ModelNode, served, settings_of, waits_ms
 from flintshift.lab.peers import Pool
 from flintshift.lab.rig import Rig
-from flintshift.wire.unix import short
+from flintshift.wire.unix import short_socket_path
 
 pytestmark = pytest.mark.anyio
 
@@ -34,7 +34,7 @@
 async def test_door_show_tells_how_the_clubs_stand_after_new_settings_and_an_upgrade_too(tmp_path):
     path = tmp_path / ("deep" * 20) / "door.sock"  # longer than a socket's address may be
     path.parent.mkdir()
-    with short(path) as name:
+    with short_socket_path(path) as name:
         socket.socket(socket.AF_UNIX, socket.SOCK_STREAM).bind(name)  # as a process that was killed left it
 
     async def shown(*words):
@@ -52,7 +52,7 @@
     async with Rig(tmp_path, file, pool=Pool(cores=2, took_ms={"standings": 10.0}), control=True) as rig:
         assert [await ask(rig, number) for number in range(1, 6)] == [200] * 5
         stay = [socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) for _ in range(3)]
-        with short(path) as name:
+        with short_socket_path(path) as name:
             for one in stay:  # they never read
                 one.connect(name)
         row = (await clubs(bool))["sur-pacers"]
