--- a/flintshift/wire/faults.py
+++ b/flintshift/wire/faults.py
@@ -8,7 +8,7 @@
 from flintshift.wire import standard_error
 
 
-def met(counters: Counters, part: str, error: Exception) -> None:
+def report(counters: Counters, part: str, error: Exception) -> None:
     """Count ``<part>.faults``, and say where it was met."""
     counters.add(f"{part}.faults")
     standard_error.say("".join(traceback.format_exception(error)))
