--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -364,7 +364,7 @@
 
     @staticmethod
     def warn(text: str) -> None:
-        standard_error.say(f"flintshift: {text}")
+        standard_error.write_line(f"flintshift: {text}")
 
     def alone(self) -> bool:
         """No other process of this node holds its listeners."""
@@ -446,4 +446,4 @@
         return [Acceptor(raw) for raw in self.upgrade.sockets]
 
     def print_counters(self) -> None:
-        standard_error.say(self.counters.to_json_line(self.config.name))
+        standard_error.write_line(self.counters.to_json_line(self.config.name))
--- a/flintshift/lifecycle/start.py
+++ b/flintshift/lifecycle/start.py
@@ -10,7 +10,7 @@
 from flintshift.lifecycle.config import Config, ConfigError, first_configuration
 from flintshift.lifecycle.node import Node
 from flintshift.lifecycle.start_retry import StartRetry, ToldToLeaveError
-from flintshift.wire.standard_error import say
+from flintshift.wire.standard_error import write_line
 
 
 async def serve(reread: Callable[[], Config], retry: StartRetry) -> None:
@@ -30,9 +30,9 @@
     except ToldToLeaveError:
         return 0
     except ConfigError as error:
-        say(f"flintshift: {error}")
+        write_line(f"flintshift: {error}")
         return 2
     except OSError as error:
-        say(f"flintshift: cannot start: {error}")
+        write_line(f"flintshift: cannot start: {error}")
         return 1
     return 0
--- a/flintshift/lifecycle/start_retry.py
+++ b/flintshift/lifecycle/start_retry.py
@@ -9,7 +9,7 @@
 from flintshift.core.limits import Limits
 from flintshift.lifecycle import signals
 from flintshift.wire.failures import is_transient
-from flintshift.wire.standard_error import say
+from flintshift.wire.standard_error import write_line
 
 Result = TypeVar("Result")
 
@@ -30,7 +30,7 @@
         monotonic_s: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], None] = time.sleep,
         told_to_leave: Callable[[], bool] = signals.told_to_leave,
-        warn: Callable[[str], None] = say,
+        warn: Callable[[str], None] = write_line,
     ) -> None:
         self.monotonic_s, self.sleep, self.told_to_leave, self.warn = monotonic_s, sleep, told_to_leave, warn
         self.latest_s = monotonic_s() + most_s
--- a/flintshift/wire/faults.py
+++ b/flintshift/wire/faults.py
@@ -11,4 +11,4 @@
 def report(counters: Counters, part: str, error: Exception) -> None:
     """Count ``<part>.faults``, and say where it was met."""
     counters.add(f"{part}.faults")
-    standard_error.say("".join(traceback.format_exception(error)))
+    standard_error.write_line("".join(traceback.format_exception(error)))
--- a/flintshift/wire/standard_error.py
+++ b/flintshift/wire/standard_error.py
@@ -34,7 +34,7 @@
         """Nothing waits here."""
 
 
-def say(text: str) -> None:
+def write_line(text: str) -> None:
     """Write a line, or lose it."""
     with contextlib.suppress(OSError, ValueError):
         StandardError().write(text + "\n")
