--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/copying.py
@@ -53,7 +53,7 @@
 from flintshift.startup.backoff import Uniform
 from flintshift.startup.permits import Permit, PermitRequest
 from flintshift.storage.files import DiskFiles, Files, LockedError
-from flintshift.wire.acceptor import listening
+from flintshift.wire.acceptor import open_listener
 from flintshift.wire.failures import is_transient
 from flintshift.wire.peer_link import Greeting, OutLink, PeerFront
 
@@ -394,7 +394,7 @@
         await self.store.holding.wait()
         while True:
             try:
-                raw = listening(self.listen, self.limits.listen_backlog)
+                raw = open_listener(self.listen, self.limits.listen_backlog)
                 break
             except OSError as error:
                 # A guest's address is held until the process before it ends, however long that takes.
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -36,7 +36,7 @@
 )
 from flintshift.startup.registration import ListService, Registration
 from flintshift.wire import standard_error
-from flintshift.wire.acceptor import Acceptor, listening_in_time
+from flintshift.wire.acceptor import Acceptor, open_listener_with_retries
 from flintshift.wire.fields import Fields
 from flintshift.wire.front import Front
 from flintshift.wire.http_front import HttpFront
@@ -292,7 +292,7 @@
         async def listen() -> None:
             listeners.extend(await self._listeners())
             if self.config.control is not None:
-                doors.append(await listening_in_time(self.config.control, self.limits, self.retry.again))
+                doors.append(await open_listener_with_retries(self.config.control, self.limits, self.retry.again))
 
         await self._unless_told(received, listen)
         if len(listeners) != len(self.fronts) or (self.config.control is not None and not doors):
@@ -441,7 +441,9 @@
 
     async def _listeners(self) -> list[Acceptor]:
         if self.upgrade is None:
-            return [Acceptor(await listening_in_time(at, self.limits, self.retry.again)) for _, at in self.fronts]
+            return [
+                Acceptor(await open_listener_with_retries(at, self.limits, self.retry.again)) for _, at in self.fronts
+            ]
         await self.upgrade.begin()
         return [Acceptor(raw) for raw in self.upgrade.sockets]
 
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -54,7 +54,7 @@
 from flintshift.lifecycle.clock import Clock
 from flintshift.lifecycle.config import Config
 from flintshift.lifecycle.start_retry import StartRetry
-from flintshift.wire.acceptor import listening
+from flintshift.wire.acceptor import open_listener
 from flintshift.wire.front import Front
 from flintshift.wire.handover import Link, UpgradeError, join, meeting_path
 from flintshift.wire.link import CONNECTION_ERRORS
@@ -122,7 +122,7 @@
                 break
             self.phases = Phases(False, runs_ms, calls_ms)
             try:
-                self.sockets = [listening(at_, self.limits.listen_backlog) for _, at_ in self.node.fronts]
+                self.sockets = [open_listener(at_, self.limits.listen_backlog) for _, at_ in self.node.fronts]
             except OSError as error:  # held by one that leaves and gives no word any more, or refused for a moment
                 if not self.node.retry.again(error):
                     raise
--- a/flintshift/wire/acceptor.py
+++ b/flintshift/wire/acceptor.py
@@ -48,23 +48,23 @@
 Handler = Callable[[CallerStream], Awaitable[None]]
 
 
-class Room(Protocol):
+class ConnectionCapacity(Protocol):
     """How many connections may be held."""
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """One more may be accepted."""
 
-    def make_room(self) -> None:
+    def request_capacity(self) -> None:
         """One waits in the queue, and there is no room for it."""
 
 
 class Unbounded:
-    """Room for any number."""
+    """ConnectionCapacity for any number."""
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         return True
 
-    def make_room(self) -> None:
+    def request_capacity(self) -> None:
         """There is always some."""
 
 
@@ -74,10 +74,10 @@
 class Acceptor:
     def __init__(self, raw: socket.socket) -> None:
         self.raw = raw
-        self.held = 0  # connections that were taken and are not closed
+        self.open_count = 0  # connections that were taken and are not closed
         self.closed = False
 
-    async def serve(self, handler: Handler, tasks: TaskGroup, room: Room = UNBOUNDED) -> None:
+    async def serve(self, handler: Handler, tasks: TaskGroup, room: ConnectionCapacity = UNBOUNDED) -> None:
         """Until cancelled. Where there is no room, connections stay in the queue: one that was accepted could only be
         reset.
 
@@ -86,15 +86,15 @@
         """
         while True:
             await anyio.wait_readable(self.raw)
-            if not room.has_room():
-                room.make_room()
+            if not room.has_capacity():
+                room.request_capacity()
                 await anyio.sleep(LOOK_S)
                 continue
             for _ in range(BATCH):
-                if not self._take(handler, tasks) or not room.has_room():
+                if not self._take(handler, tasks) or not room.has_capacity():
                     break
 
-    async def refuse_new(self) -> None:
+    async def drop_new_connections(self) -> None:
         """Have the system drop what asks for a new connection, so that none is made between the last look at the queue
         and the close; its caller's system asks again, and finds nobody listening. For a socket that no other process
         listens at. Where the system can't, nothing is changed."""
@@ -104,7 +104,7 @@
         ):
             await anyio.sleep(HANDSHAKE_S)
 
-    def take_queued(self, handler: Handler, tasks: TaskGroup, most: int) -> None:
+    def accept_queued(self, handler: Handler, tasks: TaskGroup, most: int) -> None:
         """Take what is queued, ``most`` of it: closing the socket would reset it, though a request may stand in it. The
         caller closes the socket in this turn.
 
@@ -127,7 +127,7 @@
             return False  # there is none, or another process that holds the socket took it
         accepted.setblocking(False)
         set_option(accepted, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.held += 1
+        self.open_count += 1
         tasks.start_soon(self._handle, handler, accepted)
         return True
 
@@ -140,16 +140,16 @@
                 return
             await handler(stream)
         finally:
-            self.held -= 1
+            self.open_count -= 1
 
     def close(self) -> None:
         self.raw.close()
         self.closed = True
 
     @property
-    def done(self) -> bool:
+    def finished(self) -> bool:
         """It is closed, and so is all that it took."""
-        return self.closed and not self.held
+        return self.closed and not self.open_count
 
 
 def set_option(raw: socket.socket, level: int, option: int, value: int | bytes) -> bool:
@@ -161,7 +161,7 @@
     return False
 
 
-def listening(at: tuple[str, int], backlog: int) -> socket.socket:
+def open_listener(at: tuple[str, int], backlog: int) -> socket.socket:
     """A listening socket at this address.
 
     Raises:
@@ -169,13 +169,13 @@
     """
     host, port = at
     try:
-        return _listening(host, port, backlog)
+        return _open_listener(host, port, backlog)
     except OSError as error:
         advice = ADVICE.get(error.errno or 0, "change `listen`")
         raise OSError(error.errno, f"{error.strerror}: {host}:{port}; {advice}") from error
 
 
-def _listening(host: str, port: int, backlog: int) -> socket.socket:
+def _open_listener(host: str, port: int, backlog: int) -> socket.socket:
     raw = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     try:
         set_option(
@@ -190,7 +190,9 @@
     return raw
 
 
-async def listening_in_time(at: tuple[str, int], limits: Limits, again: Callable[[OSError], bool]) -> socket.socket:
+async def open_listener_with_retries(
+    at: tuple[str, int], limits: Limits, again: Callable[[OSError], bool]
+) -> socket.socket:
     """Listen at an address, and try again while ``again`` says so of what failed.
 
     Raises:
@@ -199,7 +201,7 @@
     while True:
         # A list of errors to try again on would hold those that somebody has met: the rule is by class (`failures`).
         try:
-            return listening(at, limits.listen_backlog)
+            return open_listener(at, limits.listen_backlog)
         except OSError as error:
             if not again(error):
                 raise
--- a/flintshift/wire/front.py
+++ b/flintshift/wire/front.py
@@ -75,12 +75,12 @@
     @property
     def done(self) -> bool:
         """It was told to finish, and has closed all that it took; what was queued at its end too."""
-        return self.listener is None or self.listener.done
+        return self.listener is None or self.listener.finished
 
     @property
     def held(self) -> int:
         """Connections that were accepted and are not closed."""
-        return len(self.connections) if self.listener is None else self.listener.held
+        return len(self.connections) if self.listener is None else self.listener.open_count
 
     @property
     def last_answers(self) -> bool:
@@ -107,8 +107,8 @@
                         await anyio.sleep(self.limits.backoff_ms / 1000)
         if self.takes_queue:
             if self.alone:
-                await listener.refuse_new()
-            listener.take_queued(self._accepted, tasks, self.limits.max_backlog_accepts)
+                await listener.drop_new_connections()
+            listener.accept_queued(self._accepted, tasks, self.limits.max_backlog_accepts)
         listener.close()
 
     def leave(self) -> None:
@@ -128,12 +128,12 @@
             async with stream:
                 await self._admit(stream)
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """One more may be accepted: up to an eighth more than the table holds, for those that are displaced and not
         closed yet, and for those that are turned away."""
         return self.held + self.others < self.most + max(1, self.most // 8)
 
-    def make_room(self) -> None:
+    def request_capacity(self) -> None:
         """Have an idle connection go for one that waits in the queue, unless one goes already."""
         if not any(connection.reason is CloseReason.DISPLACED for connection in self.connections):
             self._displace()
--- a/tests/wire/fronted.py
+++ b/tests/wire/fronted.py
@@ -16,7 +16,7 @@
 from flintshift.core.limits import Limits
 from flintshift.core.ports import ServingStatus
 from flintshift.settings.platform import flat, settings_from
-from flintshift.wire.acceptor import Acceptor, listening
+from flintshift.wire.acceptor import Acceptor, open_listener
 from flintshift.wire.fields import Fields
 from flintshift.wire.http_front import HttpFront
 
@@ -61,7 +61,7 @@
         self.front = HttpFront(fields, self.decided, self.limits, self.counters, now_ms, 100, None)
 
     async def __aenter__(self):
-        listener = Acceptor(listening(("127.0.0.1", 0), 64))
+        listener = Acceptor(open_listener(("127.0.0.1", 0), 64))
         self.at = listener.raw.getsockname()
         self.tasks = await anyio.create_task_group().__aenter__()
         self.tasks.start_soon(self.front.serve, listener, self.tasks)
--- a/tests/wire/test_closing.py
+++ b/tests/wire/test_closing.py
@@ -20,7 +20,7 @@
 from flintshift.core.attempts import Answer, Verdict
 from flintshift.core.limits import Limits
 from flintshift.lifecycle.drain import Drain
-from flintshift.wire.acceptor import Acceptor, listening
+from flintshift.wire.acceptor import Acceptor, open_listener
 from flintshift.wire.caller_stream import CallerStream
 from flintshift.wire.connection import TRANSITIONS, Connection, ConnectionState, TransitionError
 
@@ -406,16 +406,16 @@
             raise ConnectionAbortedError
 
     acceptor = Acceptor(Flood())
-    acceptor.take_queued(None, None, 50)
+    acceptor.accept_queued(None, None, 50)
     assert acceptor.raw.taken == 50
 
 
 async def test_no_connection_is_made_between_the_last_look_at_the_queue_and_the_close():
-    acceptor = Acceptor(listening(("127.0.0.1", 0), 16))
+    acceptor = Acceptor(open_listener(("127.0.0.1", 0), 16))
     queued, late = socket.socket(), socket.socket()
     queued.connect(acceptor.raw.getsockname())
     queued.send(PING)
-    await acceptor.refuse_new()
+    await acceptor.drop_new_connections()
     late.setblocking(False)
     assert late.connect_ex(acceptor.raw.getsockname()) == errno.EINPROGRESS
     await asyncio.sleep(0.05)
--- a/tests/wire/test_connections.py
+++ b/tests/wire/test_connections.py
@@ -13,7 +13,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.core.ports import ServingStatus
-from flintshift.wire.acceptor import Acceptor, listening
+from flintshift.wire.acceptor import Acceptor, open_listener
 from flintshift.wire.front import Front
 from flintshift.wire.http_front import HttpFront
 from flintshift.wire.uwsgi_front import UwsgiFront
@@ -41,7 +41,7 @@
         self.ping = BYTES[name]("", b"", {}, method="GET", path="/ping")
 
     async def __aenter__(self):
-        listener = Acceptor(listening(("127.0.0.1", 0), 64))
+        listener = Acceptor(open_listener(("127.0.0.1", 0), 64))
         self.port = listener.raw.getsockname()[1]
         self.tasks = await anyio.create_task_group().__aenter__()
         self.tasks.start_soon(self.front.serve, listener, self.tasks)
@@ -61,7 +61,7 @@
 
 async def test_a_connection_that_cannot_be_accepted_does_not_end_the_front():
     class Listener:
-        tries, closed, held, again = 0, False, 0, anyio.Event()
+        tries, closed, open_count, again = 0, False, 0, anyio.Event()
 
         async def serve(self, handler, tasks, room):
             self.tries += 1
@@ -70,10 +70,10 @@
             self.again.set()
             await anyio.sleep_forever()
 
-        async def refuse_new(self):
+        async def drop_new_connections(self):
             pass
 
-        def take_queued(self, handler, tasks, most):
+        def accept_queued(self, handler, tasks, most):
             pass
 
         def close(self):
