--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -37,7 +37,7 @@
 from flintshift.startup.registration import ListService, Registration
 from flintshift.wire import standard_error
 from flintshift.wire.acceptor import Acceptor, open_listener_with_retries
-from flintshift.wire.fields import Fields
+from flintshift.wire.fields import AttemptBuilder
 from flintshift.wire.front import Front
 from flintshift.wire.http_front import HttpFront
 from flintshift.wire.names import NameService
@@ -100,7 +100,7 @@
         self.decisions.runs.workers, self.decisions.runs.vault_calls = {"pool": self.pool}, self.vault
         self.names = NameService(config.naming, config.name, limits, counters)
         self.lists.append(self.names)
-        self.fields = Fields(self.catalogue, limits, now_ms, now_ms.age_ms)
+        self.fields = AttemptBuilder(self.catalogue, limits, now_ms, now_ms.age_ms)
         most = limits.http_connections if config.operators.uwsgi is None else limits.http_connections_beside_uwsgi
         http = HttpFront(self.fields, self.decisions, limits, counters, now_ms, most, self.pool.verify)
         self.fronts.append((http, config.listen))
--- a/flintshift/lifecycle/second_front.py
+++ b/flintshift/lifecycle/second_front.py
@@ -14,7 +14,7 @@
 from flintshift.startup.backoff import Uniform
 from flintshift.startup.registration import ListService
 from flintshift.wire.dnssd import Browser, Record, Resolver
-from flintshift.wire.fields import Fields
+from flintshift.wire.fields import AttemptBuilder
 from flintshift.wire.front import Front
 from flintshift.wire.uwsgi_apps import AppServers
 from flintshift.wire.uwsgi_front import UwsgiFront
@@ -31,7 +31,7 @@
 def second_front(
     name: str,
     desks: UwsgiOptions,
-    fields: Fields,
+    fields: AttemptBuilder,
     decisions: Decisions,
     limits: Limits,
     counters: Counters,
--- a/flintshift/wire/control_front.py
+++ b/flintshift/wire/control_front.py
@@ -20,7 +20,7 @@
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log, log_nothing
 from flintshift.wire.caller_stream import caller_stream
-from flintshift.wire.fields import UnusableError, written
+from flintshift.wire.fields import RequestError, encode_response
 from flintshift.wire.link import CONNECTION_ERRORS
 
 TURNS = 3  # of the loop, from accepting a connection to reading what came with it
@@ -109,7 +109,7 @@
                         body = f"{reason}\n".encode()
                         self.counters.add(f"control.status_{status}")
                         await stream.send(
-                            written(
+                            encode_response(
                                 status,
                                 [
                                     ("Content-Type", "text/plain; charset=utf-8"),
@@ -132,7 +132,7 @@
         conn = h11.Connection(h11.SERVER, self.limits.max_control_head_bytes)
         try:
             request = await self._request(conn, stream)
-        except UnusableError as error:
+        except RequestError as error:
             return error.status, error.text
         except h11.RemoteProtocolError as error:
             return 400, f"this is no HTTP/1.1 call: {error}"
@@ -158,8 +158,8 @@
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > self.limits.max_control_head_bytes:
-                    raise UnusableError(400, "the call is too large")
+                    raise RequestError(400, "the call is too large")
             elif isinstance(event, h11.EndOfMessage) and request is not None:
                 return request
             else:
-                raise UnusableError(400, "the call is cut off")
+                raise RequestError(400, "the call is cut off")
--- a/flintshift/wire/fields.py
+++ b/flintshift/wire/fields.py
@@ -19,7 +19,7 @@
 UNIX_MS_MOST = 2.0**53
 
 
-class UnusableError(Exception):
+class RequestError(Exception):
     """What was read can't be taken; `status` says why, and the text what is wrong with it."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -27,7 +27,7 @@
         self.status, self.text = status, text
 
 
-class Fields:
+class AttemptBuilder:
     """Makes an attempt of the fields that the decisions need."""
 
     def __init__(
@@ -41,25 +41,25 @@
         self.catalogue, self.limits, self.now_ms = catalogue, limits, now_ms
         self.age_ms = age_ms or (lambda unix_ms: now_ms() - unix_ms)
 
-    def class_of(self, method: str, target: str) -> str:
+    def class_name_of(self, method: str, target: str) -> str:
         before, separator, name = target.partition("?")[0].partition("/call/")
         if before or not separator:
-            raise UnusableError(404, "no such class")
+            raise RequestError(404, "no such class")
         if self.catalogue.find_class(name) is None:
             name = unquote(name)  # a name may hold what a path can't
         if self.catalogue.find_class(name) is None:
-            raise UnusableError(404, "no such class")
+            raise RequestError(404, "no such class")
         if method != "POST":
-            raise UnusableError(405, "only POST is taken here")
+            raise RequestError(405, "only POST is taken here")
         return name
 
-    def attempt(
+    def build(
         self, class_name: str, body: bytes, get: Callable[[str], str | None], tell: Callable[[Answer], None]
     ) -> Attempt:
         def text(name: str, fits: re.Pattern[str]) -> str:
             value = get(name)
             if value is None or not fits.fullmatch(value):
-                raise UnusableError(400, f"{name} is missing" if value is None else f"{name} is impossible")
+                raise RequestError(400, f"{name} is missing" if value is None else f"{name} is impossible")
             return value
 
         def number(name: str, least: float, most: float, whole: bool = False) -> float:
@@ -69,11 +69,11 @@
             except (ValueError, OverflowError):
                 found = math.nan
             if not least <= found < most or "_" in value:
-                raise UnusableError(400, f"{name} is impossible")
+                raise RequestError(400, f"{name} is impossible")
             return found
 
         if len(body) > self.limits.max_body_bytes:
-            raise UnusableError(413, "the body is too large")
+            raise RequestError(413, "the body is too large")
         item, kind = get("X-Item"), self.catalogue.find_class(class_name)
         keyed = kind is not None and kind.effect is Effect.KEYED
         number("X-Precedence", 0, 1)  # no decision uses it, but one that is no rank is a fault of the caller
@@ -100,14 +100,14 @@
         """When a request came to the machine, by the node's clock: no later than now, whatever its caller's says."""
         age_ms = self.age_ms(unix_ms)
         if not -self.limits.clock_skew_ms < age_ms <= self.limits.max_request_age_ms:
-            raise UnusableError(400, "X-Door-Time is impossible")
+            raise RequestError(400, "X-Door-Time is impossible")
         return self.now_ms() - max(0.0, age_ms)
 
     def _tenant(self, team: str | None) -> str | None:
         if team is not None and not self.catalogue.knows_club(team):
             team = _utf8(team)
         if not self.catalogue.knows_club(team):
-            raise UnusableError(400, "X-Team is missing" if team is None else "X-Team is impossible")
+            raise RequestError(400, "X-Team is missing" if team is None else "X-Team is impossible")
         return team
 
 
@@ -123,20 +123,20 @@
 STATUS = {Verdict.SERVED: 200, Verdict.FAILED: 500, Verdict.CONFLICT: 409}
 
 
-def status_of(answer: Answer, posture: ServingStatus) -> int:
+def response_status(answer: Answer, posture: ServingStatus) -> int:
     return STATUS.get(answer.verdict) or (503 if posture.draining or not posture.workers_up else 429)
 
 
 LINES = {status.value: f"HTTP/1.1 {status.value} {status.phrase}" for status in HTTPStatus}
 
 
-def written(status: int, headers: list[tuple[str, str]], body: bytes) -> bytes:
+def encode_response(status: int, headers: list[tuple[str, str]], body: bytes) -> bytes:
     """An answer in the manner of HTTP/1.1, as both fronts give it."""
     lines = [LINES[status], *(f"{name}: {value}" for name, value in headers), "", ""]
     return "\r\n".join(lines).encode("latin-1") + body
 
 
-def headers_of(answer: Answer | None, body: bytes, posture: ServingStatus, close: bool) -> list[tuple[str, str]]:
+def response_headers(answer: Answer | None, body: bytes, posture: ServingStatus, close: bool) -> list[tuple[str, str]]:
     """The headers of an answer, or of what is said to a health check or to what can't be taken."""
     headers = [("Content-Length", str(len(body)))]
     if posture.free_value is not None:
--- a/flintshift/wire/front.py
+++ b/flintshift/wire/front.py
@@ -19,7 +19,7 @@
 from flintshift.wire.acceptor import Acceptor
 from flintshift.wire.caller_stream import CallerStream
 from flintshift.wire.connection import CloseReason, Connection, ConnectionState
-from flintshift.wire.fields import Fields, UnusableError
+from flintshift.wire.fields import AttemptBuilder, RequestError
 from flintshift.wire.link import CONNECTION_ERRORS
 
 
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        fields: Fields,
+        fields: AttemptBuilder,
         decisions: Decisions,
         limits: Limits,
         counters: Counters,
@@ -224,7 +224,7 @@
     async def healthy(self, method: str, query: str) -> bool:
         """The answer to a health check; a deep one asks the worker pool unless it is told not to."""
         if method not in ("GET", "HEAD"):
-            raise UnusableError(405, "only GET is taken here")
+            raise RequestError(405, "only GET is taken here")
         self.counters.add(f"{self.name}.checks")
         good = self.posture.workers_up and self.posture.healthy and not self.posture.out_of_service
         if good and parse_qs(query).get("all") == ["1"] and not self.posture.health_is_cached:
--- a/flintshift/wire/http_front.py
+++ b/flintshift/wire/http_front.py
@@ -9,7 +9,7 @@
 
 from flintshift.core.attempts import Answer
 from flintshift.wire.connection import CloseReason, Connection
-from flintshift.wire.fields import UnusableError, headers_of, status_of, written
+from flintshift.wire.fields import RequestError, encode_response, response_headers, response_status
 from flintshift.wire.front import STOPPING, Exchange, Front
 
 
@@ -42,7 +42,7 @@
                 keep = conn.their_state is h11.DONE
                 if not await self._answer(connection, keep, *request, more.append):
                     return
-            except UnusableError as error:
+            except RequestError as error:
                 self.counters.add(f"http.status_{error.status}")
                 keep = error.status == 404 and conn.their_state is h11.DONE
                 await self._say(connection, keep, error.status, json.dumps({"error": error.text}).encode())
@@ -76,13 +76,13 @@
                 request, headers = event, dict(event.headers)
                 # Guards against a request hidden in the body: with both, peers differ on where it ends.
                 if b"content-length" in headers and b"transfer-encoding" in headers:
-                    raise UnusableError(400, "Content-Length and Transfer-Encoding exclude each other")
+                    raise RequestError(400, "Content-Length and Transfer-Encoding exclude each other")
                 if int(headers.get(b"content-length", b"0")) > self.limits.max_body_bytes:
-                    raise UnusableError(413, "the body is too large")
+                    raise RequestError(413, "the body is too large")
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > self.limits.max_body_bytes:
-                    raise UnusableError(413, "the body is too large")
+                    raise RequestError(413, "the body is too large")
             elif isinstance(event, h11.EndOfMessage) and request is not None:
                 return request, body
             else:
@@ -98,11 +98,11 @@
             good = await self.healthy(method, query)
             await self._say(connection, keep, 200 if good else 503, b"")
             return True
-        class_name = self.fields.class_of(method, target)
+        class_name = self.fields.class_name_of(method, target)
         headers: dict[bytes, bytes] = {}
         for name, value in request.headers:
             if name in headers and name.startswith(b"x-"):
-                raise UnusableError(400, f"{name.decode().title()} is impossible")  # which of the two holds?
+                raise RequestError(400, f"{name.decode().title()} is impossible")  # which of the two holds?
             headers[name] = value
 
         def get(name: str) -> str | None:
@@ -110,18 +110,20 @@
             return value.decode("latin-1") if value is not None else None
 
         exchange = Exchange()
-        attempt = self.fields.attempt(class_name, body, get, exchange.tell)
+        attempt = self.fields.build(class_name, body, get, exchange.tell)
         answer = await self.exchange(connection, attempt, exchange, more)
         if answer is not None:
-            said = headers_of(answer, answer.body, self.posture, self._ending(connection, keep))
-            await self.deliver(connection, attempt, answer, written(status_of(answer, self.posture), said, answer.body))
+            said = response_headers(answer, answer.body, self.posture, self._ending(connection, keep))
+            await self.deliver(
+                connection, attempt, answer, encode_response(response_status(answer, self.posture), said, answer.body)
+            )
         return answer is not None
 
     async def _say(
         self, connection: Connection, keep: bool, status: int, body: bytes, answer: Answer | None = None
     ) -> None:
-        headers = headers_of(answer, body, self.posture, self._ending(connection, keep))
-        await self.write(connection, written(status, headers, body))
+        headers = response_headers(answer, body, self.posture, self._ending(connection, keep))
+        await self.write(connection, encode_response(status, headers, body))
 
     def _ending(self, connection: Connection, keep: bool) -> bool:
         """This answer is the connection's last. Once it was written without that word, another may be on its way."""
--- a/flintshift/wire/uwsgi_front.py
+++ b/flintshift/wire/uwsgi_front.py
@@ -7,7 +7,7 @@
 from flintshift.core.attempts import Answer
 from flintshift.wire import uwsgi
 from flintshift.wire.connection import CloseReason, Connection
-from flintshift.wire.fields import UnusableError, headers_of, status_of, written
+from flintshift.wire.fields import RequestError, encode_response, response_headers, response_status
 from flintshift.wire.front import STOPPING, Exchange, Front
 
 
@@ -17,7 +17,7 @@
     async def converse(self, connection: Connection) -> None:
         try:
             await self._request(connection)
-        except UnusableError as error:
+        except RequestError as error:
             self.counters.add(f"uwsgi.status_{error.status}")
             await self._say(connection, error.status, json.dumps({"error": error.text}).encode())
 
@@ -30,7 +30,7 @@
                 if data is None:
                     raise StoppedError
                 if not data:
-                    raise UnusableError(400, "the request is cut off")
+                    raise RequestError(400, "the request is cut off")
                 got.extend(data)
             taken = bytes(got[:size])
             del got[:size]
@@ -51,21 +51,24 @@
             good = await self.healthy(method, variables.get("QUERY_STRING", ""))
             await self._say(connection, 200 if good else 503, b"")
             return
-        class_name, exchange = self.fields.class_of(method, path), Exchange()
-        attempt = self.fields.attempt(
+        class_name, exchange = self.fields.class_name_of(method, path), Exchange()
+        attempt = self.fields.build(
             class_name, body, lambda name: variables.get("HTTP_" + name.upper().replace("-", "_")), exchange.tell
         )
         attempt.workers, attempt.head = "apps", head + block
         answer = await self.exchange(connection, attempt, exchange, lambda data: None)
         if answer is not None:
-            headers = headers_of(answer, answer.body, self.posture, close=True)
+            headers = response_headers(answer, answer.body, self.posture, close=True)
             await self.deliver(
-                connection, attempt, answer, written(status_of(answer, self.posture), headers, answer.body)
+                connection,
+                attempt,
+                answer,
+                encode_response(response_status(answer, self.posture), headers, answer.body),
             )
 
     async def _say(self, connection: Connection, status: int, body: bytes, answer: Answer | None = None) -> None:
-        headers = headers_of(answer, body, self.posture, close=True)
-        await self.write(connection, written(status, headers, body))
+        headers = response_headers(answer, body, self.posture, close=True)
+        await self.write(connection, encode_response(status, headers, body))
 
 
 class StoppedError(Exception):
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -19,7 +19,7 @@
 from flintshift.settings.platform import flat
 from flintshift.settings.units import address
 from flintshift.wire import uwsgi
-from flintshift.wire.fields import UnusableError
+from flintshift.wire.fields import RequestError
 from flintshift.wire.outcomes import OUTCOMES
 
 
@@ -230,7 +230,7 @@
     if not cut:
         assert uwsgi.unpack(block) == dict(pairs)
     else:
-        with pytest.raises(UnusableError) as caught:
+        with pytest.raises(RequestError) as caught:
             uwsgi.unpack(block)
         assert caught.value.status == 400
 
@@ -242,13 +242,13 @@
     if found < 400:
         assert uwsgi.body_size({"CONTENT_LENGTH": length}, 12) == found
     else:
-        with pytest.raises(UnusableError) as caught:
+        with pytest.raises(RequestError) as caught:
             uwsgi.body_size({"CONTENT_LENGTH": length}, 12)
         assert caught.value.status == found
 
 
 def test_a_field_given_twice_is_no_field():
-    with pytest.raises(UnusableError, match="HTTP_X_UNIQUE"):
+    with pytest.raises(RequestError, match="HTTP_X_UNIQUE"):
         uwsgi.unpack(uwsgi.pack([("HTTP_X_UNIQUE", "a"), ("HTTP_X_UNIQUE", "b")])[4:])
 
 
--- a/tests/wire/fronted.py
+++ b/tests/wire/fronted.py
@@ -17,7 +17,7 @@
 from flintshift.core.ports import ServingStatus
 from flintshift.settings.platform import flat, settings_from
 from flintshift.wire.acceptor import Acceptor, open_listener
-from flintshift.wire.fields import Fields
+from flintshift.wire.fields import AttemptBuilder
 from flintshift.wire.http_front import HttpFront
 
 PING = BYTES["http"]("", b"", {}, method="GET", path="/ping")
@@ -57,7 +57,7 @@
 
     def __init__(self, **limits: float) -> None:
         self.limits, self.counters, self.decided = Limits(**limits), Counters(), Decided()
-        fields = Fields(Catalogue(settings_from(flat(SETTINGS)), self.limits), self.limits, now_ms)
+        fields = AttemptBuilder(Catalogue(settings_from(flat(SETTINGS)), self.limits), self.limits, now_ms)
         self.front = HttpFront(fields, self.decided, self.limits, self.counters, now_ms, 100, None)
 
     async def __aenter__(self):
