--- a/flintshift/lifecycle/drain.py
+++ b/flintshift/lifecycle/drain.py
@@ -53,15 +53,15 @@
 
     def open(self) -> int:
         """Requests read and not answered."""
-        return self.decisions.open + sum(front.busy for front in self.fronts)
+        return self.decisions.open + sum(front.busy_count for front in self.fronts)
 
     def connections(self) -> int:
         """Connections that were accepted and are not closed."""
-        return sum(front.held for front in self.fronts)
+        return sum(front.open_count for front in self.fronts)
 
     def done(self) -> bool:
         """No connection is taken any more, and all that were are closed."""
-        return all(front.done for front in self.fronts)
+        return all(front.finished for front in self.fronts)
 
     async def run(self, grace_ms: float, kill_ms: float, succeeded: bool, notice_age_ms: float = 0.0) -> None:
         """Until all that was read is answered and all connections are closed, ``kill_ms`` after the notice at the
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -196,7 +196,7 @@
 
             self.decisions.waiting_claims.claims = Agreeing(self.upgrade, self.copying.claims)
         for front, _ in self.fronts:
-            front.leave()  # until it is known that this process takes the clients
+            front.pause_accepting()  # until it is known that this process takes the clients
 
     def _keep_books(self, options: UsageOptions) -> None:
         from flintshift.lifecycle.books import Books
@@ -206,7 +206,7 @@
         books = self.books = Books(self.ledger, self.config.settings, self.now_ms.steady_ms)
         self.decisions.runs.usage_recorder = books
         for front, _ in self.fronts:
-            front.books = books
+            front.usage_recorder = books
         self.actors.append(self.ledger.run)
         if options.export is not None:
             from flintshift.lifecycle.exports import open_export
@@ -430,13 +430,13 @@
     def take_clients(self) -> None:
         """This process accepts from now on, and tells where it is listed."""
         for front, _ in self.fronts:
-            front.take()
+            front.resume_accepting()
         self.tell_lists()
 
     def leave_clients(self) -> None:
         """Another process of this node accepts from now on; what is open here goes on to its next answer."""
         for front, _ in self.fronts:
-            front.leave()
+            front.pause_accepting()
         self.registration.announce(None)
 
     async def _listeners(self) -> list[Acceptor]:
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -130,7 +130,7 @@
         if self.phases.phase is Phase.ALONE:
             self.opened.set()
             for front, _ in self.node.fronts:
-                front.take()
+                front.resume_accepting()
         self.log("info", "upgrade.began", phase=self.phases.phase.value, path=str(self.path))
 
     def _join_clock(self, link: Link) -> None:
@@ -306,7 +306,7 @@
             case Keep(crowd, memory, calls, others):
                 self.decisions.set_limit_share(LimitShare(crowd, memory, calls))
                 for front, _ in self.node.fronts:
-                    front.others = others
+                    front.other_process_open_count = others
             case Learn(learned):
                 self.decisions.pending.append(
                     at.LearnedStateReceived(api.LearnedEstimates(learned.limit, learned.run_ms))
@@ -326,7 +326,7 @@
         settings = self.decisions.catalogue.effective_settings
         window = max((kind.repeat_window_ms for kind in settings.classes), default=0.0)
         for front, _ in self.node.fronts:
-            front.others = 0
+            front.other_process_open_count = 0
         if not self.keys_elsewhere:
             self._do(self.shared.alone(self.now_ms(), partial, window, settings.marks_repeats))
 
--- a/flintshift/wire/front.py
+++ b/flintshift/wire/front.py
@@ -52,19 +52,19 @@
         verify: Callable[[], Awaitable[bool]],
     ) -> None:
         self.fields, self.decisions, self.limits = fields, decisions, limits
-        self.counters, self.now_ms, self.most, self.verify = counters, now_ms, most, verify
+        self.counters, self.now_ms, self.max_connections, self.verify = counters, now_ms, most, verify
         self.connections: set[Connection] = set()
         self.idle: tuple[dict[Connection, None], ...] = ({}, {})  # that never spoke, that did; idlest first
-        self.books: UsageRecorder | None = None
+        self.usage_recorder: UsageRecorder | None = None
         self.log: Log | None = None  # of requests; None: not at this level
         self.listener: Acceptor | None = None
         self.accepting = anyio.CancelScope()
         self.taking: anyio.Event | None = None  # there is one while another process of this node accepts
-        self.others = 0  # connections that it holds
+        self.other_process_open_count = 0  # connections that it holds
         self.listening = True  # it takes new connections, now or once it may
         self.takes_queue = True  # what is queued at the end is this process's
         self.alone = True  # and nobody listens there any more
-        self.last = False  # each answer is the last on its connection, until `take`
+        self.last = False  # each answer is the last on its connection, until `resume_accepting`
         self.draining = False  # so it is from now on
         self.closing = False  # all that is open gets its answer and is closed
 
@@ -73,12 +73,12 @@
         return self.decisions.serving_status
 
     @property
-    def done(self) -> bool:
+    def finished(self) -> bool:
         """It was told to finish, and has closed all that it took; what was queued at its end too."""
         return self.listener is None or self.listener.finished
 
     @property
-    def held(self) -> int:
+    def open_count(self) -> int:
         """Connections that were accepted and are not closed."""
         return len(self.connections) if self.listener is None else self.listener.open_count
 
@@ -88,7 +88,7 @@
         return self.last or self.draining or self.closing
 
     @property
-    def busy(self) -> int:
+    def busy_count(self) -> int:
         return sum(connection.busy for connection in self.connections)
 
     async def serve(self, listener: Acceptor, tasks: TaskGroup) -> None:
@@ -111,12 +111,12 @@
             listener.accept_queued(self._accepted, tasks, self.limits.max_backlog_accepts)
         listener.close()
 
-    def leave(self) -> None:
-        """Accept no more until `take`, and end connections with their next answer."""
+    def pause_accepting(self) -> None:
+        """Accept no more until `resume_accepting`, and end connections with their next answer."""
         self.taking, self.last = self.taking or anyio.Event(), True
         self.accepting.cancel()
 
-    def take(self) -> None:
+    def resume_accepting(self) -> None:
         self.last = False
         if self.taking is not None:
             self.taking.set()
@@ -131,7 +131,9 @@
     def has_capacity(self) -> bool:
         """One more may be accepted: up to an eighth more than the table holds, for those that are displaced and not
         closed yet, and for those that are turned away."""
-        return self.held + self.others < self.most + max(1, self.most // 8)
+        return self.open_count + self.other_process_open_count < self.max_connections + max(
+            1, self.max_connections // 8
+        )
 
     def request_capacity(self) -> None:
         """Have an idle connection go for one that waits in the queue, unless one goes already."""
@@ -142,7 +144,7 @@
         """Hold a connection that was accepted until it is over. Where the table has no place for it, its request is
         answered all the same: closed over it, the connection would be reset, and the request lost."""
         connection = Connection(stream, self.now_ms())
-        if len(self.connections) + self.others >= self.most and not self._displace():
+        if len(self.connections) + self.other_process_open_count >= self.max_connections and not self._displace():
             self.counters.add(f"{self.name}.connections_refused")
             connection.turned_away = connection.last_request = True
         else:
@@ -294,8 +296,8 @@
         self.counters.add(f"{self.name}.requests")
         connection.enter(ConnectionState.ANSWERING)
         connection.request = attempt.id
-        if self.books is not None:
-            self.books.track(attempt, self.name)
+        if self.usage_recorder is not None:
+            self.usage_recorder.track(attempt, self.name)
         if connection.turned_away:
             self.decisions.reject(attempt)
         else:
@@ -308,8 +310,8 @@
                 try:
                     data = await connection.stream.receive(self.limits.read_chunk_bytes)
                 except CONNECTION_ERRORS:
-                    if self.books is not None:
-                        self.books.record_disconnect(attempt, self.name)
+                    if self.usage_recorder is not None:
+                        self.usage_recorder.record_disconnect(attempt, self.name)
                     await self.decisions.report(CallerDisconnected(attempt))
                     return None
                 early += len(data)
@@ -323,8 +325,8 @@
             await self.write(connection, data)
             arrived = True
         finally:
-            if self.books is not None:
-                self.books.record_delivery(attempt, arrived)
+            if self.usage_recorder is not None:
+                self.usage_recorder.record_delivery(attempt, arrived)
             if self.log is not None:
                 self.log(
                     "debug",
@@ -363,7 +365,7 @@
         """Take what is queued, and nothing after it. ``alone``: no other process goes on listening at the socket."""
         if self.listening:
             self.listening, self.takes_queue, self.alone = False, self.taking is None, alone
-            self.take()
+            self.resume_accepting()
             self.accepting.cancel()
 
     def finish(self) -> None:
--- a/tests/lifecycle/test_descriptors.py
+++ b/tests/lifecycle/test_descriptors.py
@@ -51,7 +51,7 @@
 
     async def most() -> int:
         config = made(configuration(), "FILE", operators(path))
-        return Node(config, lambda: config).fronts[0][0].most
+        return Node(config, lambda: config).fronts[0][0].max_connections
 
     limits = Limits()
     assert anyio.run(most) == (limits.http_connections_beside_uwsgi if uwsgi else limits.http_connections)
--- a/tests/wire/fronted.py
+++ b/tests/wire/fronted.py
@@ -89,7 +89,7 @@
         caller.send(PING)
         assert (await caller.reply()).status == 200
         caller.writer.close()
-        while self.front.busy or not any(one.reading for one in self.front.connections):
+        while self.front.busy_count or not any(one.reading for one in self.front.connections):
             await asyncio.sleep(0)
         return raw
 
--- a/tests/wire/test_closing.py
+++ b/tests/wire/test_closing.py
@@ -145,7 +145,7 @@
         raw.send(PING)
         asking = asyncio.create_task(asked_and_closed(raw))
         await drain.run(50.0, 700.0, False, 5000.0)
-        assert fronted.front.done  # the node ends its tasks next
+        assert fronted.front.finished  # the node ends its tasks next
         assert (await asking).status == 200
 
 
@@ -259,7 +259,7 @@
 async def test_an_upgrade_leaves_the_queue_to_the_process_that_goes_on():
     async with Fronted() as fronted:
         await fronted.rested()
-        fronted.front.leave()
+        fronted.front.pause_accepting()
         await asyncio.sleep(0)
         raw = fronted.connect()
         raw.send(PING)
@@ -362,7 +362,7 @@
             raw = fronted.connect()  # queued: the loop has no turn before the front is told to finish
             raw.send(PING)
             await drain.run(grace_ms=0.0, kill_ms=2000.0, succeeded=False)
-            assert fronted.counters["http.checks"] == 1 and fronted.front.done  # the node ends its tasks next
+            assert fronted.counters["http.checks"] == 1 and fronted.front.finished  # the node ends its tasks next
             caller = await calling(raw)
             assert (await caller.reply()).status == 200
             assert await caller.reader.read() == b""
--- a/tests/wire/test_connections.py
+++ b/tests/wire/test_connections.py
@@ -119,7 +119,7 @@
 
 async def test_a_newcomer_waits_until_those_that_went_for_it_are_closed_and_no_more_go_than_it_needs():
     async with Desk(most=16, displace_silent_after_ms=0.0, displace_idle_after_ms=0.0) as desk:
-        kept, desk.front.most = [await desk.open(desk.ping) for _ in range(16)], 14
+        kept, desk.front.max_connections = [await desk.open(desk.ping) for _ in range(16)], 14
         newcomer = await desk.open()
         newcomer.send(desk.ping)
         assert (await newcomer.reply()).status == 200
--- a/tests/wire/test_full_table.py
+++ b/tests/wire/test_full_table.py
@@ -32,7 +32,7 @@
 
 async def test_its_request_is_refused_with_an_answer_and_nothing_is_decided_of_it():
     async with Fronted() as fronted:
-        fronted.front.most = 2
+        fronted.front.max_connections = 2
         others = [await busy(fronted) for _ in range(2)]
         newcomer = await calling(fronted.connect())
         fields = job("race-results")
@@ -49,7 +49,7 @@
 
 async def test_past_an_eighth_more_it_waits_unread_until_there_is_room_and_is_never_reset():
     async with Fronted(request_read_timeout_ms=60_000.0) as fronted:
-        fronted.front.most = 8
+        fronted.front.max_connections = 8
         others = [await busy(fronted) for _ in range(8)]
         silent = await calling(fronted.connect())  # takes the last place, and says nothing
         await fronted.until(lambda: len(fronted.front.connections) == 9)
