--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -372,7 +372,7 @@
 
     # What operators ask for at the control door.
 
-    def not_ready(self) -> str | None:
+    def not_ready_reason(self) -> str | None:
         posture = self.decisions.serving_status
         if posture.draining:
             return "the node leaves"
@@ -382,10 +382,10 @@
             return "the node is out of service"
         return None if posture.workers_up else "the worker pool is not linked yet"
 
-    def out_of_service(self) -> str | None:
+    def take_out_of_service(self) -> str | None:
         return self._serve_clients(False)
 
-    def in_service(self) -> str | None:
+    def put_in_service(self) -> str | None:
         return self._serve_clients(True)
 
     def _serve_clients(self, serving: bool) -> str | None:
--- a/flintshift/wire/control_front.py
+++ b/flintshift/wire/control_front.py
@@ -26,18 +26,18 @@
 TURNS = 3  # of the loop, from accepting a connection to reading what came with it
 
 
-class Operated(Protocol):
+class OperatedNode(Protocol):
     """What operators may ask of a node. Each call is idempotent and takes effect before it returns."""
 
-    def not_ready(self) -> str | None:
+    def not_ready_reason(self) -> str | None:
         """Why this process takes no clients; None when it does."""
         ...
 
-    def out_of_service(self) -> str | None:
+    def take_out_of_service(self) -> str | None:
         """Health checks are bad from now on, all that arrives is answered as always; else why not."""
         ...
 
-    def in_service(self) -> str | None:
+    def put_in_service(self) -> str | None:
         """Health checks are good again, as far as the decisions go; else why not."""
         ...
 
@@ -52,14 +52,14 @@
 
 
 class ControlFront:
-    def __init__(self, node: Operated, limits: Limits, counters: Counters, now_ms: Callable[[], float]) -> None:
+    def __init__(self, node: OperatedNode, limits: Limits, counters: Counters, now_ms: Callable[[], float]) -> None:
         self.limits, self.counters, self.now_ms = limits, counters, now_ms
         self.log: Log = log_nothing
         self.calls: dict[Call, None] = {}  # the oldest first
         self.table: dict[str, tuple[str, Callable[[], str | None]]] = {
-            "/control/ready": ("GET", node.not_ready),
-            "/control/out-of-service": ("POST", node.out_of_service),
-            "/control/in-service": ("POST", node.in_service),
+            "/control/ready": ("GET", node.not_ready_reason),
+            "/control/out-of-service": ("POST", node.take_out_of_service),
+            "/control/in-service": ("POST", node.put_in_service),
         }
 
     async def serve(self, raw: socket.socket, tasks: TaskGroup) -> None:
