--- a/tests/wire/fronted.py
+++ b/tests/wire/fronted.py
@@ -28,37 +28,37 @@
 
 
 @dataclass
-class Decided:
+class ScriptedDecisions:
     """In the place of the decisions: what was handed over, answered when the test says so."""
 
     serving_status: ServingStatus = field(default_factory=lambda: ServingStatus(workers_up=True))
-    taken: list[Attempt] = field(default_factory=list)
-    turned_away: list[Attempt] = field(default_factory=list)
-    departed: list[str] = field(default_factory=list)
-    at_once: Answer | None = None
+    submitted: list[Attempt] = field(default_factory=list)
+    rejected: list[Attempt] = field(default_factory=list)
+    disconnected: list[str] = field(default_factory=list)
+    immediate_answer: Answer | None = None
     open: int = 0  # requests that it holds
 
     def submit(self, attempt: Attempt) -> None:
-        self.taken.append(attempt)
-        if self.at_once is not None:
-            attempt.settle(self.at_once, now_ms())
+        self.submitted.append(attempt)
+        if self.immediate_answer is not None:
+            attempt.settle(self.immediate_answer, now_ms())
 
     def reject(self, attempt: Attempt) -> None:
-        self.turned_away.append(attempt)
+        self.rejected.append(attempt)
         attempt.settle(Answer(Verdict.REFUSED, retry_after_ms=300.0), now_ms())
 
     async def report(self, report) -> None:
         if isinstance(report, CallerDisconnected):
-            self.departed.append(report.attempt.id)
+            self.disconnected.append(report.attempt.id)
 
 
-class Fronted:
+class FrontHarness:
     """An HTTP front that listens, with decisions made by the test."""
 
     def __init__(self, **limits: float) -> None:
-        self.limits, self.counters, self.decided = Limits(**limits), Counters(), Decided()
+        self.limits, self.counters, self.decisions = Limits(**limits), Counters(), ScriptedDecisions()
         fields = AttemptBuilder(Catalogue(settings_from(flat(SETTINGS)), self.limits), self.limits, now_ms)
-        self.front = HttpFront(fields, self.decided, self.limits, self.counters, now_ms, 100, None)
+        self.front = HttpFront(fields, self.decisions, self.limits, self.counters, now_ms, 100, None)
 
     async def __aenter__(self):
         listener = Acceptor(open_listener(("127.0.0.1", 0), 64))
@@ -82,10 +82,10 @@
         raw.connect(self.at)
         return raw
 
-    async def rested(self) -> socket.socket:
+    async def open_idle_connection(self) -> socket.socket:
         """A connection that has brought a request before, and rests."""
         raw = self.connect()
-        caller = await calling(raw.dup())
+        caller = await open_caller(raw.dup())
         caller.send(PING)
         assert (await caller.reply()).status == 200
         caller.writer.close()
@@ -93,16 +93,16 @@
             await asyncio.sleep(0)
         return raw
 
-    async def until(self, true) -> None:
+    async def wait_until(self, true) -> None:
         with anyio.fail_after(10):
             while not true():
                 await asyncio.sleep(0.001)
 
 
-async def calling(raw: socket.socket) -> Caller:
+async def open_caller(raw: socket.socket) -> Caller:
     raw.setblocking(False)
     return Caller(*await asyncio.open_connection(sock=raw))
 
 
-def whole(fields=None) -> bytes:
+def http_request(fields=None) -> bytes:
     return BYTES["http"]("race-results", b"", fields or job("race-results"))
--- a/tests/wire/test_closing.py
+++ b/tests/wire/test_closing.py
@@ -14,7 +14,7 @@
 
 import anyio
 import pytest
-from fronted import PING, Fronted, calling, now_ms, whole
+from fronted import PING, FrontHarness, http_request, now_ms, open_caller
 from standins import job
 
 from flintshift.core.attempts import Answer, Verdict
@@ -29,12 +29,12 @@
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close by a reset
 
 
-def stopped(fronted: Fronted) -> None:
-    fronted.front.finish()
+def stopped(harness: FrontHarness) -> None:
+    harness.front.finish()
 
 
-def too_idle(fronted: Fronted) -> None:
-    for connection in fronted.front.connections:
+def too_idle(harness: FrontHarness) -> None:
+    for connection in harness.front.connections:
         connection.stop_reading()
 
 
@@ -44,11 +44,11 @@
 @pytest.mark.parametrize("closer", CLOSERS)
 async def test_a_request_that_stands_unread_when_its_connection_is_to_be_closed_is_answered_as_its_last(closer):
     for _ in range(REPEATS):
-        async with Fronted() as fronted:
-            raw = await fronted.rested()
+        async with FrontHarness() as harness:
+            raw = await harness.open_idle_connection()
             raw.send(PING)
-            CLOSERS[closer](fronted)  # before the loop has had a turn to read it
-            caller = await calling(raw)
+            CLOSERS[closer](harness)  # before the loop has had a turn to read it
+            caller = await open_caller(raw)
             reply = await caller.reply()
             assert (reply.status, reply.headers["connection"]) == (200, "close")
             assert await caller.reader.read() == b""  # an end, not a reset
@@ -58,17 +58,17 @@
 @pytest.mark.parametrize("closer", CLOSERS)
 async def test_what_crosses_the_close_of_a_resting_connection_is_neither_read_nor_handed_on(closer):
     for _ in range(REPEATS):
-        async with Fronted() as fronted:
-            raw = await fronted.rested()
-            caller = await calling(raw)
-            CLOSERS[closer](fronted)
+        async with FrontHarness() as harness:
+            raw = await harness.open_idle_connection()
+            caller = await open_caller(raw)
+            CLOSERS[closer](harness)
             assert await caller.reader.read() == b""  # the half-close has come
-            caller.send(whole())
+            caller.send(http_request())
             await asyncio.sleep(0.002)
             caller.writer.write_eof()
-            await fronted.until(lambda fronted=fronted: not fronted.front.connections)
-            assert not fronted.decided.taken and not fronted.counters["http.connections_broken"]
-            assert not fronted.counters["http.bytes_discarded"]
+            await harness.wait_until(lambda harness=harness: not harness.front.connections)
+            assert not harness.decisions.submitted and not harness.counters["http.connections_broken"]
+            assert not harness.counters["http.bytes_discarded"]
             caller.writer.close()
 
 
@@ -76,8 +76,8 @@
 async def test_nothing_is_read_between_the_last_look_at_a_resting_connection_and_its_end(closer, monkeypatch):
     """A request that comes right after the look is still unread when the end is sent, whatever the loop does."""
     for _ in range(REPEATS):
-        async with Fronted() as fronted:
-            raw = await fronted.rested()
+        async with FrontHarness() as harness:
+            raw = await harness.open_idle_connection()
             unread = CallerStream.unread
 
             def looked_and_sent(stream, most, raw=raw, unread=unread):
@@ -86,22 +86,22 @@
                 return found
 
             monkeypatch.setattr(CallerStream, "unread", looked_and_sent)
-            CLOSERS[closer](fronted)
-            caller = await calling(raw)
+            CLOSERS[closer](harness)
+            caller = await open_caller(raw)
             assert await caller.reader.read() == b""
             await asyncio.sleep(0.002)
-            assert all(not one.stream._protocol.read_queue for one in fronted.front.connections)
+            assert all(not one.stream._protocol.read_queue for one in harness.front.connections)
             caller.writer.close()
-            await fronted.until(lambda fronted=fronted: not fronted.front.connections)
-            assert not fronted.counters["http.bytes_discarded"] and fronted.counters["http.checks"] == 1
+            await harness.wait_until(lambda harness=harness: not harness.front.connections)
+            assert not harness.counters["http.bytes_discarded"] and harness.counters["http.checks"] == 1
         monkeypatch.undo()
 
 
 async def test_answers_after_the_notice_to_leave_are_the_last_on_their_connections():
-    async with Fronted() as fronted:
-        raw = await fronted.rested()
-        fronted.front.drain()
-        caller = await calling(raw)
+    async with FrontHarness() as harness:
+        raw = await harness.open_idle_connection()
+        harness.front.drain()
+        caller = await open_caller(raw)
         caller.send(PING)
         reply = await caller.reply()
         assert (reply.status, reply.headers["connection"]) == (200, "close")
@@ -110,14 +110,14 @@
 
 
 async def test_a_drain_keeps_a_resting_connection_until_its_last_moment_and_answers_what_comes_on_it():
-    async with Fronted(stop_margin_ms=100.0, stop_accepting_ms=100.0, close_crossing_ms=20.0) as fronted:
-        raw, later = await fronted.rested(), await fronted.rested()
-        drain = Drain([fronted.front], fronted.decided, fronted.limits, now_ms)
+    async with FrontHarness(stop_margin_ms=100.0, stop_accepting_ms=100.0, close_crossing_ms=20.0) as harness:
+        raw, later = await harness.open_idle_connection(), await harness.open_idle_connection()
+        drain = Drain([harness.front], harness.decisions, harness.limits, now_ms)
         began = now_ms()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(drain.run, 50.0, 700.0, False)
             await asyncio.sleep(0.4)
-            caller, resting = await calling(raw), await calling(later)
+            caller, resting = await open_caller(raw), await open_caller(later)
             caller.send(PING)
             assert (await caller.reply()).headers["connection"] == "close"
             caller.writer.close()
@@ -127,9 +127,9 @@
 
 
 async def test_a_drain_that_heard_of_its_notice_late_ends_so_much_sooner():
-    async with Fronted(stop_margin_ms=100.0, stop_accepting_ms=100.0, close_crossing_ms=20.0) as fronted:
-        resting = await calling(await fronted.rested())
-        drain = Drain([fronted.front], fronted.decided, fronted.limits, now_ms)
+    async with FrontHarness(stop_margin_ms=100.0, stop_accepting_ms=100.0, close_crossing_ms=20.0) as harness:
+        resting = await open_caller(await harness.open_idle_connection())
+        drain = Drain([harness.front], harness.decisions, harness.limits, now_ms)
         began = now_ms()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(drain.run, 50.0, 700.0, False, 400.0)
@@ -139,18 +139,18 @@
 
 async def test_a_drain_that_heard_of_its_notice_after_the_kill_was_due_still_answers_what_was_read():
     """The kill may come later than it may at the earliest: a configuration on a disk that hangs holds the loop."""
-    async with Fronted(stop_margin_ms=100.0, stop_accepting_ms=100.0) as fronted:
-        raw = await fronted.rested()
-        drain = Drain([fronted.front], fronted.decided, fronted.limits, now_ms)
+    async with FrontHarness(stop_margin_ms=100.0, stop_accepting_ms=100.0) as harness:
+        raw = await harness.open_idle_connection()
+        drain = Drain([harness.front], harness.decisions, harness.limits, now_ms)
         raw.send(PING)
         asking = asyncio.create_task(asked_and_closed(raw))
         await drain.run(50.0, 700.0, False, 5000.0)
-        assert fronted.front.finished  # the node ends its tasks next
+        assert harness.front.finished  # the node ends its tasks next
         assert (await asking).status == 200
 
 
 async def asked_and_closed(raw):
-    caller = await calling(raw)
+    caller = await open_caller(raw)
     reply = await caller.reply()
     caller.writer.close()
     return reply
@@ -188,15 +188,15 @@
                 raise OSError(errno.ENFILE, "too many open files in system")
             return super().accept()
 
-    async with Fronted(last_read_timeout_ms=500.0) as fronted:
-        await fronted.rested()
-        raw = fronted.connect()
+    async with FrontHarness(last_read_timeout_ms=500.0) as harness:
+        await harness.open_idle_connection()
+        raw = harness.connect()
         raw.send(PING)
-        listener = fronted.front.listener
+        listener = harness.front.listener
         listener.raw = Refusing(fileno=listener.raw.detach())
         listener.raw.refusals = 5
-        stopped(fronted)
-        caller = await calling(raw)
+        stopped(harness)
+        caller = await open_caller(raw)
         assert (await caller.reply()).status == 200
         caller.writer.close()
 
@@ -208,74 +208,77 @@
 @pytest.mark.parametrize("rested", [True, False], ids=["rested", "new"])
 async def test_a_half_read_request_is_refused_by_a_drain_and_its_rest_is_thrown_away(size, rested):
     for _ in range(REPEATS):
-        async with Fronted() as fronted:
-            raw, data = (await fronted.rested() if rested else fronted.connect()), whole()
+        async with FrontHarness() as harness:
+            raw, data = (await harness.open_idle_connection() if rested else harness.connect()), http_request()
             raw.send(data[:size])
-            await fronted.until(lambda fronted=fronted: any(one.busy for one in fronted.front.connections))
-            fronted.decided.serving_status.draining = True
-            stopped(fronted)
-            caller = await calling(raw)
+            await harness.wait_until(lambda harness=harness: any(one.busy for one in harness.front.connections))
+            harness.decisions.serving_status.draining = True
+            stopped(harness)
+            caller = await open_caller(raw)
             reply = await caller.reply()
             assert (reply.status, reply.headers["connection"]) == (503, "close")
             caller.send(data[size:])
             assert await caller.reader.read() == b""
-            assert not fronted.decided.taken
+            assert not harness.decisions.submitted
             caller.writer.close()
 
 
 @pytest.mark.parametrize("rested", [True, False], ids=["rested", "new"])
 async def test_a_request_whose_end_comes_right_after_the_drain_decided_to_close_is_handed_on_or_refused(rested):
     for _ in range(REPEATS):
-        async with Fronted() as fronted:
-            fronted.decided.at_once, fronted.decided.serving_status.draining = Answer(Verdict.SERVED, b"1"), True
-            raw, data = (await fronted.rested() if rested else fronted.connect()), whole()
+        async with FrontHarness() as harness:
+            harness.decisions.immediate_answer, harness.decisions.serving_status.draining = (
+                Answer(Verdict.SERVED, b"1"),
+                True,
+            )
+            raw, data = (await harness.open_idle_connection() if rested else harness.connect()), http_request()
             raw.send(data[:-1])
-            stopped(fronted)
+            stopped(harness)
             raw.send(data[-1:])
-            caller = await calling(raw)
+            caller = await open_caller(raw)
             reply = await caller.reply()
-            assert (reply.status, len(fronted.decided.taken)) in ((200, 1), (503, 0))
+            assert (reply.status, len(harness.decisions.submitted)) in ((200, 1), (503, 0))
             assert reply.headers["connection"] == "close" and await caller.reader.read() == b""
             caller.writer.close()
 
 
 async def test_a_connection_that_is_queued_when_the_listener_closes_is_answered():
     for _ in range(REPEATS):
-        async with Fronted(last_read_timeout_ms=500.0) as fronted:
-            await fronted.rested()  # it accepts
-            queued = [fronted.connect() for _ in range(5)]
+        async with FrontHarness(last_read_timeout_ms=500.0) as harness:
+            await harness.open_idle_connection()  # it accepts
+            queued = [harness.connect() for _ in range(5)]
             for raw in queued:
                 raw.send(PING)
-            stopped(fronted)
+            stopped(harness)
             for raw in queued:
-                caller = await calling(raw)
+                caller = await open_caller(raw)
                 assert (await caller.reply()).status == 200
                 assert await caller.reader.read() == b""
                 caller.writer.close()
             with pytest.raises(ConnectionRefusedError):
-                fronted.connect()
+                harness.connect()
 
 
 async def test_an_upgrade_leaves_the_queue_to_the_process_that_goes_on():
-    async with Fronted() as fronted:
-        await fronted.rested()
-        fronted.front.pause_accepting()
+    async with FrontHarness() as harness:
+        await harness.open_idle_connection()
+        harness.front.pause_accepting()
         await asyncio.sleep(0)
-        raw = fronted.connect()
+        raw = harness.connect()
         raw.send(PING)
-        stopped(fronted)
-        await fronted.until(lambda: not fronted.front.connections)
-        assert fronted.counters["http.connections"] == 1
+        stopped(harness)
+        await harness.wait_until(lambda: not harness.front.connections)
+        assert harness.counters["http.connections"] == 1
 
 
 async def test_callers_that_reset_before_they_are_accepted_hold_up_nobody():
     for _ in range(REPEATS):
-        async with Fronted(backoff_ms=60_000.0) as fronted:
+        async with FrontHarness(backoff_ms=60_000.0) as harness:
             for _ in range(5):
-                raw = fronted.connect()
+                raw = harness.connect()
                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                 raw.close()
-            caller = await calling(fronted.connect())
+            caller = await open_caller(harness.connect())
             caller.send(PING)
             assert (await caller.reply()).status == 200
             caller.writer.close()
@@ -283,21 +286,21 @@
 
 async def test_a_pipelined_second_request_is_answered_in_turn_or_not_handed_on_where_the_first_was_the_last():
     for closes in (False, True):
-        async with Fronted() as fronted:
+        async with FrontHarness() as harness:
             first, second = job("race-results"), job("race-results")
-            caller = await calling(fronted.connect())
-            caller.send(whole(first) + whole(second))
-            await fronted.until(lambda fronted=fronted: fronted.decided.taken)
+            caller = await open_caller(harness.connect())
+            caller.send(http_request(first) + http_request(second))
+            await harness.wait_until(lambda harness=harness: harness.decisions.submitted)
             if closes:
-                stopped(fronted)
-            fronted.decided.taken[0].settle(Answer(Verdict.SERVED, b"1"), now_ms())
+                stopped(harness)
+            harness.decisions.submitted[0].settle(Answer(Verdict.SERVED, b"1"), now_ms())
             reply = await caller.reply()
             assert reply.body == b"1" and (reply.headers.get("connection") == "close") is closes
             if closes:
-                assert await caller.reader.read() == b"" and len(fronted.decided.taken) == 1
+                assert await caller.reader.read() == b"" and len(harness.decisions.submitted) == 1
             else:
-                await fronted.until(lambda fronted=fronted: len(fronted.decided.taken) == 2)
-                fronted.decided.taken[1].settle(Answer(Verdict.SERVED, b"2"), now_ms())
+                await harness.wait_until(lambda harness=harness: len(harness.decisions.submitted) == 2)
+                harness.decisions.submitted[1].settle(Answer(Verdict.SERVED, b"2"), now_ms())
                 assert (await caller.reply()).body == b"2"
             caller.writer.close()
 
@@ -305,39 +308,39 @@
 async def test_an_answer_of_4_kib_that_the_caller_takes_late_comes_whole_though_more_was_sent_meanwhile():
     body = bytes(range(256)) * 16
     for _ in range(REPEATS):
-        async with Fronted() as fronted:
-            raw = fronted.connect(SO_RCVBUF=2304)
-            raw.send(whole())
-            await fronted.until(lambda fronted=fronted: fronted.decided.taken)
+        async with FrontHarness() as harness:
+            raw = harness.connect(SO_RCVBUF=2304)
+            raw.send(http_request())
+            await harness.wait_until(lambda harness=harness: harness.decisions.submitted)
             raw.send(b"POST /call/ra")  # of a next request, which is never answered
-            stopped(fronted)
-            fronted.decided.taken[0].settle(Answer(Verdict.SERVED, body), now_ms())
+            stopped(harness)
+            harness.decisions.submitted[0].settle(Answer(Verdict.SERVED, body), now_ms())
             await asyncio.sleep(0.01)
-            caller = await calling(raw)
+            caller = await open_caller(raw)
             assert (await caller.reply()).body == body
             assert await caller.reader.read() == b""
             caller.writer.close()
 
 
 async def test_a_peer_that_neither_reads_nor_closes_holds_its_connection_for_a_bounded_time():
-    async with Fronted(
+    async with FrontHarness(
         write_timeout_ms=50.0, sweep_interval_ms=10.0, linger_ms=50.0, close_crossing_ms=50.0
-    ) as fronted:
-        resting, asking = await fronted.rested(), fronted.connect()
-        asking.send(whole())
-        await fronted.until(lambda: fronted.decided.taken)
+    ) as harness:
+        resting, asking = await harness.open_idle_connection(), harness.connect()
+        asking.send(http_request())
+        await harness.wait_until(lambda: harness.decisions.submitted)
         began = time.monotonic()
-        fronted.decided.taken[0].settle(Answer(Verdict.SERVED, bytes(4096)), now_ms())
-        stopped(fronted)
-        await fronted.until(lambda: not fronted.front.connections)
+        harness.decisions.submitted[0].settle(Answer(Verdict.SERVED, bytes(4096)), now_ms())
+        stopped(harness)
+        await harness.wait_until(lambda: not harness.front.connections)
         assert time.monotonic() - began < 5
         resting.close(), asking.close()
 
 
 async def test_answers_leave_at_once_on_every_accepted_connection():
-    async with Fronted() as fronted:
-        await fronted.rested()
-        raw = next(iter(fronted.front.connections)).stream.extra(anyio.abc.SocketAttribute.raw_socket)
+    async with FrontHarness() as harness:
+        await harness.open_idle_connection()
+        raw = next(iter(harness.front.connections)).stream.extra(anyio.abc.SocketAttribute.raw_socket)
         assert raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
@@ -356,14 +359,16 @@
 
 async def test_a_drain_that_finds_nothing_open_still_answers_what_is_queued_at_its_end():
     for _ in range(REPEATS):
-        async with Fronted(stop_ms=2000.0, stop_margin_ms=200.0, last_read_timeout_ms=500.0, linger_ms=10.0) as fronted:
-            await fronted.until(lambda fronted=fronted: fronted.front.listener is not None)
-            drain = Drain([fronted.front], fronted.decided, fronted.limits, now_ms)
-            raw = fronted.connect()  # queued: the loop has no turn before the front is told to finish
+        async with FrontHarness(
+            stop_ms=2000.0, stop_margin_ms=200.0, last_read_timeout_ms=500.0, linger_ms=10.0
+        ) as harness:
+            await harness.wait_until(lambda harness=harness: harness.front.listener is not None)
+            drain = Drain([harness.front], harness.decisions, harness.limits, now_ms)
+            raw = harness.connect()  # queued: the loop has no turn before the front is told to finish
             raw.send(PING)
             await drain.run(grace_ms=0.0, kill_ms=2000.0, succeeded=False)
-            assert fronted.counters["http.checks"] == 1 and fronted.front.finished  # the node ends its tasks next
-            caller = await calling(raw)
+            assert harness.counters["http.checks"] == 1 and harness.front.finished  # the node ends its tasks next
+            caller = await open_caller(raw)
             assert (await caller.reply()).status == 200
             assert await caller.reader.read() == b""
             caller.writer.close()
@@ -371,14 +376,14 @@
 
 async def test_a_busy_loop_does_not_end_the_last_look_before_the_socket_was_looked_at():
     for closer in CLOSERS.values():
-        async with Fronted() as fronted:
-            raw = await fronted.rested()
+        async with FrontHarness() as harness:
+            raw = await harness.open_idle_connection()
             raw.send(PING)
-            closer(fronted)
+            closer(harness)
             loop = asyncio.get_running_loop()
             for turn in range(3):  # each turn of the loop is late
                 loop.call_later(turn * 1e-4, time.sleep, 0.02)
-            caller = await calling(raw)
+            caller = await open_caller(raw)
             assert (await caller.reply()).status == 200
             caller.writer.close()
 
@@ -386,13 +391,13 @@
 @pytest.mark.parametrize("closer", CLOSERS)
 async def test_a_caller_that_resets_just_as_its_connection_is_to_be_closed_is_no_fault(closer):
     for _ in range(REPEATS):
-        async with Fronted() as fronted:
-            raw = await fronted.rested()
+        async with FrontHarness() as harness:
+            raw = await harness.open_idle_connection()
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            CLOSERS[closer](fronted)
+            CLOSERS[closer](harness)
             raw.close()
-            await fronted.until(lambda fronted=fronted: not fronted.front.connections)
-            assert not fronted.counters["http.faults"]
+            await harness.wait_until(lambda harness=harness: not harness.front.connections)
+            assert not harness.counters["http.faults"]
 
 
 async def test_a_flood_of_new_connections_does_not_keep_a_drain_taking_them():
--- a/tests/wire/test_fields.py
+++ b/tests/wire/test_fields.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from fronted import Fronted, calling
+from fronted import FrontHarness, open_caller
 from standins import BYTES, job
 
 from flintshift.core.attempts import Answer, Verdict
@@ -22,12 +22,12 @@
     ],
 )
 async def test_a_customer_is_known_in_the_encodings_that_callers_write(encoding, told, status):
-    async with Fronted() as fronted:
-        fronted.front.fields.catalogue.clubs.add(NAME)
-        fronted.decided.at_once = Answer(Verdict.SERVED, b"1")
-        caller = await calling(fronted.connect())
+    async with FrontHarness() as harness:
+        harness.front.fields.catalogue.clubs.add(NAME)
+        harness.decisions.immediate_answer = Answer(Verdict.SERVED, b"1")
+        caller = await open_caller(harness.connect())
         fields = job("race-results", **{"X-Team": "TEAM"})
         caller.send(BYTES["http"]("race-results", b"", fields).replace(b"TEAM", told.encode(encoding)))
         assert (await caller.reply()).status == status
-        assert [attempt.tenant for attempt in fronted.decided.taken] == ([NAME] if status == 200 else [])
+        assert [attempt.tenant for attempt in harness.decisions.submitted] == ([NAME] if status == 200 else [])
         caller.writer.close()
--- a/tests/wire/test_targets.py
+++ b/tests/wire/test_targets.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from fronted import Fronted, calling
+from fronted import FrontHarness, open_caller
 from standins import BYTES, job
 
 from flintshift.core.attempts import Answer, Verdict
@@ -32,11 +32,11 @@
 
 @pytest.mark.parametrize(("target", "status"), TARGETS)
 async def test_a_target_is_taken_or_answered_plainly_and_its_connection_goes_on(target, status):
-    async with Fronted() as fronted:
-        fronted.decided.at_once = Answer(Verdict.SERVED, b"1")
-        caller = await calling(fronted.connect())
+    async with FrontHarness() as harness:
+        harness.decisions.immediate_answer = Answer(Verdict.SERVED, b"1")
+        caller = await open_caller(harness.connect())
         for _ in range(2):
             caller.send(BYTES["http"]("", b"", job("race-results"), path=target))
             assert (await caller.reply()).status == status
-        assert not fronted.counters["http.faults"]
+        assert not harness.counters["http.faults"]
         caller.writer.close()
