--- a/tests/wire/test_closing.py
+++ b/tests/wire/test_closing.py
@@ -14,7 +14,7 @@
 
 import anyio
 import pytest
-from fronted import PING, FrontHarness, http_request, now_ms, open_caller
+from front_harness import PING, FrontHarness, http_request, now_ms, open_caller
 from standins import job
 
 from flintshift.core.attempts import Answer, Verdict
--- a/tests/wire/test_full_table.py
+++ b/tests/wire/test_full_table.py
@@ -13,7 +13,7 @@
 import asyncio
 
 import pytest
-from fronted import FrontHarness, http_request, open_caller
+from front_harness import FrontHarness, http_request, open_caller
 from standins import job
 
 from flintshift.core.attempts import Answer, Verdict
--- a/tests/wire/test_targets.py
+++ b/tests/wire/test_targets.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from fronted import FrontHarness, open_caller
+from front_harness import FrontHarness, open_caller
 from standins import BYTES, job
 
 from flintshift.core.attempts import Answer, Verdict
