--- a/flintshift/wire/failures.py
+++ b/flintshift/wire/failures.py
@@ -1,7 +1,7 @@
-"""Which failures of system calls last, and which may pass.
+"""Tells permanent failures of system calls from transient ones.
 
-A call may fail for a moment in any way that its manual page names, and in ways that it does not. So what is not known
-to last is taken for passing, and whoever tries again sets a bound on the time.
+A call may fail transiently with any error of its manual page, and with others. So each error that is not known to be
+permanent counts as transient, and the caller that retries bounds the time of its retries.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
         errno.ENOSYS,
     }
 )
-"""A right, a file, a name or a feature of the system is missing: only somebody who changes that helps."""
+"""A permission, a file, a name or a feature of the system is missing: the call fails until somebody changes that."""
 
 
 def is_transient(error: OSError) -> bool:
-    """The same call may go well later, with nothing changed by anybody.
+    """Whether the same call may succeed later without any change by an operator.
 
     >>> is_transient(OSError(errno.EADDRNOTAVAIL, "")), is_transient(OSError(errno.EACCES, ""))
     (True, False)
--- a/flintshift/wire/faults.py
+++ b/flintshift/wire/faults.py
@@ -1,4 +1,5 @@
-"""Errors that no list foresees, met on one link, report or request: counted and told, so that the others go on."""
+"""Reports unforeseen exceptions. Each is caught on the link, report or request where it was raised, so that all others
+go on."""
 
 from __future__ import annotations
 
@@ -9,6 +10,6 @@
 
 
 def report(counters: Counters, part: str, error: Exception) -> None:
-    """Count ``<part>.faults``, and say where it was met."""
+    """Count ``<part>.faults`` and write the traceback to standard error."""
     counters.add(f"{part}.faults")
     standard_error.write_line("".join(traceback.format_exception(error)))
--- a/flintshift/wire/standard_error.py
+++ b/flintshift/wire/standard_error.py
@@ -1,5 +1,8 @@
-"""Lines on standard error that never hold up the process: where a pipe is full, since nobody empties it, the disk is
-full or the descriptor is closed, lines are lost, and nothing else."""
+"""Writes lines to standard error without ever blocking the process.
+
+Where a pipe is full because nobody reads it, the disk is full or the descriptor is closed, lines are lost and nothing
+else happens.
+"""
 
 from __future__ import annotations
 
@@ -8,33 +11,34 @@
 import select
 import sys
 
-PIECE = select.PIPE_BUF  # bytes that a pipe which is writable takes without a wait
+PIPE_WRITE_BYTES = select.PIPE_BUF  # a pipe that polls as writable takes so much without blocking
 
 
 class StandardError:
-    """As a file that is written to. The standard error of the process is looked up at each write."""
+    """A file object that writes to standard error. Each write looks up the process's current standard error."""
 
     def write(self, text: str) -> int:
-        """
+        """Write the text without blocking.
+
         Raises:
-            OSError, ValueError: some of it could not be written, or not without a wait.
+            OSError, ValueError: some of the text could not be written, or not without blocking.
         """
         descriptor = sys.stderr.fileno()
         sys.stderr.flush()
-        looked = select.poll()
-        looked.register(descriptor, select.POLLOUT)
+        poller = select.poll()
+        poller.register(descriptor, select.POLLOUT)
         data = text.encode("utf-8", "backslashreplace")
         while data:
-            if not any(events & select.POLLOUT for _, events in looked.poll(0)):
-                raise BlockingIOError("nobody reads the standard error")
-            data = data[os.write(descriptor, data[:PIECE]) :]
+            if not any(events & select.POLLOUT for _, events in poller.poll(0)):
+                raise BlockingIOError("writing to standard error would block: nobody reads it")
+            data = data[os.write(descriptor, data[:PIPE_WRITE_BYTES]) :]
         return len(text)
 
     def flush(self) -> None:
-        """Nothing waits here."""
+        """Do nothing: writes are not buffered."""
 
 
 def write_line(text: str) -> None:
-    """Write a line, or lose it."""
+    """Write a line, or drop it if it can't be written now."""
     with contextlib.suppress(OSError, ValueError):
         StandardError().write(text + "\n")
--- a/flintshift/wire/unix.py
+++ b/flintshift/wire/unix.py
@@ -1,4 +1,4 @@
-"""Unix sockets at paths of the node's own: what a process that ended has left there goes, and nothing else does."""
+"""Unix sockets at file paths. A socket that an ended process left at a path is removed, any other file is kept."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-BACKLOG = 8
+LISTEN_BACKLOG = 8
 
 
 @contextlib.contextmanager
 def short_socket_path(path: Path) -> Iterator[str]:
-    """A name for the path that fits a socket's address however deep the folder lies."""
+    """Yield a name of the path that fits into a socket address, however deep its folder is nested."""
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}" if len(str(path)) > 100 else str(path)
@@ -23,10 +23,10 @@
 
 
 def is_listening(path: Path) -> bool:
-    """Whether a process listens there now; asked without waiting.
+    """Whether a process listens at the path now; does not block.
 
     Raises:
-        OSError: the folder can't be looked into.
+        OSError: the folder can't be opened.
     """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as raw, short_socket_path(path) as name:
         raw.setblocking(False)
@@ -34,10 +34,10 @@
 
 
 def open_unix_listener(path: Path) -> socket.socket:
-    """The path, listening, for this user alone. A socket that nobody is to listen at any more goes.
+    """Listen at the path, with access for this user only. A socket file at the path is replaced.
 
     Raises:
-        OSError: the folder does not take it, or a file that is no socket stands there.
+        OSError: the folder does not allow it, or the path is a file other than a socket.
     """
     raw = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     raw.setblocking(False)
@@ -47,7 +47,7 @@
         with short_socket_path(path) as name:
             raw.bind(name)
         path.chmod(0o600)
-        raw.listen(BACKLOG)
+        raw.listen(LISTEN_BACKLOG)
     except BaseException:
         raw.close()
         raise
--- a/flintshift/wire/uwsgi.py
+++ b/flintshift/wire/uwsgi.py
@@ -1,4 +1,4 @@
-"""The uwsgi packet: a head of four bytes, a block of variables, and a body by CONTENT_LENGTH."""
+"""The uwsgi packet: a head of four bytes, a block of variables, and a body whose length is CONTENT_LENGTH."""
 
 from __future__ import annotations
 
@@ -12,44 +12,60 @@
 
 
 def pack(variables: Iterable[tuple[str, str]]) -> bytes:
+    """Encode the head and the block of variables of a packet."""
     block = b"".join(
         LENGTH.pack(len(part)) + part for pair in variables for part in (text.encode("latin-1") for text in pair)
     )
     return HEAD.pack(0, len(block), 0) + block
 
 
-def block_size(head: bytes, most: int) -> int:
+def block_size(head: bytes, max_bytes: int) -> int:
+    """The size of the block of variables that follows this head.
+
+    Raises:
+        RequestError: the packet is of another kind, or the block is too large.
+    """
     modifier1, size, modifier2 = HEAD.unpack(head)
     if modifier1 or modifier2:
         raise RequestError(400, "not a uwsgi request: its modifiers are not 0")
-    if size > most:
+    if size > max_bytes:
         raise RequestError(413, "the block of variables is too large")
     return int(size)
 
 
 def unpack(block: bytes) -> dict[str, str]:
-    texts, place = [], 0
-    while place < len(block):
-        start = place + LENGTH.size
+    """Decode a block of variables.
+
+    Raises:
+        RequestError: the block is malformed, or a variable that decides on the request occurs twice.
+    """
+    texts, position = [], 0
+    while position < len(block):
+        start = position + LENGTH.size
         if start > len(block):
-            raise RequestError(400, "the block of variables is cut off")
-        place = start + LENGTH.unpack_from(block, place)[0]
-        if place > len(block):  # guards against a length that points past the block
-            raise RequestError(400, "the block of variables is cut off")
-        texts.append(block[start:place].decode("latin-1"))
+            raise RequestError(400, "the block of variables is truncated")
+        position = start + LENGTH.unpack_from(block, position)[0]
+        if position > len(block):  # guards against a length that points past the block
+            raise RequestError(400, "the block of variables is truncated")
+        texts.append(block[start:position].decode("latin-1"))
     if len(texts) % 2:
         raise RequestError(400, "a variable has no value")
     names, values = texts[::2], texts[1::2]
     for name in names:
         if names.count(name) > 1 and name.startswith(("HTTP_X_", "CONTENT_LENGTH")):
-            raise RequestError(400, f"{name} is impossible")  # which of the two holds?
+            raise RequestError(400, f"{name} is invalid")  # ambiguous: it occurs more than once
     return dict(zip(names, values, strict=True))
 
 
-def body_size(variables: dict[str, str], most: int) -> int:
+def body_size(variables: dict[str, str], max_bytes: int) -> int:
+    """The size of the body that follows these variables.
+
+    Raises:
+        RequestError: CONTENT_LENGTH is invalid, or the body is too large.
+    """
     text = variables.get("CONTENT_LENGTH") or "0"
     if not (text.isascii() and text.isdecimal()):
-        raise RequestError(400, "CONTENT_LENGTH is impossible")
-    if len(text) > 9 or int(text) > most:
+        raise RequestError(400, "CONTENT_LENGTH is invalid")
+    if len(text) > 9 or int(text) > max_bytes:
         raise RequestError(413, "the body is too large")
     return int(text)
