--- a/flintshift/wire/dnssd.py
+++ b/flintshift/wire/dnssd.py
@@ -89,7 +89,7 @@
             except FAILED:
                 self.counters.add("dns.failed")
             except Exception as error:  # whatever else the event loop may raise costs this look, and not the node
-                faults.report(self.counters, "dns", error)
+                faults.record(self.counters, "dns", error)
             # What is known stands, so a resolver that fails is not asked more often for it; one that names nobody is.
             if self.known.servers and not self.known.empty_unconfirmed:
                 waits.reset()
@@ -154,7 +154,7 @@
             self.counters.add("dns.update_failed")
             return False
         except Exception as error:
-            faults.report(self.counters, "dns", error)
+            faults.record(self.counters, "dns", error)
             return False
         self.counters.add("dns.published" if serving else "dns.withdrawn")
         self.fresh_until_ms = self.now_ms() + self.limits.record_ttl_s * 500.0 if serving else 0.0
--- a/flintshift/wire/faults.py
+++ b/flintshift/wire/faults.py
@@ -1,4 +1,4 @@
-"""Reports unforeseen exceptions. Each is caught on the link, report or request where it was raised, so that all others
+"""Records unforeseen exceptions. Each is caught on the link, report or request where it was raised, so that all others
 go on."""
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from flintshift.wire import standard_error
 
 
-def report(counters: Counters, part: str, error: Exception) -> None:
+def record(counters: Counters, part: str, error: Exception) -> None:
     """Count ``<part>.faults`` and write the traceback to standard error."""
     counters.add(f"{part}.faults")
     standard_error.write_line("".join(traceback.format_exception(error)))
--- a/flintshift/wire/front.py
+++ b/flintshift/wire/front.py
@@ -160,7 +160,7 @@
             self.counters.add(f"{self.name}.connections_broken")
         except Exception as error:  # a fault met on one connection must not end the others
             connection.close_for(CloseReason.FAULT)
-            faults.report(self.counters, self.name, error)
+            faults.record(self.counters, self.name, error)
             if self.log is not None:
                 self.log("error", "front.fault", front=self.name, fault=repr(error))
         finally:
--- a/flintshift/wire/names.py
+++ b/flintshift/wire/names.py
@@ -37,7 +37,7 @@
         except (*CONNECTION_ERRORS, h11.ProtocolError):
             pass
         except Exception as error:  # whatever else the event loop may raise costs this report, and not the node
-            faults.report(self.counters, "names", error)
+            faults.record(self.counters, "names", error)
         self.counters.add(f"names.{word}")
         return word != "not_taken"
 
--- a/flintshift/wire/pool.py
+++ b/flintshift/wire/pool.py
@@ -143,7 +143,7 @@
         except* CONNECTION_ERRORS:
             pass
         except* Exception as errors:  # whatever else the event loop may raise ends this link, and not the node
-            faults.report(self.counters, "pool", errors)
+            faults.record(self.counters, "pool", errors)
         self.counters.add("pool.links_lost")
         if over is self.over and not over.is_set():  # else another link has taken its place
             if self.bound:
--- a/flintshift/wire/uwsgi_apps.py
+++ b/flintshift/wire/uwsgi_apps.py
@@ -54,7 +54,7 @@
         try:
             outcome, result = await self._on_some_server(attempt)
         except Exception as error:  # whatever else the event loop may raise costs this run, and not the node
-            faults.report(self.counters, "apps", error)
+            faults.record(self.counters, "apps", error)
             outcome, result = OUTCOMES["link", "broken"], b""
         finally:
             self.room.release_on_behalf_of(attempt)
--- a/flintshift/wire/vault.py
+++ b/flintshift/wire/vault.py
@@ -111,7 +111,7 @@
             try:
                 end = await self._end_of(ask)
             except Exception as error:  # whatever else the event loop may raise costs this call, and not the node
-                faults.report(self.counters, "vault", error)
+                faults.record(self.counters, "vault", error)
                 end = BROKEN_OFF
             if self.out.get(ask.request) is ask:
                 del self.out[ask.request]
