--- a/flintshift/wire/acceptor.py
+++ b/flintshift/wire/acceptor.py
@@ -1,8 +1,8 @@
-"""A listener whose accepting can be stopped and taken up again without losing a connection.
+"""A listener that can stop and resume accepting without losing a connection.
 
-anyio's own drops what was accepted in the turn in which it is cancelled, and stops for all where one accepted
-connection was reset already. Here a cancellation can only meet the wait for readiness: the queue stays in the socket,
-for this process later or for another that holds the socket too.
+anyio's listener loses the connections that it accepted in the event loop turn in which it is cancelled, and it stops
+for good when one accepted connection was already reset. Here only the wait for readiness can be cancelled: queued
+connections stay in the socket, for this process later or for another process that holds the same socket.
 """
 
 from __future__ import annotations
@@ -19,112 +19,117 @@
 from anyio.abc import TaskGroup
 
 from flintshift.core.limits import Limits
-from flintshift.wire.caller_stream import CallerStream, caller_stream
+from flintshift.wire.caller_stream import CallerStream, open_caller_stream
 
-BATCH = 64  # accepted in one turn
-HANDSHAKE_S = 0.001  # for a connection that is being made on this machine to be whole
+MAX_ACCEPTS_PER_TURN = 64
+HANDSHAKE_S = 0.001  # enough to complete a handshake that has begun on this machine
 
-# A filter in the system's classic packet language (linux/filter.h): a segment of a TCP connection that is to be made,
-# SYN without ACK, is dropped, and any other is kept.
+# A socket filter in classic BPF (linux/filter.h): drops TCP segments that open a new connection (SYN without ACK) and
+# keeps all others.
 SO_ATTACH_FILTER = 26
-FILTER_STEP = struct.Struct("HBBI")  # code, steps to skip where true, where false, operand
-FILTER = struct.Struct("HP")  # number of steps, address of the first
-DROP_NEW = (
-    (0x30, 0, 0, 13),  # load the byte of the TCP flags
-    (0x54, 0, 0, 0x12),  # keep SYN and ACK of them
-    (0x15, 0, 1, 0x02),  # SYN alone:
-    (0x06, 0, 0, 0),  # drop it
+FILTER_INSTRUCTION = struct.Struct("HBBI")  # code, instructions to skip if true, if false, operand
+FILTER_PROGRAM = struct.Struct("HP")  # number of instructions, address of the first
+DROP_NEW_FILTER = (
+    (0x30, 0, 0, 13),  # load the byte with the TCP flags
+    (0x54, 0, 0, 0x12),  # mask all flags but SYN and ACK
+    (0x15, 0, 1, 0x02),  # if only SYN is set:
+    (0x06, 0, 0, 0),  # drop the segment
     (0x06, 0, 0, 0xFFFFFFFF),  # else keep all of it
 )
-OPTION_TRIES = 8  # to set an option of a socket, which the system may refuse for a moment
-ADVICE = {  # by why an address can't be listened at
+MAX_OPTION_TRIES = 8  # the system may transiently refuse to set a socket option
+LISTEN_ADVICE = {  # what to do, by the error of a failed listen
     errno.EADDRINUSE: "end the process that listens there, or change `listen`",
     errno.EADDRNOTAVAIL: "no interface of this machine has that address: change `listen`",
     errno.EACCES: "this user may not listen at that port: change `listen`",
 }
 
-LOOK_S = 0.01  # between two looks whether there is room for a connection that is queued
+CAPACITY_CHECK_INTERVAL_S = 0.01  # between two checks whether a queued connection may be accepted
 
 Handler = Callable[[CallerStream], Awaitable[None]]
 
 
 class ConnectionCapacity(Protocol):
-    """How many connections may be held."""
+    """Bounds the number of open connections."""
 
     def has_capacity(self) -> bool:
-        """One more may be accepted."""
+        """Whether one more connection may be accepted."""
 
     def request_capacity(self) -> None:
-        """One waits in the queue, and there is no room for it."""
+        """Called when a connection waits in the queue and may not be accepted yet."""
 
 
 class Unbounded:
-    """ConnectionCapacity for any number."""
+    """Capacity for any number of connections."""
 
     def has_capacity(self) -> bool:
         return True
 
     def request_capacity(self) -> None:
-        """There is always some."""
+        """Do nothing: there is always capacity."""
 
 
 UNBOUNDED = Unbounded()
 
 
 class Acceptor:
+    """Accepts connections from one listening socket, and counts those that are open."""
+
     def __init__(self, raw: socket.socket) -> None:
         self.raw = raw
-        self.open_count = 0  # connections that were taken and are not closed
+        self.open_count = 0  # connections that were accepted and are not closed
         self.closed = False
 
-    async def serve(self, handler: Handler, tasks: TaskGroup, room: ConnectionCapacity = UNBOUNDED) -> None:
-        """Until cancelled. Where there is no room, connections stay in the queue: one that was accepted could only be
-        reset.
+    async def serve(self, handler: Handler, tasks: TaskGroup, capacity: ConnectionCapacity = UNBOUNDED) -> None:
+        """Accept connections until cancelled. Without capacity they stay in the queue, since a connection that was
+        accepted could only be reset.
 
         Raises:
-            OSError: a connection can't be accepted, for want of descriptors, say.
+            OSError: a connection can't be accepted, for example for lack of file descriptors.
         """
         while True:
             await anyio.wait_readable(self.raw)
-            if not room.has_capacity():
-                room.request_capacity()
-                await anyio.sleep(LOOK_S)
+            if not capacity.has_capacity():
+                capacity.request_capacity()
+                await anyio.sleep(CAPACITY_CHECK_INTERVAL_S)
                 continue
-            for _ in range(BATCH):
-                if not self._take(handler, tasks) or not room.has_capacity():
+            for _ in range(MAX_ACCEPTS_PER_TURN):
+                if not self._accept_one(handler, tasks) or not capacity.has_capacity():
                     break
 
     async def drop_new_connections(self) -> None:
-        """Have the system drop what asks for a new connection, so that none is made between the last look at the queue
-        and the close; its caller's system asks again, and finds nobody listening. For a socket that no other process
-        listens at. Where the system can't, nothing is changed."""
-        steps = array.array("B", b"".join(FILTER_STEP.pack(*step) for step in DROP_NEW))
+        """Make the system drop requests for new connections, so that none is established between the last check of the
+        queue and the close. The caller's system then retries and finds no listener. Only for a socket that no other
+        process listens at. Has no effect where the system does not support it."""
+        program = array.array("B", b"".join(FILTER_INSTRUCTION.pack(*step) for step in DROP_NEW_FILTER))
         if set_option(
-            self.raw, socket.SOL_SOCKET, SO_ATTACH_FILTER, FILTER.pack(len(DROP_NEW), steps.buffer_info()[0])
+            self.raw,
+            socket.SOL_SOCKET,
+            SO_ATTACH_FILTER,
+            FILTER_PROGRAM.pack(len(DROP_NEW_FILTER), program.buffer_info()[0]),
         ):
             await anyio.sleep(HANDSHAKE_S)
 
-    def accept_queued(self, handler: Handler, tasks: TaskGroup, most: int) -> None:
-        """Take what is queued, ``most`` of it: closing the socket would reset it, though a request may stand in it. The
-        caller closes the socket in this turn.
+    def accept_queued(self, handler: Handler, tasks: TaskGroup, max_tries: int) -> None:
+        """Accept the connections in the queue, in at most ``max_tries`` tries. Closing the socket would reset them,
+        although they may already carry a request. The caller closes the socket in the same turn of the event loop.
 
-        What the system refuses to accept for a moment is tried again at once: a turn of the event loop would begin all
-        that was taken, and callers that are answered there connect anew."""
-        for _ in range(most):
+        A transient failure to accept is retried at once: a turn of the event loop would start the handlers of all
+        accepted connections, and callers that are answered there would connect anew."""
+        for _ in range(max_tries):
             try:
-                if not self._take(handler, tasks):
+                if not self._accept_one(handler, tasks):
                     break
-            except OSError:  # it counts as one of the tries
+            except OSError:  # counts as one of the tries
                 continue
 
-    def _take(self, handler: Handler, tasks: TaskGroup) -> bool:
-        """Take the next connection; False where none is queued."""
+    def _accept_one(self, handler: Handler, tasks: TaskGroup) -> bool:
+        """Accept the next connection; False if none is queued."""
         try:
             accepted, _ = self.raw.accept()
         except ConnectionAbortedError:
-            return True  # its caller went; the next one may not have
+            return True  # this caller disconnected; there may be others in the queue
         except BlockingIOError:
-            return False  # there is none, or another process that holds the socket took it
+            return False  # the queue is empty, or another process that holds the socket accepted the connection
         accepted.setblocking(False)
         set_option(accepted, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.open_count += 1
@@ -134,8 +139,8 @@
     async def _handle(self, handler: Handler, accepted: socket.socket) -> None:
         try:
             try:
-                stream = await caller_stream(accepted)
-            except (OSError, ValueError, RuntimeError):  # its caller went meanwhile
+                stream = await open_caller_stream(accepted)
+            except (OSError, ValueError, RuntimeError):  # the caller disconnected meanwhile
                 accepted.close()
                 return
             await handler(stream)
@@ -148,39 +153,38 @@
 
     @property
     def finished(self) -> bool:
-        """It is closed, and so is all that it took."""
+        """Whether the listener and all connections that it accepted are closed."""
         return self.closed and not self.open_count
 
 
 def set_option(raw: socket.socket, level: int, option: int, value: int | bytes) -> bool:
-    """Set an option that the socket also works without; False where the system refuses it each time."""
-    for _ in range(OPTION_TRIES):
+    """Set an optional socket option; False if the system refuses it at each try."""
+    for _ in range(MAX_OPTION_TRIES):
         with contextlib.suppress(OSError):
             raw.setsockopt(level, option, value)
             return True
     return False
 
 
-def open_listener(at: tuple[str, int], backlog: int) -> socket.socket:
-    """A listening socket at this address.
+def open_listener(address: tuple[str, int], backlog: int) -> socket.socket:
+    """Open a listening socket at a host and port.
 
     Raises:
-        OSError: there is none to be had; the text says what to do.
+        OSError: the socket can't listen there; the text says what to do.
     """
-    host, port = at
+    host, port = address
     try:
         return _open_listener(host, port, backlog)
     except OSError as error:
-        advice = ADVICE.get(error.errno or 0, "change `listen`")
+        advice = LISTEN_ADVICE.get(error.errno or 0, "change `listen`")
         raise OSError(error.errno, f"{error.strerror}: {host}:{port}; {advice}") from error
 
 
 def _open_listener(host: str, port: int, backlog: int) -> socket.socket:
     raw = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     try:
-        set_option(
-            raw, socket.SOL_SOCKET, socket.SO_REUSEADDR, 1
-        )  # without it, an earlier life's connections are in the way
+        # Without this option, connections of an earlier process prevent the bind.
+        set_option(raw, socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         raw.bind((host, port))
         raw.listen(backlog)
         raw.setblocking(False)
@@ -191,18 +195,18 @@
 
 
 async def open_listener_with_retries(
-    at: tuple[str, int], limits: Limits, again: Callable[[OSError], bool]
+    address: tuple[str, int], limits: Limits, should_retry: Callable[[OSError], bool]
 ) -> socket.socket:
-    """Listen at an address, and try again while ``again`` says so of what failed.
+    """Open a listening socket, and retry failures for which ``should_retry`` is true.
 
     Raises:
-        OSError: it can't be listened at, or not in time.
+        OSError: the last failure, which is not to be retried.
     """
     while True:
-        # A list of errors to try again on would hold those that somebody has met: the rule is by class (`failures`).
+        # A list of the errors to retry would hold only those seen so far: `failures` decides by the kind of error.
         try:
-            return open_listener(at, limits.listen_backlog)
+            return open_listener(address, limits.listen_backlog)
         except OSError as error:
-            if not again(error):
+            if not should_retry(error):
                 raise
         await anyio.sleep(limits.start_retry_delay_ms / 1000)
--- a/flintshift/wire/caller_stream.py
+++ b/flintshift/wire/caller_stream.py
@@ -1,8 +1,8 @@
-"""The byte stream of one caller's connection, with the looks and the end that need no wait.
+"""The byte stream of one caller's connection, with checks and a half-close that return at once.
 
-Between a look that finds nothing and the end that is sent for it, no byte may be read from the socket: it would be a
-request that was read and is never answered. The event loop reads whenever it gets a turn, so here both are calls that
-return at once, made on the socket itself.
+No byte may be read from the socket between a check that finds nothing and the half-close that follows it: that byte
+would belong to a request that is read and never answered. The event loop reads whenever it gets a turn, so the check
+and the half-close are plain calls on the socket itself, without a turn of the loop between them.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 from flintshift.core.limits import Limits
 
-PEER_ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-TAKE_AGAIN_S = 0.005  # between two tries to take a connection that was accepted
-TAKE_MOST_S = Limits().request_read_timeout_ms / 1000  # as long as its first request may take to come
+PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+SETUP_RETRY_DELAY_S = 0.005  # between two tries to set up the stream of an accepted connection
+SETUP_TIMEOUT_S = Limits().request_read_timeout_ms / 1000  # as long as the first request may take to arrive
 
 
 class CallerStream(AsyncioSocketStream):
@@ -28,9 +28,9 @@
         super().__init__(transport, protocol)
         self.raw = raw
 
-    def unread(self, most: int) -> bytes:
-        """What has come and was not received, up to ``most`` bytes from the socket; b"" where there is nothing. To be
-        called while no `receive` is under way: the transport does not read then."""
+    def read_available(self, max_bytes: int) -> bytes:
+        """Return bytes that have arrived and were not received yet, at most ``max_bytes`` of them from the socket;
+        b"" if there are none. Call it only while no `receive` is pending, since the transport does not read then."""
         queue = self._protocol.read_queue
         if queue:
             data = b"".join(queue)
@@ -38,54 +38,54 @@
             self._protocol.read_event.clear()
             return data
         try:
-            return self.raw.recv(most)
-        except OSError:  # nothing is there, or the connection is broken
+            return self.raw.recv(max_bytes)
+        except OSError:  # no bytes have arrived, or the connection is broken
             return b""
 
-    def end(self) -> None:
-        """Send the end of this side at once. To be called where nothing waits to be written."""
+    def half_close(self) -> None:
+        """Close the sending side at once. Call it only while no written bytes are pending."""
         try:
             self.raw.shutdown(socket.SHUT_WR)
-        except OSError:  # it is broken, or closed already
+        except OSError:  # the connection is broken or already closed
             self._transport.abort()
 
     @property
-    def unsent(self) -> int:
-        """Bytes that the system has not taken yet."""
+    def unsent_bytes(self) -> int:
+        """The number of written bytes that the system has not accepted yet."""
         return 0 if self._transport.is_closing() else self._transport.get_write_buffer_size()
 
     @property
-    def peer_ended(self) -> bool:
-        """The peer has sent its end, or reset the connection; found without reading anything."""
-        return peer_ended(self.raw)
+    def peer_closed(self) -> bool:
+        """Whether the peer has closed its sending side or reset the connection. The check reads no bytes."""
+        return peer_closed(self.raw)
 
 
-async def caller_stream(accepted: socket.socket) -> CallerStream:
-    """A stream on an accepted socket, made as anyio's own listener makes one.
+async def open_caller_stream(accepted: socket.socket) -> CallerStream:
+    """Create a stream on an accepted socket, in the same way as anyio's listener.
 
-    `SocketStream.from_socket` looks at what the socket is and connects it anew: some 0.1 ms more for each connection,
-    which is a third of what a flood of short ones costs.
+    `SocketStream.from_socket` inspects the socket and connects it again. That takes some 0.1 ms more for each
+    connection, a third of the cost of a short one under overload.
 
     Raises:
-        OSError, ValueError, RuntimeError: the connection was reset already, or the system refused for too long.
+        OSError, ValueError, RuntimeError: the connection is already reset, or the system refused for too long.
     """
     loop = asyncio.get_running_loop()
-    latest_s = loop.time() + TAKE_MOST_S
+    deadline_s = loop.time() + SETUP_TIMEOUT_S
     while True:
-        # The loop sets options of the socket, and that may fail for a moment: a request may stand in it all the same.
+        # The loop sets socket options, which may fail transiently although the connection already carries a request.
         try:
             transport, protocol = await loop.connect_accepted_socket(StreamProtocol, accepted)
             return CallerStream(transport, protocol, accepted)
         except (OSError, ValueError, RuntimeError):
-            if peer_ended(accepted) or loop.time() >= latest_s:
+            if peer_closed(accepted) or loop.time() >= deadline_s:
                 raise
-        await asyncio.sleep(TAKE_AGAIN_S)
+        await asyncio.sleep(SETUP_RETRY_DELAY_S)
 
 
-def peer_ended(raw: socket.socket) -> bool:
-    """The peer has sent its end, or reset the connection; found without reading anything."""
+def peer_closed(raw: socket.socket) -> bool:
+    """Whether the peer has closed its sending side or reset the connection. The check reads no bytes."""
     if raw.fileno() < 0:
         return True
-    looked = select.poll()
-    looked.register(raw.fileno(), select.POLLRDHUP)
-    return any(events & PEER_ENDED for _, events in looked.poll(0))
+    poller = select.poll()
+    poller.register(raw.fileno(), select.POLLRDHUP)
+    return any(events & PEER_CLOSED_EVENTS for _, events in poller.poll(0))
--- a/flintshift/wire/connection.py
+++ b/flintshift/wire/connection.py
@@ -1,13 +1,13 @@
-"""The life of one caller's connection: its states, and the one way in which it is closed.
+"""The states of one caller's connection, and how it is closed.
 
-A connection ends in one of two ways:
+A connection is closed in one of two ways:
 
-- After an answer that says so, or half way through a request (`shut`): nothing more is sent, what still comes is read
-  and thrown away for a bounded time, and only then is the socket closed. Closing it over unread bytes would reset the
-  connection, and a reset can take the last answer with it.
-- While it rests (`end`, in the turn in which nothing was found unread, and `await_peer`): nothing is owed on it, and
-  nothing is read any more. A request that crosses this end stays in the system, unread; its caller sees the end, and
-  sends it once more on a new connection, as the protocol says.
+- After its last answer, or half-way through a request (`shut_down`): nothing more is sent, bytes that still arrive are
+  read and discarded for a bounded time, and only then is the socket closed. Closing a socket with unread bytes resets
+  the connection, and a reset can destroy the last answer on its way.
+- While it is idle (`half_close`, in the event loop turn in which no unread bytes were found, then `await_peer_close`):
+  no answer is owed on it, and nothing is read any more. A request that crosses the half-close stays unread in the
+  system. Its caller sees the close and sends the request again on a new connection, as the protocol requires.
 """
 
 from __future__ import annotations
@@ -22,14 +22,16 @@
 from flintshift.wire.caller_stream import CallerStream
 from flintshift.wire.link import CONNECTION_ERRORS
 
-LOOK_S = 0.01  # between two looks whether a peer has ended too, or has taken what was written
+PEER_CHECK_INTERVAL_S = 0.01  # between two checks whether a peer has closed too, or the system sent what was written
 
 
 class ConnectionState(Enum):
-    IDLE = "idle"  # no byte of a request has come since the last answer
-    READING = "reading"  # a request is begun
-    ANSWERING = "answering"  # a whole request waits for its answer, or the answer is written
-    HALF_CLOSED = "half_closed"  # nothing more is sent, and what comes is thrown away
+    """What a connection is doing."""
+
+    IDLE = "idle"  # no byte of a request has arrived since the last answer
+    READING = "reading"  # a request has arrived in part
+    ANSWERING = "answering"  # a complete request waits for its answer, or the answer is being written
+    HALF_CLOSED = "half_closed"  # nothing more is sent, and bytes that arrive are discarded
     CLOSED = "closed"
 
 
@@ -45,49 +47,49 @@
 
 
 class CloseReason(Enum):
-    """Why a connection is closed; counted as ``<front>.closed.<reason>`` and told in the log at level debug."""
+    """Why a connection is closed; counted as ``<front>.closed.<reason>`` and logged at level debug."""
 
-    CALLER_GONE = "caller_gone"  # its peer ended or reset it
-    LAST_ANSWER = "last_answer"  # the answer on it said `Connection: close`
-    UNFINISHED = "unfinished"  # the rest of a request did not come in time
-    IDLE = "idle"  # no request came for as long as was decided
-    DISPLACED = "displaced"  # it was idle, and a new one needed its place
+    CALLER_GONE = "caller_gone"  # the peer closed or reset it
+    LAST_ANSWER = "last_answer"  # its last answer carried `Connection: close`
+    UNFINISHED = "unfinished"  # the rest of a request did not arrive in time
+    IDLE = "idle"  # it carried no request for the idle timeout
+    DISPLACED = "displaced"  # it was idle, and a new connection needed its place
     DRAINED = "drained"  # it was idle when the node stopped
-    NOT_TAKEN = "not_taken"  # its peer took no answer
-    CUT = "cut"  # the node ended under it
-    FAULT = "fault"  # a fault of the program was met on it
+    NOT_TAKEN = "not_taken"  # the peer did not read its answer
+    CUT = "cut"  # the node ended before the connection did
+    FAULT = "fault"  # an unforeseen exception was raised while it was served
 
 
 class TransitionError(RuntimeError):
-    """A connection was to enter a state that does not follow on the one it is in."""
+    """A connection was to enter a state that can't follow its present one."""
 
 
 class Connection:
-    """A caller's connection and what it is at; all times are milliseconds of the node's clock."""
+    """A caller's connection and its state. All times are milliseconds of the node's clock."""
 
     def __init__(self, stream: CallerStream, now_ms: float) -> None:
         self.stream = stream
         self.state = ConnectionState.IDLE
-        self.since_ms = now_ms  # since when it is open, idle, or in its request
-        self.spoke = False  # it has brought a request before
-        self.ending = False  # the answer that is written says that it is the last
-        self.last_request = False  # the request that is read is the last that is taken
-        self.turned_away = False  # there is no place for it: its request is refused
-        self.at_end = False  # its peer has sent all that it will
-        self.scope = anyio.CancelScope()  # of all that is done for it
-        self.writing_ms = math.inf  # since when an answer is written
-        self.reading: anyio.CancelScope | None = None  # set while it waits for bytes
-        self.reason: CloseReason | None = None  # why it is closed, once that is decided
-        self.request = ""  # the id of the last one that was handed over
-        self.discarded = 0  # bytes that came after its end was decided
+        self.since_ms = now_ms  # when it was opened, became idle, or began to receive its present request
+        self.had_request = False  # an earlier request on it was answered
+        self.closes_after_answer = False  # the answer that is being written is announced as the last
+        self.is_last_request = False  # no request is accepted after the one that is being read
+        self.rejects_request = False  # the table of connections is full: its request is rejected
+        self.at_eof = False  # the peer has closed its sending side
+        self.scope = anyio.CancelScope()  # contains all work for this connection
+        self.write_started_ms = math.inf  # infinite while no answer is being written
+        self.read_scope: anyio.CancelScope | None = None  # set while it waits for bytes
+        self.close_reason: CloseReason | None = None  # None until the close is decided
+        self.last_request_id = ""  # of the last request that was submitted
+        self.discarded_bytes = 0  # bytes that arrived after the close was decided
 
     @property
     def busy(self) -> bool:
-        """A request is begun or open."""
+        """Whether a request has arrived at least in part and is not answered."""
         return self.state in (ConnectionState.READING, ConnectionState.ANSWERING)
 
     def enter(self, state: ConnectionState) -> None:
-        """Go on to another state; to the same one is no change.
+        """Go to another state; entering the present state again changes nothing.
 
         Raises:
             TransitionError: that state can't follow.
@@ -98,37 +100,37 @@
             raise TransitionError(f"a connection can't go from {self.state.value} to {state.value}")
         self.state = state
 
-    def close_for(self, reason: CloseReason) -> None:
-        """Note why it is closed; the first reason stays."""
-        if self.reason is None:
-            self.reason = reason
+    def set_close_reason(self, reason: CloseReason) -> None:
+        """Record why it is closed; the first reason is kept."""
+        if self.close_reason is None:
+            self.close_reason = reason
 
     def stop_reading(self) -> None:
-        """End the wait for bytes, if it is in one."""
-        if self.reading is not None:
-            self.reading.cancel()
+        """End the wait for bytes, if there is one."""
+        if self.read_scope is not None:
+            self.read_scope.cancel()
 
-    def end(self) -> None:
-        """Send the end of a resting connection, at once."""
+    def half_close(self) -> None:
+        """Close the sending side of an idle connection at once."""
         self.enter(ConnectionState.HALF_CLOSED)
-        self.stream.end()
+        self.stream.half_close()
 
-    async def await_peer(self, most_ms: float) -> None:
-        """Wait for the peer's end, for at most so long, and read nothing."""
-        with anyio.move_on_after(most_ms / 1000):
-            while not self.stream.peer_ended:
-                await anyio.sleep(LOOK_S)
+    async def await_peer_close(self, timeout_ms: float) -> None:
+        """Wait until the peer closes too or the timeout expires, and read nothing."""
+        with anyio.move_on_after(timeout_ms / 1000):
+            while not self.stream.peer_closed:
+                await anyio.sleep(PEER_CHECK_INTERVAL_S)
 
-    async def shut(self, limits: Limits, linger_ms: float) -> None:
-        """Send nothing more, and read for at most so long what still comes, until the peer closes too. The time counts
-        from when the system has taken all that was written."""
+    async def shut_down(self, limits: Limits, linger_ms: float) -> None:
+        """Send nothing more, and discard what still arrives, until the peer closes too or ``linger_ms`` have passed.
+        That time starts once the system has accepted all that was written."""
         self.enter(ConnectionState.HALF_CLOSED)
-        # uvloop raises a RuntimeError where the connection is closed already.
+        # uvloop raises a RuntimeError if the connection is already closed.
         with contextlib.suppress(*CONNECTION_ERRORS, RuntimeError):
             await self.stream.send_eof()
             with anyio.move_on_after(limits.write_timeout_ms / 1000):
-                while self.stream.unsent:
-                    await anyio.sleep(LOOK_S)
+                while self.stream.unsent_bytes:
+                    await anyio.sleep(PEER_CHECK_INTERVAL_S)
             with anyio.move_on_after(linger_ms / 1000):
                 for _ in range(limits.max_linger_reads):
-                    self.discarded += len(await self.stream.receive(limits.read_chunk_bytes))
+                    self.discarded_bytes += len(await self.stream.receive(limits.read_chunk_bytes))
--- a/flintshift/wire/control_front.py
+++ b/flintshift/wire/control_front.py
@@ -1,7 +1,7 @@
-"""The control door: a small HTTP/1.1 front for operators, one call a connection, apart from the callers' table.
+"""The control endpoint: a small HTTP/1.1 front for operators with one call per connection.
 
-It is bounded on its own, so that a full table of callers shuts no operator out, and it asks nothing of the decision
-planner: a call is answered in the turn of the loop that read it.
+It has its own bound on connections, so that a full table of callers locks no operator out. It does not use the decision
+planner: a call is answered in the event loop turn that read it.
 """
 
 from __future__ import annotations
@@ -19,32 +19,32 @@
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log, log_nothing
-from flintshift.wire.caller_stream import caller_stream
+from flintshift.wire.caller_stream import open_caller_stream
 from flintshift.wire.fields import RequestError, encode_response
 from flintshift.wire.link import CONNECTION_ERRORS
 
-TURNS = 3  # of the loop, from accepting a connection to reading what came with it
+TURNS_TO_FIRST_READ = 3  # of the event loop, from accepting a connection to reading the bytes that came with it
 
 
 class OperatedNode(Protocol):
     """What operators may ask of a node. Each call is idempotent and takes effect before it returns."""
 
     def not_ready_reason(self) -> str | None:
-        """Why this process takes no clients; None when it does."""
+        """Why this process does not serve clients; None if it does."""
         ...
 
     def take_out_of_service(self) -> str | None:
-        """Health checks are bad from now on, all that arrives is answered as always; else why not."""
+        """Make health checks fail from now on; requests are answered as before. Returns why not, if it can't."""
         ...
 
     def put_in_service(self) -> str | None:
-        """Health checks are good again, as far as the decisions go; else why not."""
+        """Make health checks succeed again, as far as the decisions allow. Returns why not, if it can't."""
         ...
 
 
 @dataclass(eq=False)
-class Call:
-    """A connection that brings a call."""
+class ControlConnection:
+    """A connection that brings one call."""
 
     raw: socket.socket
     since_ms: float
@@ -52,60 +52,66 @@
 
 
 class ControlFront:
+    """Serves the calls of operators."""
+
     def __init__(self, node: OperatedNode, limits: Limits, counters: Counters, now_ms: Callable[[], float]) -> None:
         self.limits, self.counters, self.now_ms = limits, counters, now_ms
         self.log: Log = log_nothing
-        self.calls: dict[Call, None] = {}  # the oldest first
-        self.table: dict[str, tuple[str, Callable[[], str | None]]] = {
+        self.connections: dict[ControlConnection, None] = {}  # the oldest first
+        self.handlers: dict[str, tuple[str, Callable[[], str | None]]] = {  # method and handler by path
             "/control/ready": ("GET", node.not_ready_reason),
             "/control/out-of-service": ("POST", node.take_out_of_service),
             "/control/in-service": ("POST", node.put_in_service),
         }
 
     async def serve(self, raw: socket.socket, tasks: TaskGroup) -> None:
-        """Accept as many in a turn as there is room for; where there is none, those that have stayed make it.
+        """Accept as many connections in one turn of the event loop as the bound allows, and displace old ones when it
+        is reached.
 
-        In a busy node a turn of the loop is long: a wait for each connection would add up to seconds for a queue."""
+        In a busy node a turn of the loop is long. One turn for each connection would add up to seconds for a queue."""
         with raw:
             while True:
                 await anyio.wait_readable(raw)
-                while len(self.calls) < self.limits.control_connections:
+                while len(self.connections) < self.limits.control_connections:
                     try:
                         accepted, _ = raw.accept()
                     except (BlockingIOError, ConnectionAbortedError):
                         break
-                    except OSError:  # one connection that can't be accepted must not end the door
+                    except OSError:  # one connection that can't be accepted must not end the control endpoint
                         self.counters.add("control.accept_failed")
                         await anyio.sleep(self.limits.backoff_ms / 1000)
                         break
                     accepted.setblocking(False)
-                    call = Call(accepted, self.now_ms(), anyio.CancelScope())
-                    self.calls[call] = None
-                    tasks.start_soon(self._answer, call)
+                    connection = ControlConnection(accepted, self.now_ms(), anyio.CancelScope())
+                    self.connections[connection] = None
+                    tasks.start_soon(self._serve_connection, connection)
                 else:
-                    await self._make_room()
-
-    async def _make_room(self) -> None:
-        """Close what has brought no whole call, but none that had no time to: newcomers wait so long."""
-        stayed = list(self.calls)
-        await anyio.sleep(max(0.0, stayed[0].since_ms + self.limits.control_displace_after_ms - self.now_ms()) / 1000)
-        for _ in range(TURNS):  # in a busy node, time passes without a turn
+                    await self._displace()
+
+    async def _displace(self) -> None:
+        """Close connections that have not brought a complete call, except those that had no time for it: new
+        connections wait for that time."""
+        candidates = list(self.connections)
+        await anyio.sleep(
+            max(0.0, candidates[0].since_ms + self.limits.control_displace_after_ms - self.now_ms()) / 1000
+        )
+        for _ in range(TURNS_TO_FIRST_READ):  # in a busy node, that time may pass without a turn of the loop
             await checkpoint()
-        before = self.now_ms() - self.limits.control_displace_after_ms
-        for call in stayed:
-            if call in self.calls and call.since_ms <= before:
-                del self.calls[call]
+        latest_ms = self.now_ms() - self.limits.control_displace_after_ms
+        for connection in candidates:
+            if connection in self.connections and connection.since_ms <= latest_ms:
+                del self.connections[connection]
                 self.counters.add("control.displaced")
-                call.scope.cancel()
+                connection.scope.cancel()
 
-    async def _answer(self, call: Call) -> None:
+    async def _serve_connection(self, connection: ControlConnection) -> None:
         stream = None
         try:
-            with call.scope:
-                stream = await caller_stream(call.raw)
+            with connection.scope:
+                stream = await open_caller_stream(connection.raw)
                 async with stream:
                     with anyio.move_on_after(self.limits.control_call_timeout_ms / 1000):
-                        status, reason = await self._outcome(stream)
+                        status, reason = await self._handle_call(stream)
                         body = f"{reason}\n".encode()
                         self.counters.add(f"control.status_{status}")
                         await stream.send(
@@ -120,35 +126,37 @@
                             )
                         )
                         return
-                    self.counters.add("control.cut")  # it said nothing, or half a call
-        except (*CONNECTION_ERRORS, ValueError, RuntimeError):  # the last two: it went before it was looked at
+                    self.counters.add("control.cut")  # no call or only a part of one arrived in time
+        # ValueError, RuntimeError: the connection was closed before its stream was created.
+        except (*CONNECTION_ERRORS, ValueError, RuntimeError):
             self.counters.add("control.broken")
         finally:
-            self.calls.pop(call, None)
+            self.connections.pop(connection, None)
             if stream is None:
-                call.raw.close()
+                connection.raw.close()
 
-    async def _outcome(self, stream: SocketStream) -> tuple[int, str]:
+    async def _handle_call(self, stream: SocketStream) -> tuple[int, str]:
+        """Read and carry out a call; the status and text of its response."""
         conn = h11.Connection(h11.SERVER, self.limits.max_control_head_bytes)
         try:
-            request = await self._request(conn, stream)
+            request = await self._read_request(conn, stream)
         except RequestError as error:
             return error.status, error.text
         except h11.RemoteProtocolError as error:
-            return 400, f"this is no HTTP/1.1 call: {error}"
+            return 400, f"not an HTTP/1.1 request: {error}"
         path = request.target.decode("latin-1").partition("?")[0]
-        if path not in self.table:
-            return 404, f"there is no such call; there are {', '.join(self.table)}"
-        method, act = self.table[path]
+        if path not in self.handlers:
+            return 404, f"no such call; the calls are {', '.join(self.handlers)}"
+        method, handler = self.handlers[path]
         if request.method.decode() != method:
             return 405, f"{path} takes {method}"
-        reason = act()
+        reason = handler()
         self.log("info", "control.called", call=path, reason=reason)
         return (200, "yes") if reason is None else (503, reason)
 
-    async def _request(self, conn: h11.Connection, stream: SocketStream) -> h11.Request:
-        """The call, once it has come whole; what its body holds is of no meaning."""
-        request, size = None, 0
+    async def _read_request(self, conn: h11.Connection, stream: SocketStream) -> h11.Request:
+        """Read a complete request; its body is ignored."""
+        request, body_bytes = None, 0
         while True:
             event = conn.next_event()
             if event is h11.NEED_DATA:
@@ -156,10 +164,10 @@
             elif isinstance(event, h11.Request):
                 request = event
             elif isinstance(event, h11.Data):
-                size += len(event.data)
-                if size > self.limits.max_control_head_bytes:
-                    raise RequestError(400, "the call is too large")
+                body_bytes += len(event.data)
+                if body_bytes > self.limits.max_control_head_bytes:
+                    raise RequestError(400, "the request is too large")
             elif isinstance(event, h11.EndOfMessage) and request is not None:
                 return request
             else:
-                raise RequestError(400, "the call is cut off")
+                raise RequestError(400, "the request is truncated")
--- a/flintshift/wire/fields.py
+++ b/flintshift/wire/fields.py
@@ -1,4 +1,4 @@
-"""The fields of a request, whichever protocol carried them, and the answers to what can't be taken."""
+"""Builds attempts from the fields of requests, whichever protocol carried them, and responses in the form of HTTP."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 HEX16 = re.compile(r"[0-9a-fA-F]{16}")
 TOKEN = re.compile(r"[!-~]{1,64}")
-UNIX_MS_MOST = 2.0**53
+MAX_UNIX_MS = 2.0**53
 
 
 class RequestError(Exception):
-    """What was read can't be taken; `status` says why, and the text what is wrong with it."""
+    """A request is malformed or asks for something that does not exist: the status and text of its response."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -28,7 +28,7 @@
 
 
 class AttemptBuilder:
-    """Makes an attempt of the fields that the decisions need."""
+    """Builds an attempt from the fields of a request that the decisions need."""
 
     def __init__(
         self,
@@ -37,52 +37,63 @@
         now_ms: Callable[[], float],
         age_ms: Callable[[float], float] | None = None,
     ) -> None:
-        """``age_ms`` tells how long ago the wall clock showed a Unix time; None: ``now_ms`` goes by the wall clock."""
+        """``age_ms`` returns how long ago a Unix time was on the wall clock. None: ``now_ms`` is the wall clock."""
         self.catalogue, self.limits, self.now_ms = catalogue, limits, now_ms
         self.age_ms = age_ms or (lambda unix_ms: now_ms() - unix_ms)
 
     def class_name_of(self, method: str, target: str) -> str:
-        before, separator, name = target.partition("?")[0].partition("/call/")
-        if before or not separator:
+        """The name of the request class that a method and target ask for.
+
+        Raises:
+            RequestError: there is no such class, or it takes another method.
+        """
+        prefix, separator, name = target.partition("?")[0].partition("/call/")
+        if prefix or not separator:
             raise RequestError(404, "no such class")
         if self.catalogue.find_class(name) is None:
-            name = unquote(name)  # a name may hold what a path can't
+            name = unquote(name)  # names may contain characters that a path can't
         if self.catalogue.find_class(name) is None:
             raise RequestError(404, "no such class")
         if method != "POST":
-            raise RequestError(405, "only POST is taken here")
+            raise RequestError(405, "only POST is allowed here")
         return name
 
     def build(
-        self, class_name: str, body: bytes, get: Callable[[str], str | None], tell: Callable[[Answer], None]
+        self, class_name: str, body: bytes, get: Callable[[str], str | None], on_answer: Callable[[Answer], None]
     ) -> Attempt:
-        def text(name: str, fits: re.Pattern[str]) -> str:
+        """Build the attempt of a complete request. ``get`` returns the value of a field, or None if it is missing.
+
+        Raises:
+            RequestError: a field is missing or invalid, or the body is too large.
+        """
+
+        def text(name: str, pattern: re.Pattern[str]) -> str:
             value = get(name)
-            if value is None or not fits.fullmatch(value):
-                raise RequestError(400, f"{name} is missing" if value is None else f"{name} is impossible")
+            if value is None or not pattern.fullmatch(value):
+                raise RequestError(400, f"{name} is missing" if value is None else f"{name} is invalid")
             return value
 
-        def number(name: str, least: float, most: float, whole: bool = False) -> float:
+        def number(name: str, minimum: float, upper_bound: float, integer: bool = False) -> float:
             value = text(name, TOKEN)
             try:
-                found = float(int(value)) if whole else float(value)
+                parsed = float(int(value)) if integer else float(value)
             except (ValueError, OverflowError):
-                found = math.nan
-            if not least <= found < most or "_" in value:
-                raise RequestError(400, f"{name} is impossible")
-            return found
+                parsed = math.nan
+            if not minimum <= parsed < upper_bound or "_" in value:
+                raise RequestError(400, f"{name} is invalid")
+            return parsed
 
         if len(body) > self.limits.max_body_bytes:
             raise RequestError(413, "the body is too large")
-        item, kind = get("X-Item"), self.catalogue.find_class(class_name)
-        keyed = kind is not None and kind.effect is Effect.KEYED
-        number("X-Precedence", 0, 1)  # no decision uses it, but one that is no rank is a fault of the caller
+        item, request_class = get("X-Item"), self.catalogue.find_class(class_name)
+        keyed = request_class is not None and request_class.effect is Effect.KEYED
+        number("X-Precedence", 0, 1)  # no decision uses it, but an invalid value is an error of the caller
         if get("X-Size-Ms") is not None:
-            number("X-Size-Ms", 0, self.limits.max_request_age_ms)  # the same holds for this one
+            number("X-Size-Ms", 0, self.limits.max_request_age_ms)  # the same holds for this field
         return Attempt(
             id=text("X-Job-Id", HEX16),
             class_name=class_name,
-            arrival_ms=self._door_ms(number("X-Door-Time", 0, UNIX_MS_MOST, True)),
+            arrival_ms=self._arrival_ms(number("X-Door-Time", 0, MAX_UNIX_MS, True)),
             caller_timeout_ms=number("X-Allow-Ms", 0, self.limits.max_request_age_ms)
             if get("X-Allow-Ms") is not None
             else None,
@@ -93,27 +104,28 @@
             marked_repeat=get("X-Again") is not None and text("X-Again", re.compile("[01]")) == "1",
             request_key=text("X-Unique", TOKEN) if keyed else None,
             subject=int(text("X-Item", HEX16), 16) if item is not None else None,
-            on_answer=tell,
+            on_answer=on_answer,
         )
 
-    def _door_ms(self, unix_ms: float) -> float:
-        """When a request came to the machine, by the node's clock: no later than now, whatever its caller's says."""
+    def _arrival_ms(self, unix_ms: float) -> float:
+        """When a request reached the machine, by the node's clock; never later than now, whatever the sender's clock
+        says."""
         age_ms = self.age_ms(unix_ms)
         if not -self.limits.clock_skew_ms < age_ms <= self.limits.max_request_age_ms:
-            raise RequestError(400, "X-Door-Time is impossible")
+            raise RequestError(400, "X-Door-Time is invalid")
         return self.now_ms() - max(0.0, age_ms)
 
     def _tenant(self, team: str | None) -> str | None:
         if team is not None and not self.catalogue.knows_club(team):
-            team = _utf8(team)
+            team = _reread_as_utf8(team)
         if not self.catalogue.knows_club(team):
-            raise RequestError(400, "X-Team is missing" if team is None else "X-Team is impossible")
+            raise RequestError(400, "X-Team is missing" if team is None else "X-Team is invalid")
         return team
 
 
-def _utf8(text: str) -> str:
-    """A field's bytes, which were read as Latin-1, read as UTF-8 where they can be: settings may name what no ASCII
-    can."""
+def _reread_as_utf8(text: str) -> str:
+    """Decode a field that was read as Latin-1 as UTF-8 instead, where possible: names in the settings may contain
+    characters beyond ASCII."""
     try:
         return text.encode("latin-1").decode("utf-8")
     except UnicodeError:
@@ -123,24 +135,27 @@
 STATUS = {Verdict.SERVED: 200, Verdict.FAILED: 500, Verdict.CONFLICT: 409}
 
 
-def response_status(answer: Answer, posture: ServingStatus) -> int:
-    return STATUS.get(answer.verdict) or (503 if posture.draining or not posture.workers_up else 429)
+def response_status(answer: Answer, serving_status: ServingStatus) -> int:
+    """The HTTP status of an answer."""
+    return STATUS.get(answer.verdict) or (503 if serving_status.draining or not serving_status.workers_up else 429)
 
 
-LINES = {status.value: f"HTTP/1.1 {status.value} {status.phrase}" for status in HTTPStatus}
+STATUS_LINES = {status.value: f"HTTP/1.1 {status.value} {status.phrase}" for status in HTTPStatus}
 
 
 def encode_response(status: int, headers: list[tuple[str, str]], body: bytes) -> bytes:
-    """An answer in the manner of HTTP/1.1, as both fronts give it."""
-    lines = [LINES[status], *(f"{name}: {value}" for name, value in headers), "", ""]
+    """Encode a response in the form of HTTP/1.1, which both fronts use."""
+    lines = [STATUS_LINES[status], *(f"{name}: {value}" for name, value in headers), "", ""]
     return "\r\n".join(lines).encode("latin-1") + body
 
 
-def response_headers(answer: Answer | None, body: bytes, posture: ServingStatus, close: bool) -> list[tuple[str, str]]:
-    """The headers of an answer, or of what is said to a health check or to what can't be taken."""
+def response_headers(
+    answer: Answer | None, body: bytes, serving_status: ServingStatus, close: bool
+) -> list[tuple[str, str]]:
+    """The headers of a response to a request; without an answer, to a health check or an invalid request."""
     headers = [("Content-Length", str(len(body)))]
-    if posture.free_value is not None:
-        headers.append(("X-Advice", f"{posture.free_value:g}"))
+    if serving_status.free_value is not None:
+        headers.append(("X-Advice", f"{serving_status.free_value:g}"))
     if answer is not None and answer.verdict is Verdict.REFUSED:
         if answer.retry_after_ms > 0:
             headers.append(("X-Wait-Ms", str(math.ceil(answer.retry_after_ms))))
--- a/flintshift/wire/front.py
+++ b/flintshift/wire/front.py
@@ -1,4 +1,4 @@
-"""What both fronts share: connections and their count, and one request handed over and waited for."""
+"""What both fronts share: their connections, and how one request is submitted and its answer awaited."""
 
 from __future__ import annotations
 
@@ -23,240 +23,251 @@
 from flintshift.wire.link import CONNECTION_ERRORS
 
 
-class Exchange:
-    """Waits for the final answer to one request, or for its caller to go."""
+class PendingAnswer:
+    """Holds the final answer to one request, and ends the wait for it."""
 
     def __init__(self) -> None:
         self.answer: Answer | None = None
-        self.reading: anyio.CancelScope | None = None  # set while it waits
+        self.wait_scope: anyio.CancelScope | None = None  # set while the front waits
 
-    def tell(self, answer: Answer) -> None:
+    def resolve(self, answer: Answer) -> None:
         self.answer = answer
-        if self.reading is not None:
-            self.reading.cancel()
+        if self.wait_scope is not None:
+            self.wait_scope.cancel()
 
 
 class Front:
-    """Serves one listener; what a connection says is the subclass's."""
+    """Serves the connections of one listener; subclasses implement the protocol spoken on a connection."""
 
     name = "front"
 
     def __init__(
         self,
-        fields: AttemptBuilder,
+        attempt_builder: AttemptBuilder,
         decisions: Decisions,
         limits: Limits,
         counters: Counters,
         now_ms: Callable[[], float],
-        most: int,
+        max_connections: int,
         verify: Callable[[], Awaitable[bool]],
     ) -> None:
-        self.fields, self.decisions, self.limits = fields, decisions, limits
-        self.counters, self.now_ms, self.max_connections, self.verify = counters, now_ms, most, verify
+        self.attempt_builder, self.decisions, self.limits = attempt_builder, decisions, limits
+        self.counters, self.now_ms, self.max_connections, self.verify = counters, now_ms, max_connections, verify
         self.connections: set[Connection] = set()
-        self.idle: tuple[dict[Connection, None], ...] = ({}, {})  # that never spoke, that did; idlest first
+        # Idle connections without and with an earlier request; the longest idle first.
+        self.idle: tuple[dict[Connection, None], ...] = ({}, {})
         self.usage_recorder: UsageRecorder | None = None
         self.log: Log | None = None  # of requests; None: not at this level
         self.listener: Acceptor | None = None
-        self.accepting = anyio.CancelScope()
-        self.taking: anyio.Event | None = None  # there is one while another process of this node accepts
-        self.other_process_open_count = 0  # connections that it holds
-        self.listening = True  # it takes new connections, now or once it may
-        self.takes_queue = True  # what is queued at the end is this process's
-        self.alone = True  # and nobody listens there any more
-        self.last = False  # each answer is the last on its connection, until `resume_accepting`
-        self.draining = False  # so it is from now on
-        self.closing = False  # all that is open gets its answer and is closed
+        self.accept_scope = anyio.CancelScope()
+        self.resumed: anyio.Event | None = None  # not None while another process of this node accepts
+        self.other_process_open_count = 0  # open connections of that process
+        self.listening = True  # this process accepts new connections, now or once it resumes
+        self.accepts_queue = True  # at the end, queued connections belong to this process
+        self.sole_listener = True  # and no other process listens at the socket any more
+        self.closes_until_resumed = False  # each answer is the last on its connection, until `resume_accepting`
+        self.draining = False  # each answer is the last on its connection, from now on
+        self.closing = False  # open requests are answered, and all connections closed
 
     @property
-    def posture(self) -> ServingStatus:
+    def serving_status(self) -> ServingStatus:
         return self.decisions.serving_status
 
     @property
     def finished(self) -> bool:
-        """It was told to finish, and has closed all that it took; what was queued at its end too."""
+        """Whether it was asked to finish and has closed all connections, those queued at its end included."""
         return self.listener is None or self.listener.finished
 
     @property
     def open_count(self) -> int:
-        """Connections that were accepted and are not closed."""
+        """The number of connections that were accepted and are not closed."""
         return len(self.connections) if self.listener is None else self.listener.open_count
 
     @property
-    def last_answers(self) -> bool:
-        """Each answer is the last on its connection."""
-        return self.last or self.draining or self.closing
+    def closes_after_answers(self) -> bool:
+        """Whether each answer is the last on its connection."""
+        return self.closes_until_resumed or self.draining or self.closing
 
     @property
     def busy_count(self) -> int:
+        """The number of connections with an unanswered request."""
         return sum(connection.busy for connection in self.connections)
 
     async def serve(self, listener: Acceptor, tasks: TaskGroup) -> None:
-        """Accept until told to finish; the connections live on in the task group given."""
+        """Accept connections until asked to finish; they are served in the given task group."""
         self.listener = listener
         while self.listening:
-            while self.taking is not None:
-                await self.taking.wait()
-            self.accepting = anyio.CancelScope()
-            with self.accepting:
+            while self.resumed is not None:
+                await self.resumed.wait()
+            self.accept_scope = anyio.CancelScope()
+            with self.accept_scope:
                 while self.listening:
                     try:
-                        await listener.serve(self._accepted, tasks, self)
+                        await listener.serve(self._handle_connection, tasks, self)
                     except OSError:  # one connection that can't be accepted must not end the node
                         self.counters.add(f"{self.name}.accept_failed")
                         await anyio.sleep(self.limits.backoff_ms / 1000)
-        if self.takes_queue:
-            if self.alone:
+        if self.accepts_queue:
+            if self.sole_listener:
                 await listener.drop_new_connections()
-            listener.accept_queued(self._accepted, tasks, self.limits.max_backlog_accepts)
+            listener.accept_queued(self._handle_connection, tasks, self.limits.max_backlog_accepts)
         listener.close()
 
     def pause_accepting(self) -> None:
-        """Accept no more until `resume_accepting`, and end connections with their next answer."""
-        self.taking, self.last = self.taking or anyio.Event(), True
-        self.accepting.cancel()
+        """Accept no connection until `resume_accepting`, and close the open ones after their next answers."""
+        self.resumed, self.closes_until_resumed = self.resumed or anyio.Event(), True
+        self.accept_scope.cancel()
 
     def resume_accepting(self) -> None:
-        self.last = False
-        if self.taking is not None:
-            self.taking.set()
-            self.taking = None
+        self.closes_until_resumed = False
+        if self.resumed is not None:
+            self.resumed.set()
+            self.resumed = None
 
-    async def _accepted(self, stream: CallerStream) -> None:
-        # uvloop may raise a RuntimeError where the connection is closed already: that must not end the node.
+    async def _handle_connection(self, stream: CallerStream) -> None:
+        # uvloop may raise a RuntimeError if the connection is already closed: that must not end the node.
         with contextlib.suppress(*CONNECTION_ERRORS, RuntimeError):
             async with stream:
                 await self._admit(stream)
 
     def has_capacity(self) -> bool:
-        """One more may be accepted: up to an eighth more than the table holds, for those that are displaced and not
-        closed yet, and for those that are turned away."""
+        """Whether one more connection may be accepted. An eighth more than the table holds are allowed, for connections
+        that are displaced and not closed yet, and for those whose request is rejected."""
         return self.open_count + self.other_process_open_count < self.max_connections + max(
             1, self.max_connections // 8
         )
 
     def request_capacity(self) -> None:
-        """Have an idle connection go for one that waits in the queue, unless one goes already."""
-        if not any(connection.reason is CloseReason.DISPLACED for connection in self.connections):
+        """Displace an idle connection for one that waits in the queue, unless one is being displaced already."""
+        if not any(connection.close_reason is CloseReason.DISPLACED for connection in self.connections):
             self._displace()
 
     async def _admit(self, stream: CallerStream) -> None:
-        """Hold a connection that was accepted until it is over. Where the table has no place for it, its request is
-        answered all the same: closed over it, the connection would be reset, and the request lost."""
+        """Serve an accepted connection until it is closed. If the table is full, its request still gets an answer:
+        closing the connection over the unread request would reset it, and the request would be lost."""
         connection = Connection(stream, self.now_ms())
         if len(self.connections) + self.other_process_open_count >= self.max_connections and not self._displace():
             self.counters.add(f"{self.name}.connections_refused")
-            connection.turned_away = connection.last_request = True
+            connection.rejects_request = connection.is_last_request = True
         else:
             self.counters.add(f"{self.name}.connections")
         self.connections.add(connection)
-        self._rest(connection)
+        self._add_idle(connection)
         try:
             with connection.scope:
-                await self.converse(connection)
-                await self._shut(connection)
+                await self.serve_connection(connection)
+                await self._close(connection)
         except CONNECTION_ERRORS:
-            connection.close_for(CloseReason.CALLER_GONE)
+            connection.set_close_reason(CloseReason.CALLER_GONE)
             self.counters.add(f"{self.name}.connections_broken")
-        except Exception as error:  # a fault met on one connection must not end the others
-            connection.close_for(CloseReason.FAULT)
+        except Exception as error:  # an unforeseen exception on one connection must not end the others
+            connection.set_close_reason(CloseReason.FAULT)
             faults.record(self.counters, self.name, error)
             if self.log is not None:
                 self.log("error", "front.fault", front=self.name, fault=repr(error))
         finally:
             connection.enter(ConnectionState.CLOSED)
             self.connections.discard(connection)
-            self._stir(connection)
-            self._tell_of_close(connection)
+            self._remove_idle(connection)
+            self._record_close(connection)
 
-    def _tell_of_close(self, connection: Connection) -> None:
-        reason = connection.reason or CloseReason.CUT
+    def _record_close(self, connection: Connection) -> None:
+        reason = connection.close_reason or CloseReason.CUT
         self.counters.add(f"{self.name}.closed.{reason.value}")
-        if connection.discarded:
-            self.counters.add(f"{self.name}.bytes_discarded", connection.discarded)
+        if connection.discarded_bytes:
+            self.counters.add(f"{self.name}.bytes_discarded", connection.discarded_bytes)
         if self.log is not None:
             self.log(
                 "debug",
                 "connection.closed",
                 front=self.name,
                 reason=reason.value,
-                bytes_discarded=connection.discarded,
-                last_request=connection.request,
+                bytes_discarded=connection.discarded_bytes,
+                last_request=connection.last_request_id,
             )
 
-    def _rest(self, connection: Connection) -> None:
-        self.idle[connection.spoke][connection] = None
+    def _add_idle(self, connection: Connection) -> None:
+        self.idle[connection.had_request][connection] = None
 
-    def _stir(self, connection: Connection) -> None:
+    def _remove_idle(self, connection: Connection) -> None:
         for idle in self.idle:
             idle.pop(connection, None)
 
     def _displace(self) -> bool:
-        """Close the idlest connection for a new one. Guards the descriptors, which peers and fronts share,
-        without shutting usual callers out for those that stay and ask nothing: these go first if they never
-        spoke. One that came or spoke just now may have a request on its way."""
-        for idle, least_ms in zip(
+        """Close the longest idle connection for a new one; False if none may be closed.
+
+        This protects the file descriptors, which peers and fronts share, without locking usual callers out in favour of
+        those that stay connected and send nothing: connections without an earlier request are closed first. A
+        connection that was opened or answered just now may have a request on its way, and is kept."""
+        for idle, min_idle_ms in zip(
             self.idle, (self.limits.displace_silent_after_ms, self.limits.displace_idle_after_ms), strict=True
         ):
             connection = next(iter(idle), None)
-            if connection is not None and self.now_ms() - connection.since_ms >= least_ms:
-                self._stir(connection)
-                connection.close_for(CloseReason.DISPLACED)
+            if connection is not None and self.now_ms() - connection.since_ms >= min_idle_ms:
+                self._remove_idle(connection)
+                connection.set_close_reason(CloseReason.DISPLACED)
                 connection.stop_reading()
                 self.counters.add(f"{self.name}.connections_displaced")
                 return True
         return False
 
-    async def converse(self, connection: Connection) -> None:
+    async def serve_connection(self, connection: Connection) -> None:
+        """Answer the requests of a connection, until it is to be closed."""
         raise NotImplementedError
 
-    async def _shut(self, connection: Connection) -> None:
-        """See a connection off that is answered, or that was ended while it rested. One that never brought a request
-        is owed nothing, and keeps no descriptor from others any longer."""
-        if connection.at_end:  # nothing can stand unread any more
-            connection.close_for(CloseReason.CALLER_GONE)
+    async def _close(self, connection: Connection) -> None:
+        """Close a connection after its last answer, or one that was half-closed while idle. A connection that never
+        brought a request is closed at once, to free its file descriptor for others."""
+        if connection.at_eof:  # no unread bytes can be left
+            connection.set_close_reason(CloseReason.CALLER_GONE)
         elif connection.state is ConnectionState.HALF_CLOSED:
-            connection.close_for(CloseReason.IDLE)
-            if connection.spoke or self.draining:
-                await connection.await_peer(self.limits.close_crossing_ms)
+            connection.set_close_reason(CloseReason.IDLE)
+            if connection.had_request or self.draining:
+                await connection.await_peer_close(self.limits.close_crossing_ms)
         else:
-            connection.close_for(CloseReason.LAST_ANSWER)
-            await connection.shut(self.limits, self.limits.linger_ms)
+            connection.set_close_reason(CloseReason.LAST_ANSWER)
+            await connection.shut_down(self.limits, self.limits.linger_ms)
+
+    async def check_health(self, method: str, query: str) -> bool:
+        """The result of a health check. A deep one asks the worker pool, unless the result is cached.
 
-    async def healthy(self, method: str, query: str) -> bool:
-        """The answer to a health check; a deep one asks the worker pool unless it is told not to."""
+        Raises:
+            RequestError: the check uses another method than GET or HEAD.
+        """
         if method not in ("GET", "HEAD"):
-            raise RequestError(405, "only GET is taken here")
+            raise RequestError(405, "only GET is allowed here")
         self.counters.add(f"{self.name}.checks")
-        good = self.posture.workers_up and self.posture.healthy and not self.posture.out_of_service
-        if good and parse_qs(query).get("all") == ["1"] and not self.posture.health_is_cached:
+        healthy = (
+            self.serving_status.workers_up and self.serving_status.healthy and not self.serving_status.out_of_service
+        )
+        if healthy and parse_qs(query).get("all") == ["1"] and not self.serving_status.health_is_cached:
             return await self.verify()
-        return good
+        return healthy
 
     async def read(self, connection: Connection) -> bytes | None:
-        """Bytes; b"" at their end; None when the node stops, the connection has been idle for long enough,
-        or a request takes too long: the first one from the opening on, the next from their first byte."""
+        """Read bytes; b"" at their end. None when the node stops, the connection has been idle for too long or a
+        request takes too long: the first since the connection was opened, later ones since their first byte."""
         wait_s = None
-        if connection.busy or not connection.spoke:
+        if connection.busy or not connection.had_request:
             wait_s = max(0.0, connection.since_ms + self.limits.request_read_timeout_ms - self.now_ms()) / 1000
         if self.closing:
             wait_s = self.limits.last_read_timeout_ms / 1000
-        with anyio.move_on_after(wait_s) as connection.reading:
+        with anyio.move_on_after(wait_s) as connection.read_scope:
             try:
                 return await self._receive(connection)
             finally:
-                connection.reading = None
-        return None if connection.busy else self._end_or_take(connection)
+                connection.read_scope = None
+        return None if connection.busy else self._half_close_or_read(connection)
 
-    def _end_or_take(self, connection: Connection) -> bytes | None:
-        """End a resting connection, unless bytes of a request have come: these are returned, and answered as the last
-        on it. Nothing is awaited between the look and the end, so that nothing is read there."""
-        data = connection.stream.unread(self.limits.read_chunk_bytes)
+    def _half_close_or_read(self, connection: Connection) -> bytes | None:
+        """Half-close an idle connection, unless bytes of a request have arrived: these are returned, and the request is
+        the last on the connection. There is no await between the check and the half-close, so nothing is read then."""
+        data = connection.stream.read_available(self.limits.read_chunk_bytes)
         if not data:
-            connection.end()
+            connection.half_close()
             return None
-        connection.last_request, connection.reason = True, None
-        self.begun(connection)
+        connection.is_last_request, connection.close_reason = True, None
+        self.on_request_bytes(connection)
         return data
 
     async def _receive(self, connection: Connection) -> bytes:
@@ -264,48 +275,50 @@
         try:
             data = await connection.stream.receive(self.limits.read_chunk_bytes)
         except anyio.EndOfStream:
-            connection.at_end = True
+            connection.at_eof = True
             return b""
-        self.begun(connection)
+        self.on_request_bytes(connection)
         return data
 
-    def begun(self, connection: Connection) -> None:
-        """Bytes of a request have come."""
+    def on_request_bytes(self, connection: Connection) -> None:
+        """Note that bytes of a request have arrived."""
         if not connection.busy:
             connection.enter(ConnectionState.READING)
-            self._stir(connection)
-            if connection.spoke:
+            self._remove_idle(connection)
+            if connection.had_request:
                 connection.since_ms = self.now_ms()
 
-    def answered(self, connection: Connection) -> None:
-        """The connection is free for its next request."""
+    def on_answered(self, connection: Connection) -> None:
+        """Note that the connection is idle and may bring its next request."""
         connection.enter(ConnectionState.IDLE)
-        connection.spoke, connection.since_ms = True, self.now_ms()
-        self._rest(connection)
+        connection.had_request, connection.since_ms = True, self.now_ms()
+        self._add_idle(connection)
 
     async def write(self, connection: Connection, data: bytes) -> None:
+        """Write a response, or an interim response, to the caller."""
         connection.enter(ConnectionState.ANSWERING)
-        connection.writing_ms = self.now_ms()
+        connection.write_started_ms = self.now_ms()
         await connection.stream.send(data)
-        connection.writing_ms = math.inf
+        connection.write_started_ms = math.inf
 
-    async def exchange(
-        self, connection: Connection, attempt: Attempt, exchange: Exchange, more: Callable[[bytes], None]
+    async def submit_and_wait(
+        self, connection: Connection, attempt: Attempt, pending: PendingAnswer, on_early_data: Callable[[bytes], None]
     ) -> Answer | None:
-        """Hand a request over and wait for its answer; None when the caller went first."""
+        """Submit a request and wait for its answer; None if the caller disconnects before it.
+        ``on_early_data`` is given the bytes that arrive meanwhile."""
         self.counters.add(f"{self.name}.requests")
         connection.enter(ConnectionState.ANSWERING)
-        connection.request = attempt.id
+        connection.last_request_id = attempt.id
         if self.usage_recorder is not None:
             self.usage_recorder.track(attempt, self.name)
-        if connection.turned_away:
+        if connection.rejects_request:
             self.decisions.reject(attempt)
         else:
             self.decisions.submit(attempt)
-        early = 0
-        while exchange.answer is None:
-            with anyio.CancelScope() as exchange.reading:
-                if early > self.limits.max_head_bytes:  # what comes before the answer is kept, up to a bound
+        early_bytes = 0
+        while pending.answer is None:
+            with anyio.CancelScope() as pending.wait_scope:
+                if early_bytes > self.limits.max_head_bytes:  # bytes before the answer are kept only up to a bound
                     await anyio.sleep_forever()
                 try:
                     data = await connection.stream.receive(self.limits.read_chunk_bytes)
@@ -314,19 +327,19 @@
                         self.usage_recorder.record_disconnect(attempt, self.name)
                     await self.decisions.report(CallerDisconnected(attempt))
                     return None
-                early += len(data)
-                more(data)
-        return exchange.answer
+                early_bytes += len(data)
+                on_early_data(data)
+        return pending.answer
 
-    async def deliver(self, connection: Connection, attempt: Attempt, answer: Answer, data: bytes) -> None:
-        """Write a request's final answer."""
-        arrived = False
+    async def write_answer(self, connection: Connection, attempt: Attempt, answer: Answer, data: bytes) -> None:
+        """Write the final answer to a request, and record whether it could be written."""
+        written = False
         try:
             await self.write(connection, data)
-            arrived = True
+            written = True
         finally:
             if self.usage_recorder is not None:
-                self.usage_recorder.record_delivery(attempt, arrived)
+                self.usage_recorder.record_delivery(attempt, written)
             if self.log is not None:
                 self.log(
                     "debug",
@@ -336,47 +349,48 @@
                     front=self.name,
                     class_name=attempt.class_name,
                     verdict=answer.verdict.value,
-                    arrived=arrived,
+                    arrived=written,
                     age_ms=round(self.now_ms() - attempt.arrival_ms, 1),
                 )
 
     async def sweep(self) -> None:
-        """Close connections that have carried nothing for as long as was decided, and those whose callers
-        take no answer: they must not be held for ever."""
+        """Close connections that have been idle for the idle timeout, and those whose callers don't read their answers:
+        neither may stay open forever."""
         while True:
             await anyio.sleep(self.limits.sweep_interval_ms / 1000)
-            idle_ms, now = self.posture.idle_timeout_ms, self.now_ms()
+            idle_timeout_ms, now = self.serving_status.idle_timeout_ms, self.now_ms()
             for connection in self.connections:
-                if idle_ms and not connection.busy and now - connection.since_ms >= idle_ms:
+                if idle_timeout_ms and not connection.busy and now - connection.since_ms >= idle_timeout_ms:
                     connection.stop_reading()
-                if now - connection.writing_ms >= self.limits.write_timeout_ms:
-                    connection.close_for(CloseReason.NOT_TAKEN)
+                if now - connection.write_started_ms >= self.limits.write_timeout_ms:
+                    connection.set_close_reason(CloseReason.NOT_TAKEN)
                     self.counters.add(f"{self.name}.answers_not_taken")
                     connection.scope.cancel()
 
-    # The end, in three steps.
+    # The shutdown, in three steps.
 
     def drain(self) -> None:
-        """The node leaves: each answer says from now on that it is the last on its connection, so that callers end
-        their connections themselves, while none of their requests is on its way."""
+        """Announce in each answer that it is the last on its connection, because the node stops. So callers close their
+        connections themselves, while none of their requests is on its way."""
         self.draining = True
 
-    def stop_listening(self, alone: bool = True) -> None:
-        """Take what is queued, and nothing after it. ``alone``: no other process goes on listening at the socket."""
+    def stop_listening(self, sole_listener: bool = True) -> None:
+        """Accept the queued connections and none after them. ``sole_listener``: no other process goes on listening at
+        the socket."""
         if self.listening:
-            self.listening, self.takes_queue, self.alone = False, self.taking is None, alone
+            self.listening, self.accepts_queue, self.sole_listener = False, self.resumed is None, sole_listener
             self.resume_accepting()
-            self.accepting.cancel()
+            self.accept_scope.cancel()
 
     def finish(self) -> None:
-        """What is half read is answered, what rests is ended."""
+        """Answer the requests that have arrived in part, and close idle connections."""
         self.drain()
         self.stop_listening()
         self.closing = True
         for connection in self.connections:
             if not connection.busy:
-                connection.close_for(CloseReason.DRAINED)
+                connection.set_close_reason(CloseReason.DRAINED)
             connection.stop_reading()
 
 
-STOPPING = Answer(Verdict.REFUSED)
+UNFINISHED_ANSWER = Answer(Verdict.REFUSED)  # to a request whose rest did not arrive in time
--- a/flintshift/wire/http_front.py
+++ b/flintshift/wire/http_front.py
@@ -1,4 +1,4 @@
-"""The platform's front: HTTP/1.1, one request at a time on a connection, and health checks."""
+"""The platform's front: HTTP/1.1 with one request at a time on a connection, and health checks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from flintshift.core.attempts import Answer
 from flintshift.wire.connection import CloseReason, Connection
 from flintshift.wire.fields import RequestError, encode_response, response_headers, response_status
-from flintshift.wire.front import STOPPING, Exchange, Front
+from flintshift.wire.front import UNFINISHED_ANSWER, Front, PendingAnswer
 
 
 def origin_form(target: str) -> str:
@@ -26,55 +26,57 @@
 
 
 class HttpFront(Front):
+    """Serves callers over HTTP/1.1."""
+
     name = "http"
 
-    async def converse(self, connection: Connection) -> None:
-        early = b""  # of the next request, come before this one's answer
+    async def serve_connection(self, connection: Connection) -> None:
+        early = b""  # bytes of the next request that arrived before the answer to the present one
         while True:
-            conn, more, keep = h11.Connection(h11.SERVER, self.limits.max_head_bytes), list[bytes](), False
+            conn, early_parts, keep = h11.Connection(h11.SERVER, self.limits.max_head_bytes), list[bytes](), False
             if early:
-                self.begun(connection)
+                self.on_request_bytes(connection)
                 conn.receive_data(early)
             try:
-                request = await self._request(connection, conn)
+                request = await self._read_request(connection, conn)
                 if request is None:
                     return
                 keep = conn.their_state is h11.DONE
-                if not await self._answer(connection, keep, *request, more.append):
+                if not await self._answer(connection, keep, *request, early_parts.append):
                     return
             except RequestError as error:
                 self.counters.add(f"http.status_{error.status}")
                 keep = error.status == 404 and conn.their_state is h11.DONE
-                await self._say(connection, keep, error.status, json.dumps({"error": error.text}).encode())
-            except h11.RemoteProtocolError as error:  # no framing to rely on any more
+                await self._respond(connection, keep, error.status, json.dumps({"error": error.text}).encode())
+            except h11.RemoteProtocolError as error:  # the end of the request can't be determined any more
                 self.counters.add("http.status_400")
                 text = json.dumps({"error": str(error)}).encode()
-                await self._say(connection, False, 413 if error.error_status_hint == 413 else 400, text)
-            if connection.ending:
+                await self._respond(connection, False, 413 if error.error_status_hint == 413 else 400, text)
+            if connection.closes_after_answer:
                 return
-            early = b"".join((conn.trailing_data[0], *more))
-            self.answered(connection)
+            early = b"".join((conn.trailing_data[0], *early_parts))
+            self.on_answered(connection)
 
-    async def _request(self, connection: Connection, conn: h11.Connection) -> tuple[h11.Request, bytes] | None:
-        """The next whole request; None when the connection is over."""
+    async def _read_request(self, connection: Connection, conn: h11.Connection) -> tuple[h11.Request, bytes] | None:
+        """Read the next complete request; None if the connection is to be closed."""
         request, body = None, b""
         while True:
             event = conn.next_event()
             if event is h11.NEED_DATA:
                 if conn.they_are_waiting_for_100_continue:
-                    going = h11.InformationalResponse(status_code=100, headers=[])
-                    await self.write(connection, conn.send(going) or b"")
+                    interim = h11.InformationalResponse(status_code=100, headers=[])
+                    await self.write(connection, conn.send(interim) or b"")
                 data = await self.read(connection)
                 if data is None:
-                    if connection.busy:  # half read: nothing of it was run
-                        connection.close_for(CloseReason.UNFINISHED)
-                        status = 503 if self.posture.draining else 408
-                        await self._say(connection, False, status, b"", STOPPING)
+                    if connection.busy:  # the request arrived only in part, and nothing of it was run
+                        connection.set_close_reason(CloseReason.UNFINISHED)
+                        status = 503 if self.serving_status.draining else 408
+                        await self._respond(connection, False, status, b"", UNFINISHED_ANSWER)
                     return None
                 conn.receive_data(data)
             elif isinstance(event, h11.Request):
                 request, headers = event, dict(event.headers)
-                # Guards against a request hidden in the body: with both, peers differ on where it ends.
+                # Guards against request smuggling: with both headers, peers differ on where the body ends.
                 if b"content-length" in headers and b"transfer-encoding" in headers:
                     raise RequestError(400, "Content-Length and Transfer-Encoding exclude each other")
                 if int(headers.get(b"content-length", b"0")) > self.limits.max_body_bytes:
@@ -89,43 +91,54 @@
                 return None
 
     async def _answer(
-        self, connection: Connection, keep: bool, request: h11.Request, body: bytes, more: Callable[[bytes], None]
+        self,
+        connection: Connection,
+        keep: bool,
+        request: h11.Request,
+        body: bytes,
+        on_early_data: Callable[[bytes], None],
     ) -> bool:
-        """Answer a whole request; False when its caller went first."""
+        """Answer a complete request; False if its caller disconnected before the answer."""
         method, target = request.method.decode(), origin_form(request.target.decode())
         path, _, query = target.partition("?")
         if path == "/ping":
-            good = await self.healthy(method, query)
-            await self._say(connection, keep, 200 if good else 503, b"")
+            healthy = await self.check_health(method, query)
+            await self._respond(connection, keep, 200 if healthy else 503, b"")
             return True
-        class_name = self.fields.class_name_of(method, target)
+        class_name = self.attempt_builder.class_name_of(method, target)
         headers: dict[bytes, bytes] = {}
         for name, value in request.headers:
             if name in headers and name.startswith(b"x-"):
-                raise RequestError(400, f"{name.decode().title()} is impossible")  # which of the two holds?
+                raise RequestError(400, f"{name.decode().title()} is invalid")  # ambiguous: it occurs more than once
             headers[name] = value
 
         def get(name: str) -> str | None:
             value = headers.get(name.lower().encode())
             return value.decode("latin-1") if value is not None else None
 
-        exchange = Exchange()
-        attempt = self.fields.build(class_name, body, get, exchange.tell)
-        answer = await self.exchange(connection, attempt, exchange, more)
+        pending = PendingAnswer()
+        attempt = self.attempt_builder.build(class_name, body, get, pending.resolve)
+        answer = await self.submit_and_wait(connection, attempt, pending, on_early_data)
         if answer is not None:
-            said = response_headers(answer, answer.body, self.posture, self._ending(connection, keep))
-            await self.deliver(
-                connection, attempt, answer, encode_response(response_status(answer, self.posture), said, answer.body)
+            answer_headers = response_headers(
+                answer, answer.body, self.serving_status, self._closes_after_answer(connection, keep)
+            )
+            await self.write_answer(
+                connection,
+                attempt,
+                answer,
+                encode_response(response_status(answer, self.serving_status), answer_headers, answer.body),
             )
         return answer is not None
 
-    async def _say(
+    async def _respond(
         self, connection: Connection, keep: bool, status: int, body: bytes, answer: Answer | None = None
     ) -> None:
-        headers = response_headers(answer, body, self.posture, self._ending(connection, keep))
+        headers = response_headers(answer, body, self.serving_status, self._closes_after_answer(connection, keep))
         await self.write(connection, encode_response(status, headers, body))
 
-    def _ending(self, connection: Connection, keep: bool) -> bool:
-        """This answer is the connection's last. Once it was written without that word, another may be on its way."""
-        connection.ending = self.last_answers or connection.last_request or not keep
-        return connection.ending
+    def _closes_after_answer(self, connection: Connection, keep: bool) -> bool:
+        """Decide whether this answer is announced as the last on its connection. After an answer without that
+        announcement, the caller may already have sent another request."""
+        connection.closes_after_answer = self.closes_after_answers or connection.is_last_request or not keep
+        return connection.closes_after_answer
--- a/flintshift/wire/uwsgi_front.py
+++ b/flintshift/wire/uwsgi_front.py
@@ -1,4 +1,4 @@
-"""The uwsgi front: one request on a connection, answered in the manner of HTTP and closed."""
+"""The uwsgi front: one request on a connection, with a response in the form of HTTP, after which it is closed."""
 
 from __future__ import annotations
 
@@ -8,68 +8,70 @@
 from flintshift.wire import uwsgi
 from flintshift.wire.connection import CloseReason, Connection
 from flintshift.wire.fields import RequestError, encode_response, response_headers, response_status
-from flintshift.wire.front import STOPPING, Exchange, Front
+from flintshift.wire.front import UNFINISHED_ANSWER, Front, PendingAnswer
 
 
 class UwsgiFront(Front):
+    """Serves callers over uwsgi."""
+
     name = "uwsgi"
 
-    async def converse(self, connection: Connection) -> None:
+    async def serve_connection(self, connection: Connection) -> None:
         try:
-            await self._request(connection)
+            await self._serve_request(connection)
         except RequestError as error:
             self.counters.add(f"uwsgi.status_{error.status}")
-            await self._say(connection, error.status, json.dumps({"error": error.text}).encode())
+            await self._respond(connection, error.status, json.dumps({"error": error.text}).encode())
 
-    async def _request(self, connection: Connection) -> None:
-        got = bytearray()
+    async def _serve_request(self, connection: Connection) -> None:
+        buffer = bytearray()
 
-        async def take(size: int) -> bytes:
-            while len(got) < size:
+        async def read_exactly(size: int) -> bytes:
+            while len(buffer) < size:
                 data = await self.read(connection)
                 if data is None:
-                    raise StoppedError
+                    raise ReadStoppedError
                 if not data:
-                    raise RequestError(400, "the request is cut off")
-                got.extend(data)
-            taken = bytes(got[:size])
-            del got[:size]
-            return taken
+                    raise RequestError(400, "the request is truncated")
+                buffer.extend(data)
+            part = bytes(buffer[:size])
+            del buffer[:size]
+            return part
 
         try:
-            head = await take(uwsgi.HEAD.size)
-            block = await take(uwsgi.block_size(head, self.limits.max_uwsgi_vars_bytes))
+            head = await read_exactly(uwsgi.HEAD.size)
+            block = await read_exactly(uwsgi.block_size(head, self.limits.max_uwsgi_vars_bytes))
             variables = uwsgi.unpack(block)
-            body = await take(uwsgi.body_size(variables, self.limits.max_body_bytes))
-        except StoppedError:
-            if connection.busy:  # half read: nothing of it was run
-                connection.close_for(CloseReason.UNFINISHED)
-                await self._say(connection, 503 if self.posture.draining else 408, b"", STOPPING)
+            body = await read_exactly(uwsgi.body_size(variables, self.limits.max_body_bytes))
+        except ReadStoppedError:
+            if connection.busy:  # the request arrived only in part, and nothing of it was run
+                connection.set_close_reason(CloseReason.UNFINISHED)
+                await self._respond(connection, 503 if self.serving_status.draining else 408, b"", UNFINISHED_ANSWER)
             return
         method, path = variables.get("REQUEST_METHOD", ""), variables.get("PATH_INFO", "")
         if path == "/ping":
-            good = await self.healthy(method, variables.get("QUERY_STRING", ""))
-            await self._say(connection, 200 if good else 503, b"")
+            healthy = await self.check_health(method, variables.get("QUERY_STRING", ""))
+            await self._respond(connection, 200 if healthy else 503, b"")
             return
-        class_name, exchange = self.fields.class_name_of(method, path), Exchange()
-        attempt = self.fields.build(
-            class_name, body, lambda name: variables.get("HTTP_" + name.upper().replace("-", "_")), exchange.tell
+        class_name, pending = self.attempt_builder.class_name_of(method, path), PendingAnswer()
+        attempt = self.attempt_builder.build(
+            class_name, body, lambda name: variables.get("HTTP_" + name.upper().replace("-", "_")), pending.resolve
         )
         attempt.workers, attempt.head = "apps", head + block
-        answer = await self.exchange(connection, attempt, exchange, lambda data: None)
+        answer = await self.submit_and_wait(connection, attempt, pending, lambda data: None)
         if answer is not None:
-            headers = response_headers(answer, answer.body, self.posture, close=True)
-            await self.deliver(
+            headers = response_headers(answer, answer.body, self.serving_status, close=True)
+            await self.write_answer(
                 connection,
                 attempt,
                 answer,
-                encode_response(response_status(answer, self.posture), headers, answer.body),
+                encode_response(response_status(answer, self.serving_status), headers, answer.body),
             )
 
-    async def _say(self, connection: Connection, status: int, body: bytes, answer: Answer | None = None) -> None:
-        headers = response_headers(answer, body, self.posture, close=True)
+    async def _respond(self, connection: Connection, status: int, body: bytes, answer: Answer | None = None) -> None:
+        headers = response_headers(answer, body, self.serving_status, close=True)
         await self.write(connection, encode_response(status, headers, body))
 
 
-class StoppedError(Exception):
-    """The node stops, or the rest of the request did not come in time."""
+class ReadStoppedError(Exception):
+    """The node stops, or the rest of the request did not arrive in time."""
--- a/tests/wire/test_closing.py
+++ b/tests/wire/test_closing.py
@@ -78,14 +78,14 @@
     for _ in range(REPEATS):
         async with FrontHarness() as harness:
             raw = await harness.open_idle_connection()
-            unread = CallerStream.unread
+            read_available = CallerStream.read_available
 
-            def looked_and_sent(stream, most, raw=raw, unread=unread):
-                found = unread(stream, most)
+            def check_then_send(stream, max_bytes, raw=raw, read_available=read_available):
+                found = read_available(stream, max_bytes)
                 raw.send(PING)
                 return found
 
-            monkeypatch.setattr(CallerStream, "unread", looked_and_sent)
+            monkeypatch.setattr(CallerStream, "read_available", check_then_send)
             CLOSERS[closer](harness)
             caller = await open_caller(raw)
             assert await caller.reader.read() == b""
--- a/tests/wire/test_connections.py
+++ b/tests/wire/test_connections.py
@@ -164,5 +164,5 @@
 
         desk.tasks.start_soon(desk.front.sweep)
         with anyio.fail_after(10):
-            await desk.front._accepted(Stuck())
+            await desk.front._handle_connection(Stuck())
         assert desk.counters[f"{front}.answers_not_taken"] == 1 and not desk.front.connections
--- a/tests/wire/test_fields.py
+++ b/tests/wire/test_fields.py
@@ -23,7 +23,7 @@
 )
 async def test_a_customer_is_known_in_the_encodings_that_callers_write(encoding, told, status):
     async with FrontHarness() as harness:
-        harness.front.fields.catalogue.clubs.add(NAME)
+        harness.front.attempt_builder.catalogue.clubs.add(NAME)
         harness.decisions.immediate_answer = Answer(Verdict.SERVED, b"1")
         caller = await open_caller(harness.connect())
         fields = job("race-results", **{"X-Team": "TEAM"})
