--- a/tests/wire/front_harness.py
+++ b/tests/wire/front_harness.py
@@ -1,4 +1,4 @@
-"""An HTTP front that listens in the test's own event loop, with decisions made by the test."""
+"""A test harness: an HTTP front that listens in the test's own event loop, with decisions made by the test."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 @dataclass
 class ScriptedDecisions:
-    """In the place of the decisions: what was handed over, answered when the test says so."""
+    """Stands in for the decisions: keeps submitted attempts, and answers them when the test says so."""
 
     serving_status: ServingStatus = field(default_factory=lambda: ServingStatus(workers_up=True))
     submitted: list[Attempt] = field(default_factory=list)
     rejected: list[Attempt] = field(default_factory=list)
     disconnected: list[str] = field(default_factory=list)
     immediate_answer: Answer | None = None
-    open: int = 0  # requests that it holds
+    open: int = 0  # unanswered requests
 
     def submit(self, attempt: Attempt) -> None:
         self.submitted.append(attempt)
@@ -53,16 +53,16 @@
 
 
 class FrontHarness:
-    """An HTTP front that listens, with decisions made by the test."""
+    """Runs an HTTP front on a free port; an asynchronous context manager."""
 
     def __init__(self, **limits: float) -> None:
         self.limits, self.counters, self.decisions = Limits(**limits), Counters(), ScriptedDecisions()
-        fields = AttemptBuilder(Catalogue(settings_from(flat(SETTINGS)), self.limits), self.limits, now_ms)
-        self.front = HttpFront(fields, self.decisions, self.limits, self.counters, now_ms, 100, None)
+        attempt_builder = AttemptBuilder(Catalogue(settings_from(flat(SETTINGS)), self.limits), self.limits, now_ms)
+        self.front = HttpFront(attempt_builder, self.decisions, self.limits, self.counters, now_ms, 100, None)
 
     async def __aenter__(self):
         listener = Acceptor(open_listener(("127.0.0.1", 0), 64))
-        self.at = listener.raw.getsockname()
+        self.address = listener.raw.getsockname()
         self.tasks = await anyio.create_task_group().__aenter__()
         self.tasks.start_soon(self.front.serve, listener, self.tasks)
         self.tasks.start_soon(self.front.sweep)
@@ -71,31 +71,33 @@
     async def __aexit__(self, *_):
         self.tasks.cancel_scope.cancel()
         await self.tasks.__aexit__(None, None, None)
-        assert not self.front.connections and not any(self.front.idle)  # nothing outlives its owner
+        assert not self.front.connections and not any(self.front.idle)  # no connection outlives its front
 
     def connect(self, **options: int) -> socket.socket:
-        """A caller's connection, open as far as the kernel goes, without a turn of the loop."""
+        """Connect a caller. The kernel completes the connection without a turn of the event loop."""
         raw = socket.socket()
         for name, value in options.items():
             raw.setsockopt(socket.SOL_SOCKET, getattr(socket, name), value)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # its bytes are in the peer's kernel once it returns
-        raw.connect(self.at)
+        raw.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
+        )  # once `send` returns, its bytes are in the peer's kernel
+        raw.connect(self.address)
         return raw
 
     async def open_idle_connection(self) -> socket.socket:
-        """A connection that has brought a request before, and rests."""
+        """Open a connection whose first request is answered and which is idle now."""
         raw = self.connect()
         caller = await open_caller(raw.dup())
         caller.send(PING)
         assert (await caller.reply()).status == 200
         caller.writer.close()
-        while self.front.busy_count or not any(one.reading for one in self.front.connections):
+        while self.front.busy_count or not any(connection.read_scope for connection in self.front.connections):
             await asyncio.sleep(0)
         return raw
 
-    async def wait_until(self, true) -> None:
+    async def wait_until(self, condition) -> None:
         with anyio.fail_after(10):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.001)
 
 
--- a/tests/wire/test_bad_input.py
+++ b/tests/wire/test_bad_input.py
@@ -1,4 +1,4 @@
-"""What callers may not send, on both fronts."""
+"""Both fronts answer malformed requests with an error status, and run nothing for them."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 FRONTS = list(BYTES)
 
 
-def finishing(rig):
+def finish_at_once(rig):
     rig.pool.plan = dict.fromkeys(("race-results", "submit-time"), 0)
 
 
-BAD = [  # class, body, changed fields, the status, what the answer names
+INVALID_REQUESTS = [  # class, body, changed fields, status, a word in the answer's error
     ("nobody", b"", {}, 404, "class"),
     ("submit-time", b"x" * 2049, {}, 413, "body"),
     ("submit-time", b"", {"X-Job-Id": None}, 400, "X-Job-Id"),
@@ -36,14 +36,14 @@
 ]
 
 
-# What a caller may tell of the time that it still waits and of the work to expect, and the status that it gets: of a
-# request that came 60 ms ago.
-TOLD = [
+# Values for how long a caller still waits (X-Allow-Ms) and for the expected work (X-Size-Ms), with the status of the
+# response. The request arrived 60 ms ago.
+HINTS = [
     ("X-Allow-Ms", None, 200),
     ("X-Allow-Ms", "1400", 200),
     ("X-Allow-Ms", "1400.25", 200),
-    ("X-Allow-Ms", "80000000", 200),  # its class's deadline holds
-    ("X-Allow-Ms", "0", 429),  # already past: it is refused at once
+    ("X-Allow-Ms", "80000000", 200),  # the deadline of its class is earlier
+    ("X-Allow-Ms", "0", 429),  # already past: the request is refused at once
     ("X-Allow-Ms", "50", 429),
     ("X-Allow-Ms", "-5", 400),
     ("X-Allow-Ms", "soon", 400),
@@ -56,7 +56,7 @@
     ("X-Size-Ms", None, 200),
     ("X-Size-Ms", "0", 200),
     ("X-Size-Ms", "12.50", 200),
-    ("X-Size-Ms", "5000000", 200),  # it is rough: nothing is turned away for it alone
+    ("X-Size-Ms", "5000000", 200),  # a rough estimate: no request is rejected for it alone
     ("X-Size-Ms", "-1", 400),
     ("X-Size-Ms", "much", 400),
     ("X-Size-Ms", "nan", 400),
@@ -65,17 +65,17 @@
 
 
 @pytest.mark.parametrize("front", FRONTS)
-async def test_what_a_caller_tells_of_its_patience_and_of_the_cost_has_a_status_in_each_form(rig, front):
-    finishing(rig)
-    for name, value, status in TOLD:
+async def test_each_value_of_a_callers_timeout_and_expected_work_has_its_status(rig, front):
+    finish_at_once(rig)
+    for name, value, status in HINTS:
         fields = job("race-results", **{name: value, "X-Door-Time": str(int(time.time() * 1000) - 60)})
         reply = await rig.ask(front, "race-results", fields=fields)
         assert reply.status == status, (name, value, reply)
         assert status != 400 or name in json.loads(reply.body)["error"]
-    assert len(rig.runs()) == sum(status == 200 for _, _, status in TOLD)
+    assert len(rig.runs()) == sum(status == 200 for _, _, status in HINTS)
 
 
-BROKEN = {
+MALFORMED_BYTES = {
     "http": [
         (b"what is this\r\n\r\n", 400),
         (b"POST /call/x HTTP/1.1\r\nHost: a\r\nContent-Length: z\r\n\r\n", 400),
@@ -99,12 +99,12 @@
 
 
 @pytest.mark.parametrize("front", FRONTS)
-async def test_bad_input_is_answered_plainly_runs_nothing_and_leaves_the_node_up(rig, front):
-    finishing(rig)
-    for class_name, body, changes, status, named in BAD:
+async def test_malformed_input_gets_an_error_status_runs_nothing_and_leaves_the_node_up(rig, front):
+    finish_at_once(rig)
+    for class_name, body, changes, status, word in INVALID_REQUESTS:
         reply = await rig.ask(front, class_name, body, job(class_name, **changes))
-        assert reply.status == status and named in json.loads(reply.body)["error"], (changes, reply)
-    for data, status in BROKEN[front]:
+        assert reply.status == status and word in json.loads(reply.body)["error"], (changes, reply)
+    for data, status in MALFORMED_BYTES[front]:
         caller = await rig.connect(front)
         caller.send(data)
         caller.writer.write_eof()
--- a/tests/wire/test_connections.py
+++ b/tests/wire/test_connections.py
@@ -1,4 +1,4 @@
-"""Callers' connections: how many, for how long, and which give way."""
+"""Bounds on callers' connections: their number, their duration, and which are displaced by new ones."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 FRONTS = list(BYTES)
 
 
-class Desk:
-    """A front alone, with nothing behind it but health checks."""
+class StandaloneFront:
+    """A front without a node behind it, which answers only health checks."""
 
-    def __init__(self, name="http", most=3, **limits):
+    def __init__(self, name="http", max_connections=3, **limits):
         self.limits, self.counters = Limits(**limits), Counters()
         self.front = {"http": HttpFront, "uwsgi": UwsgiFront}[name](
             None,
@@ -35,7 +35,7 @@
             self.limits,
             self.counters,
             lambda: time.time() * 1000,
-            most,
+            max_connections,
             None,
         )
         self.ping = BYTES[name]("", b"", {}, method="GET", path="/ping")
@@ -61,19 +61,19 @@
 
 async def test_a_connection_that_cannot_be_accepted_does_not_end_the_front():
     class Listener:
-        tries, closed, open_count, again = 0, False, 0, anyio.Event()
+        tries, closed, open_count, retried = 0, False, 0, anyio.Event()
 
-        async def serve(self, handler, tasks, room):
+        async def serve(self, handler, tasks, capacity):
             self.tries += 1
             if self.tries == 1:
                 raise OSError("too many open files")
-            self.again.set()
+            self.retried.set()
             await anyio.sleep_forever()
 
         async def drop_new_connections(self):
             pass
 
-        def accept_queued(self, handler, tasks, most):
+        def accept_queued(self, handler, tasks, max_tries):
             pass
 
         def close(self):
@@ -83,75 +83,83 @@
     front = Front(None, None, Limits(), counters, time.time, 1, None)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(front.serve, listener, tasks)
-        await listener.again.wait()
+        await listener.retried.wait()
         front.finish()
     assert listener.closed and counters["front.accept_failed"] == 1
 
 
-async def test_a_full_table_closes_the_idlest_for_a_newcomer_and_first_what_never_spoke():
-    async with Desk(displace_silent_after_ms=0.0, displace_idle_after_ms=0.0, request_read_timeout_ms=60_000.0) as desk:
-        kept, idler = await desk.open(desk.ping), await desk.open(desk.ping)
-        silent = await desk.open()
-        new = await desk.open(desk.ping)
+async def test_a_full_table_displaces_the_longest_idle_connection_and_first_one_without_a_request():
+    async with StandaloneFront(
+        displace_silent_after_ms=0.0, displace_idle_after_ms=0.0, request_read_timeout_ms=60_000.0
+    ) as standalone:
+        kept, idle = await standalone.open(standalone.ping), await standalone.open(standalone.ping)
+        silent = await standalone.open()
+        new = await standalone.open(standalone.ping)
         assert await silent.ended() and new
-        kept.send(desk.ping)
+        kept.send(standalone.ping)
         assert (await kept.reply()).status == 200
-        busy = await desk.open(desk.ping[:9])  # half said: it stays, and so does what it displaces last
-        assert await idler.ended()
-        kept.send(desk.ping)
+        busy = await standalone.open(
+            standalone.ping[:9]
+        )  # a partial request: its connection is kept, and displaces the idle one
+        assert await idle.ended()
+        kept.send(standalone.ping)
         assert (await kept.reply()).status == 200
-        busy.send(desk.ping[9:])
+        busy.send(standalone.ping[9:])
         assert (await busy.reply()).status == 200
-        assert desk.counters["http.connections_displaced"] == 2
+        assert standalone.counters["http.connections_displaced"] == 2
 
 
-async def test_where_nobody_may_go_for_a_newcomer_it_is_answered_and_then_goes():
-    async with Desk(request_read_timeout_ms=60_000.0) as desk:
-        kept = [await desk.open(desk.ping) for _ in range(3)]
-        newcomer = await desk.open()
-        newcomer.send(desk.ping)
+async def test_if_no_connection_may_be_displaced_the_new_one_is_answered_and_then_closed():
+    async with StandaloneFront(request_read_timeout_ms=60_000.0) as standalone:
+        kept = [await standalone.open(standalone.ping) for _ in range(3)]
+        newcomer = await standalone.open()
+        newcomer.send(standalone.ping)
         answer = await newcomer.reply()
         assert answer.status == 200 and answer.headers["connection"] == "close"
-        assert await newcomer.ended() and desk.counters["http.connections_refused"] == 1
-        kept[0].send(desk.ping)
+        assert await newcomer.ended() and standalone.counters["http.connections_refused"] == 1
+        kept[0].send(standalone.ping)
         assert (await kept[0].reply()).status == 200
 
 
-async def test_a_newcomer_waits_until_those_that_went_for_it_are_closed_and_no_more_go_than_it_needs():
-    async with Desk(most=16, displace_silent_after_ms=0.0, displace_idle_after_ms=0.0) as desk:
-        kept, desk.front.max_connections = [await desk.open(desk.ping) for _ in range(16)], 14
-        newcomer = await desk.open()
-        newcomer.send(desk.ping)
+async def test_a_new_connection_waits_for_displaced_ones_to_close_and_no_more_than_needed_are_displaced():
+    async with StandaloneFront(
+        max_connections=16, displace_silent_after_ms=0.0, displace_idle_after_ms=0.0
+    ) as standalone:
+        kept, standalone.front.max_connections = [await standalone.open(standalone.ping) for _ in range(16)], 14
+        newcomer = await standalone.open()
+        newcomer.send(standalone.ping)
         assert (await newcomer.reply()).status == 200
-        assert desk.counters["http.connections_displaced"] <= 3  # two too many, and one for its place
+        assert (
+            standalone.counters["http.connections_displaced"] <= 3
+        )  # two above the bound, and one for the new connection
         for caller in kept[3:]:
-            caller.send(desk.ping)
+            caller.send(standalone.ping)
             assert (await caller.reply()).status == 200
 
 
 @pytest.mark.parametrize("front", FRONTS)
-async def test_what_is_silent_half_said_or_dribbled_is_closed_in_time_but_not_what_is_kept_alive(front):
-    async with Desk(front, request_read_timeout_ms=150.0) as desk:
+async def test_silent_partial_and_trickled_requests_are_closed_in_time_but_not_connections_kept_alive(front):
+    async with StandaloneFront(front, request_read_timeout_ms=150.0) as standalone:
         if front == "http":
-            kept = await desk.open(desk.ping)
-        assert await (await desk.open()).ended()
-        half = await desk.open(desk.ping[:6])
-        for place in range(6, 12):  # each piece comes in time, the whole does not
+            kept = await standalone.open(standalone.ping)
+        assert await (await standalone.open()).ended()
+        partial = await standalone.open(standalone.ping[:6])
+        for position in range(6, 12):  # each byte arrives in time, the whole request does not
             await asyncio.sleep(0.04)
-            half.send(desk.ping[place : place + 1])
-        assert (await half.reply()).status == 408 and await half.ended()
+            partial.send(standalone.ping[position : position + 1])
+        assert (await partial.reply()).status == 408 and await partial.ended()
         if front == "http":
-            kept.send(desk.ping)
+            kept.send(standalone.ping)
             assert (await kept.reply()).status == 200
 
 
 @pytest.mark.parametrize("front", FRONTS)
-async def test_a_caller_that_takes_no_answer_does_not_hold_its_connection(front):
-    async with Desk(front, write_timeout_ms=50.0, sweep_interval_ms=20.0, linger_ms=1.0) as desk:
+async def test_a_caller_that_does_not_read_its_answer_does_not_keep_its_connection_open(front):
+    async with StandaloneFront(front, write_timeout_ms=50.0, sweep_interval_ms=20.0, linger_ms=1.0) as standalone:
 
-        class Stuck:  # a stream whose peer reads nothing
-            async def receive(self, most):
-                return desk.ping
+        class UnreadStream:  # a stream whose peer reads nothing
+            async def receive(self, max_bytes):
+                return standalone.ping
 
             async def send(self, data):
                 await anyio.sleep_forever()
@@ -162,7 +170,7 @@
             async def __aexit__(self, *_):
                 pass
 
-        desk.tasks.start_soon(desk.front.sweep)
+        standalone.tasks.start_soon(standalone.front.sweep)
         with anyio.fail_after(10):
-            await desk.front._handle_connection(Stuck())
-        assert desk.counters[f"{front}.answers_not_taken"] == 1 and not desk.front.connections
+            await standalone.front._handle_connection(UnreadStream())
+        assert standalone.counters[f"{front}.answers_not_taken"] == 1 and not standalone.front.connections
--- a/tests/wire/test_control_front.py
+++ b/tests/wire/test_control_front.py
@@ -1,4 +1,4 @@
-"""The control door: its calls and answers, what misuse of it costs, and the drain that it begins and ends."""
+"""The control endpoint: its calls and answers, its behaviour under misuse, and taking a node out of service."""
 
 from __future__ import annotations
 
@@ -16,7 +16,11 @@
 from flintshift.cli.main import main
 
 pytestmark = pytest.mark.anyio
-OUT, IN, READY = ("POST", "/control/out-of-service"), ("POST", "/control/in-service"), ("GET", "/control/ready")
+TAKE_OUT, PUT_IN, READY = (
+    ("POST", "/control/out-of-service"),
+    ("POST", "/control/in-service"),
+    ("GET", "/control/ready"),
+)
 
 
 @pytest.fixture
@@ -26,66 +30,66 @@
         yield rig
 
 
-async def pings(rig):
-    """What checks are told: plain and deep, on both fronts."""
+async def ping_statuses(rig):
+    """The statuses of health checks: plain and deep on the HTTP front, plain on the uwsgi front."""
     return [
         (await rig.ask(front, path=path, method="GET")).status
         for front, path in (("http", "/ping"), ("http", "/ping?all=1"), ("uwsgi", "/ping"))
     ]
 
 
-async def test_a_drained_node_fails_its_checks_at_once_and_answers_all_else_as_always(rig):
+async def test_a_node_out_of_service_fails_its_checks_at_once_and_answers_requests_as_before(rig):
     assert await rig.call(*READY) == (200, "yes")
-    assert await pings(rig) == [200] * 3
+    assert await ping_statuses(rig) == [200] * 3
     for _ in range(2):  # a second call changes nothing
-        assert (await rig.call(*OUT))[0] == 200
-        assert await pings(rig) == [503] * 3
+        assert (await rig.call(*TAKE_OUT))[0] == 200
+        assert await ping_statuses(rig) == [503] * 3
     assert await rig.call(*READY) == (503, "the node is out of service")
-    await rig.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "no"), 2)  # it goes on reporting
+    await rig.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "no"), 2)  # the node goes on reporting
     for front in BYTES:
         assert (await rig.ask(front)).status == 200
     for _ in range(2):
-        assert (await rig.call(*IN))[0] == 200
-        assert await pings(rig) == [200] * 3
+        assert (await rig.call(*PUT_IN))[0] == 200
+        assert await ping_statuses(rig) == [200] * 3
     assert await rig.call(*READY) == (200, "yes")
     await rig.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"), 2)
     assert (await rig.ask("http")).status == 200
 
 
-async def test_a_drain_is_no_notice_to_leave_and_outlasts_its_grace_and_new_configurations(rig):
-    await rig.call(*OUT)
+async def test_out_of_service_is_no_shutdown_and_outlasts_the_drain_grace_and_a_new_configuration(rig):
+    await rig.call(*TAKE_OUT)
     rig.configure()
     rig.process.send_signal(signal.SIGHUP)
     while (await rig.counters())["reload.taken"] < 1:
         pass
-    await asyncio.sleep(0.5)  # past the grace, after which a node that leaves runs nothing
-    assert (await rig.ask("http")).status == 200 and await pings(rig) == [503] * 3
+    await asyncio.sleep(0.5)  # longer than the drain grace, after which a node that shuts down runs nothing
+    assert (await rig.ask("http")).status == 200 and await ping_statuses(rig) == [503] * 3
     assert rig.process.returncode is None
 
 
-async def test_a_drained_and_idle_node_stays_reports_and_comes_back_within_two_seconds(rig):
-    """As many reports as FLINTSHIFT_IDLE_REPORTS says, one a second: 60 are the minute that was tried by hand."""
-    await rig.call(*OUT)
-    reports, back = int(os.environ.get("FLINTSHIFT_IDLE_REPORTS", "3")), ("/ns/hosts/n3", "yes")
+async def test_an_idle_node_out_of_service_goes_on_reporting_and_is_back_within_two_seconds(rig):
+    """Waits for FLINTSHIFT_IDLE_REPORTS reports, one a second: 60 are the minute that was tried by hand."""
+    await rig.call(*TAKE_OUT)
+    reports, serving_report = int(os.environ.get("FLINTSHIFT_IDLE_REPORTS", "3")), ("/ns/hosts/n3", "yes")
     await rig.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "no"), reports, within_s=10 + 2 * reports)
-    before = rig.names.log.entries.count(back)
-    assert await pings(rig) == [503] * 3 and (await rig.ask("http")).status == 200
-    assert (await rig.call(*IN))[0] == 200
-    began = time.monotonic()
-    assert await pings(rig) == [200] * 3
-    await rig.names.log.until(lambda entry: entry == back, before + 1)
-    assert time.monotonic() - began < 2 and (await rig.counters())["pool.links_lost"] == 0
+    earlier_count = rig.names.log.entries.count(serving_report)
+    assert await ping_statuses(rig) == [503] * 3 and (await rig.ask("http")).status == 200
+    assert (await rig.call(*PUT_IN))[0] == 200
+    start = time.monotonic()
+    assert await ping_statuses(rig) == [200] * 3
+    await rig.names.log.until(lambda entry: entry == serving_report, earlier_count + 1)
+    assert time.monotonic() - start < 2 and (await rig.counters())["pool.links_lost"] == 0
 
 
-async def test_a_drained_node_that_is_told_to_leave_leaves_and_does_not_come_back(rig):
+async def test_a_node_out_of_service_that_is_asked_to_stop_stops_and_is_not_put_back_in_service(rig):
     rig.pool.plan = {}
-    await rig.call(*OUT)
+    await rig.call(*TAKE_OUT)
     (await rig.connect("http")).send(BYTES["http"]("race-results", b"", job("race-results")))
     await rig.pool.log.until(lambda entry: entry["t"] == "spawn")
     rig.process.send_signal(signal.SIGTERM)
     while (await rig.call(*READY))[1] != "the node leaves":
         pass
-    assert await rig.call(*IN) == (503, "the node leaves")
+    assert await rig.call(*PUT_IN) == (503, "the node leaves")
     assert await asyncio.wait_for(rig.process.wait(), 10) == 0
 
 
@@ -109,74 +113,74 @@
         (b"ready\n\n", 400),
     ],
 )
-async def test_each_call_has_a_plain_answer_of_one_line_and_its_connection_ends(rig, sent, status):
+async def test_each_call_gets_an_answer_of_one_line_and_its_connection_is_closed(rig, sent, status):
     caller = await rig.connect("control")
     caller.send(sent)
     reply = await asyncio.wait_for(caller.reply(), 1)
     assert reply.status == status and reply.body.endswith(b"\n") and reply.body.count(b"\n") == 1
     await asyncio.wait_for(caller.ended(), 1)
-    assert (await pings(rig))[0] == 200
+    assert (await ping_statuses(rig))[0] == 200
 
 
-async def test_calls_are_answered_within_a_second_beside_hundreds_that_never_come_whole(rig):
-    halves = [await rig.connect("control") for _ in range(200)]
-    for number, caller in enumerate(halves):
+async def test_calls_are_answered_within_a_second_beside_hundreds_that_stay_incomplete(rig):
+    incomplete = [await rig.connect("control") for _ in range(200)]
+    for number, caller in enumerate(incomplete):
         caller.send(b"" if number % 2 else b"POST /control/out-of-service HTTP/1.1\r\nHo")
     for _ in range(3):
-        began = time.monotonic()
+        start = time.monotonic()
         assert (await rig.call(*READY))[0] == 200
-        assert time.monotonic() - began < 1
-    for caller in halves:
+        assert time.monotonic() - start < 1
+    for caller in incomplete:
         await asyncio.wait_for(caller.ended(), 2)
-    assert (await rig.counters())["control.displaced"] >= 100  # no more than 32 are held at once
-    assert (await pings(rig))[0] == 200  # half a call has no effect
+    assert (await rig.counters())["control.displaced"] >= 100  # no more than 32 are open at once
+    assert (await ping_statuses(rig))[0] == 200  # an incomplete call has no effect
 
 
-async def test_the_command_line_calls_the_door_and_tells_yes_no_and_out_of_reach_by_its_exit_code(rig, monkeypatch):
-    async def told(*words):
-        found = await asyncio.to_thread(CliRunner().invoke, main, ["control", *words])
-        return found.exit_code, found.output.strip()
+async def test_the_control_command_reports_yes_no_and_unreachable_by_its_exit_code(rig, monkeypatch):
+    async def run_control(*arguments):
+        result = await asyncio.to_thread(CliRunner().invoke, main, ["control", *arguments])
+        return result.exit_code, result.output.strip()
 
-    at = f"127.0.0.1:{rig.ports['control']}"
-    assert await told("out-of-service", "--at", at) == (0, "yes")
-    monkeypatch.setenv("LB_CONTROL", at)
-    assert await told("ready") == (3, "the node is out of service")
+    address = f"127.0.0.1:{rig.ports['control']}"
+    assert await run_control("out-of-service", "--at", address) == (0, "yes")
+    monkeypatch.setenv("LB_CONTROL", address)
+    assert await run_control("ready") == (3, "the node is out of service")
     monkeypatch.delenv("LB_CONTROL")
     monkeypatch.setenv("LB_CONFIG", str(rig.config))
-    assert await told("in-service") == (0, "yes") and await told("ready") == (0, "yes")
-    assert (await told("ready", "--at", "127.0.0.1:1"))[0] == 1  # nobody listens there
+    assert await run_control("in-service") == (0, "yes") and await run_control("ready") == (0, "yes")
+    assert (await run_control("ready", "--at", "127.0.0.1:1"))[0] == 1  # nobody listens there
     rig.config.write_text("{")
-    assert [(await told("ready", *words))[0] for words in ((), ("--at", "nowhere"))] == [2, 2]
+    assert [(await run_control("ready", *arguments))[0] for arguments in ((), ("--at", "nowhere"))] == [2, 2]
     monkeypatch.delenv("LB_CONFIG")
-    assert (await told("ready"))[0] == 2
+    assert (await run_control("ready"))[0] == 2
 
 
-async def test_a_full_table_of_callers_does_not_shut_the_operators_out(rig):
-    callers = [await rig.connect("http") for _ in range(700)]  # 640 are let in
-    began = time.monotonic()
-    assert (await rig.call(*OUT))[0] == 200
-    assert time.monotonic() - began < 1
+async def test_a_full_table_of_callers_does_not_lock_operators_out(rig):
+    callers = [await rig.connect("http") for _ in range(700)]  # 640 fit into the table
+    start = time.monotonic()
+    assert (await rig.call(*TAKE_OUT))[0] == 200
+    assert time.monotonic() - start < 1
     for caller in callers:
         caller.writer.transport.abort()
 
 
-async def test_without_an_address_there_is_no_door_and_its_module_is_not_loaded(tmp_path):
+async def test_without_an_address_there_is_no_control_endpoint_and_its_module_is_not_loaded(tmp_path):
     async with Rig(tmp_path) as rig:
         with pytest.raises(ConnectionRefusedError):
             await rig.connect("control")
-    text = (
+    script = (
         "import sys, anyio\nfrom flintshift.lifecycle.config import embedded\n"
         "from flintshift.lifecycle.node import Node\n"
         "async def made(): assert Node(embedded(), embedded).door is None\n"
         "anyio.run(made)\nprint('flintshift.wire.control_front' in sys.modules)"
     )
-    assert subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True).stdout == b"False\n"
+    assert subprocess.run([sys.executable, "-c", script], cwd=ROOT, capture_output=True).stdout == b"False\n"
 
 
-async def test_the_environment_names_the_door_where_the_configuration_does_not(tmp_path, monkeypatch):
+async def test_the_environment_gives_the_control_address_if_the_configuration_does_not(tmp_path, monkeypatch):
     rig = Rig(tmp_path)
     monkeypatch.setenv("LB_CONTROL", "127.0.0.1:0")
     with pytest.raises(asyncio.TimeoutError):
-        async with asyncio.timeout(3), rig:  # an address that can't be used is told, and nothing starts
+        async with asyncio.timeout(3), rig:  # an unusable address is reported, and the node does not start
             pass
     assert b"not host:port" in await rig.process.stderr.readline() and await rig.process.wait() == 2
--- a/tests/wire/test_fields.py
+++ b/tests/wire/test_fields.py
@@ -1,4 +1,4 @@
-"""Customers are named by the settings, in letters of any language, and callers write them in some encoding."""
+"""Names of customers: settings may use letters of any language, and callers send them in different encodings."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    ("encoding", "told", "status"),
+    ("encoding", "sent_name", "status"),
     [
         ("utf-8", NAME, 200),
         ("latin-1", NAME, 200),
@@ -21,13 +21,13 @@
         ("latin-1", "\u00ff", 400),
     ],
 )
-async def test_a_customer_is_known_in_the_encodings_that_callers_write(encoding, told, status):
+async def test_a_customers_name_is_recognised_in_each_encoding_that_callers_use(encoding, sent_name, status):
     async with FrontHarness() as harness:
         harness.front.attempt_builder.catalogue.clubs.add(NAME)
         harness.decisions.immediate_answer = Answer(Verdict.SERVED, b"1")
         caller = await open_caller(harness.connect())
         fields = job("race-results", **{"X-Team": "TEAM"})
-        caller.send(BYTES["http"]("race-results", b"", fields).replace(b"TEAM", told.encode(encoding)))
+        caller.send(BYTES["http"]("race-results", b"", fields).replace(b"TEAM", sent_name.encode(encoding)))
         assert (await caller.reply()).status == status
         assert [attempt.tenant for attempt in harness.decisions.submitted] == ([NAME] if status == 200 else [])
         caller.writer.close()
--- a/tests/wire/test_link.py
+++ b/tests/wire/test_link.py
@@ -1,4 +1,4 @@
-"""What all links to peers share: where an address can't be reached, the link is broken, whatever is wrong with it."""
+"""Connecting to a peer: any address that can't be reached, even an invalid one, raises a connection error."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
 
 
 @pytest.mark.parametrize("host", ["\u00e9" * 80, "x" * 70, "a..b", "x y", "\x00"])
-async def test_a_host_that_is_no_name_is_a_broken_link_and_no_fault(host):
+async def test_an_invalid_host_name_is_a_connection_error(host):
     with pytest.raises(CONNECTION_ERRORS):
         await connect((host, 1), Limits())
--- a/tests/wire/test_pieces.py
+++ b/tests/wire/test_pieces.py
@@ -1,4 +1,4 @@
-"""Peers that write in pieces of any size, fall silent with the connection open, or leave in the middle of a word."""
+"""Peers that write single bytes, stop sending while the connection is open, or disconnect within a message."""
 
 from __future__ import annotations
 
@@ -11,49 +11,49 @@
 from standins import BYTES, job
 
 pytestmark = pytest.mark.anyio
-DUE_S = 1.5 + 0.13  # the classes' deadline, with the slack that sockets get
+ANSWER_TIMEOUT_S = 1.5 + 0.13  # the classes' deadline, with the slack allowed on sockets
 CALL = ("blocked", {"b64": base64.b64encode(b"what is asked").decode()})
 
 
-async def in_pieces(writer, data):
-    for place in range(len(data)):
-        writer.write(data[place : place + 1])
+async def write_bytewise(writer, data):
+    for position in range(len(data)):
+        writer.write(data[position : position + 1])
         await writer.drain()
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize("front", list(BYTES))
-async def test_a_caller_in_pieces_is_served(rig, front):
+async def test_a_caller_that_writes_single_bytes_is_served(rig, front):
     rig.pool.plan, rig.apps.took_ms = {"race-results": 0}, 1
     caller = await rig.connect(front)
-    await in_pieces(caller.writer, BYTES[front]("race-results", bytes(range(256)), job("race-results")))
+    await write_bytewise(caller.writer, BYTES[front]("race-results", bytes(range(256)), job("race-results")))
     assert (await caller.reply()).status == 200
 
 
-async def test_a_pool_and_a_vault_in_pieces_are_understood(rig):
+async def test_a_pool_and_a_vault_that_write_single_bytes_are_understood(rig):
     tasks = set()
 
-    def piecemeal(writer, message):
-        before = set(tasks)
+    def send_bytewise(writer, message):
+        earlier_tasks = set(tasks)
 
-        async def later():
-            if before:
-                await asyncio.wait(before)  # words follow each other
-            await in_pieces(writer, json.dumps(message).encode() + b"\n")
+        async def send_in_order():
+            if earlier_tasks:
+                await asyncio.wait(earlier_tasks)  # messages keep their order
+            await write_bytewise(writer, json.dumps(message).encode() + b"\n")
 
-        tasks.add(asyncio.ensure_future(later()))
+        tasks.add(asyncio.ensure_future(send_in_order()))
 
-    rig.pool.say = piecemeal
+    rig.pool.say = send_bytewise
     rig.pool.plan = {"race-results": CALL}
 
-    async def reply(reader, writer):
+    async def serve_replies(reader, writer):
         while line := await reader.readline():
-            word, request, *rest = line.decode().split()
-            if word == "ask":
+            verb, request, *rest = line.decode().split()
+            if verb == "ask":
                 await reader.readexactly(int(rest[1]) + 2)
-                await in_pieces(writer, f"{request} yes 5\r\nreply\r\n".encode())
+                await write_bytewise(writer, f"{request} yes 5\r\nreply\r\n".encode())
 
-    rig.vault.serve = reply
+    rig.vault.serve = serve_replies
     caller = await rig.connect("http")
     for _ in range(3):
         caller.send(BYTES["http"]("race-results", b"", job("race-results")))
@@ -62,62 +62,64 @@
     assert len(supplied) == 3 and {entry["b64"] for entry in supplied} == {base64.b64encode(b"reply").decode()}
 
 
-@pytest.mark.parametrize("leaves", [True, False])
-@pytest.mark.parametrize("size", [0, 1, 16, 20, 24, 28, 30])  # of a reply of 31 bytes: id, word, length, body, end
-async def test_a_vault_that_stops_in_a_reply_costs_no_answer_its_time(rig, size, leaves):
+@pytest.mark.parametrize("disconnects", [True, False])
+@pytest.mark.parametrize(
+    "size", [0, 1, 16, 20, 24, 28, 30]
+)  # of a reply of 31 bytes: id, verdict, length, body, line end
+async def test_a_vault_that_stops_within_a_reply_delays_no_answer_past_its_deadline(rig, size, disconnects):
     rig.pool.plan = {"race-results": CALL, "submit-time": CALL}
 
-    async def reply(reader, writer):
+    async def send_partial_reply(reader, writer):
         line = await reader.readline()
         _, request, _, length = line.decode().split()
         await reader.readexactly(int(length) + 2)
         writer.write(f"{request} yes 5\r\nreply\r\n".encode()[:size])
         await writer.drain()
-        if not leaves:
+        if not disconnects:
             await reader.read()
 
-    rig.vault.serve = reply
-    for class_name, statuses in (("race-results", {200}), ("submit-time", {500})):  # a read goes on without it
-        began = time.monotonic()
+    rig.vault.serve = send_partial_reply
+    for class_name, statuses in (("race-results", {200}), ("submit-time", {500})):  # a read goes on without the reply
+        start = time.monotonic()
         assert (await rig.ask("http", class_name)).status in statuses
-        assert time.monotonic() - began < DUE_S
+        assert time.monotonic() - start < ANSWER_TIMEOUT_S
 
 
-@pytest.mark.parametrize("leaves", [True, False])
+@pytest.mark.parametrize("disconnects", [True, False])
 @pytest.mark.parametrize("size", [0, 1, 25, -2, -1])
-async def test_a_pool_that_stops_in_a_notice_is_read_again_or_answered_for_in_time(rig, size, leaves):
+async def test_a_pool_that_stops_within_a_notice_is_reconnected_and_the_answer_is_in_time(rig, size, disconnects):
     caller, fields = await rig.connect("http"), job("race-results")
     caller.send(BYTES["http"]("race-results", b"", fields))
     await rig.pool.log.until(lambda entry: entry["t"] == "spawn")
-    whole, links, cut_short = rig.pool.say, set(rig.pool.links), set()
+    send_whole, old_links, truncated = rig.pool.say, set(rig.pool.links), set()
 
-    def cut(writer, message):
-        if writer not in links:
-            whole(writer, message)
-        elif writer not in cut_short and message["t"] == "finished":
-            cut_short.add(writer)  # and nothing more is said on it
+    def send_truncated(writer, message):
+        if writer not in old_links:
+            send_whole(writer, message)
+        elif writer not in truncated and message["t"] == "finished":
+            truncated.add(writer)  # nothing more is sent on this link
             writer.write((json.dumps(message).encode() + b"\n")[:size])
-            if leaves:
+            if disconnects:
                 writer.close()
 
-    rig.pool.say = cut
-    began = time.monotonic()
+    rig.pool.say = send_truncated
+    start = time.monotonic()
     rig.pool.finish(fields["X-Job-Id"])
-    assert (await caller.reply()).status == 200  # by a new link
-    assert time.monotonic() - began < DUE_S
+    assert (await caller.reply()).status == 200  # the rest arrives over a new link
+    assert time.monotonic() - start < ANSWER_TIMEOUT_S
     rig.pool.plan = {"race-results": 0}
     assert (await rig.ask("http", "race-results")).status == 200
 
 
-async def test_a_release_with_the_name_service_down_waits_for_nothing_and_reports_when_it_is_back(rig):
+async def test_with_the_name_service_down_requests_are_served_at_once_and_reports_go_on_when_it_is_back(rig):
     rig.pool.plan = {"race-results": 0}
     await rig.names.stop()
-    before = len(rig.names.log.entries)
+    earlier_count = len(rig.names.log.entries)
     for _ in range(5):
-        began = time.monotonic()
+        start = time.monotonic()
         assert (await rig.ask("http", "race-results")).status == 200
-        assert time.monotonic() - began < 0.5
+        assert time.monotonic() - start < 0.5
     while (await rig.counters())["names.not_taken"] < 3:
         pass
     await rig.names.start()  # at its old address
-    await rig.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"), before + 1)
+    await rig.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"), earlier_count + 1)
--- a/tests/wire/test_unforeseen_errors.py
+++ b/tests/wire/test_unforeseen_errors.py
@@ -1,8 +1,8 @@
-"""An error that no list foresees, on one link or report: it is counted and told, and the node goes on.
+"""An unforeseen exception on one link or report is counted and written to standard error, and the node goes on.
 
-What happened: a node exited with 1, and the record did not tell by what. One way to that end is an exception that the
-guard of a link does not name: it ends the task group of the node, and every request that is open. The event loop raises
-RuntimeError where a connection is closed in the moment of its use, and what else it may raise is in no list of ours.
+Failure: a node exited with 1, and its records did not say why. A possible cause is an exception that the handler of a
+link does not list: it ends the task group of the node and all open requests. The event loop raises RuntimeError if a
+connection is closed while it is being used, and what else it may raise is not known in full.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 
 class UnforeseenError(Exception):
-    """Named in no list."""
+    """An exception that no handler lists."""
 
 
-class Refusing:
-    """Raises it at each use."""
+class FailingConnect:
+    """Raises an unforeseen error at each use."""
 
     def __init__(self):
         self.uses = 0
@@ -41,15 +41,15 @@
 
 
 @pytest.fixture
-def refusing(monkeypatch):
-    refusing = Refusing()
+def failing_connect(monkeypatch):
+    failing_connect = FailingConnect()
     for module in (names, pool, uwsgi_apps, vault):
-        monkeypatch.setattr(module, "connect", refusing)
-    return refusing
+        monkeypatch.setattr(module, "connect", failing_connect)
+    return failing_connect
 
 
-class Told:
-    """What was reported to the decisions."""
+class RecordingReporter:
+    """Keeps the reports to the decisions."""
 
     def __init__(self):
         self.reports = []
@@ -58,63 +58,65 @@
         self.reports.append(report)
 
 
-async def until(true):
+async def wait_until(condition):
     with anyio.fail_after(5):
-        while not true():
+        while not condition():
             await anyio.sleep(0.001)
 
 
-async def test_the_link_to_the_worker_pool_is_made_anew(refusing):
+async def test_the_link_to_the_worker_pool_is_reconnected(failing_connect):
     counters = Counters()
-    link = pool.PoolLink(("127.0.0.1", 1), [], LIMITS, counters, Told())
+    link = pool.PoolLink(("127.0.0.1", 1), [], LIMITS, counters, RecordingReporter())
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
-        await until(lambda: refusing.uses >= 3)
+        await wait_until(lambda: failing_connect.uses >= 3)
         tasks.cancel_scope.cancel()
     assert counters["pool.faults"] >= 2
 
 
-async def test_a_call_below_ends_as_one_that_may_have_run(refusing):
-    counters, told = Counters(), Told()
-    link = vault.VaultLink(("127.0.0.1", 1), LIMITS, counters, told, lambda: 0.0)
+async def test_a_call_to_the_vault_ends_as_one_that_may_have_run(failing_connect):
+    counters, reporter = Counters(), RecordingReporter()
+    link = vault.VaultLink(("127.0.0.1", 1), LIMITS, counters, reporter, lambda: 0.0)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
         for request in ("a", "b"):
             link.start_call(request, 100.0, b"", True)
-        await until(lambda: len(told.reports) == 2)
+        await wait_until(lambda: len(reporter.reports) == 2)
         tasks.cancel_scope.cancel()
-    assert all(isinstance(report, CallFinished) and report.outcome is Outcome.INTERRUPTED for report in told.reports)
+    assert all(
+        isinstance(report, CallFinished) and report.outcome is Outcome.INTERRUPTED for report in reporter.reports
+    )
     assert counters["vault.faults"] == 2
 
 
-async def test_a_run_on_an_app_server_ends_as_one_that_may_have_run(refusing):
-    counters, told = Counters(), Told()
+async def test_a_run_on_an_app_server_ends_as_one_that_may_have_run(failing_connect):
+    counters, reporter = Counters(), RecordingReporter()
     browser = SimpleNamespace(servers=lambda class_name: [("127.0.0.1", 1)])
-    apps = uwsgi_apps.AppServers(browser, LIMITS, counters, told, lambda: 0.0)
+    apps = uwsgi_apps.AppServers(browser, LIMITS, counters, reporter, lambda: 0.0)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(apps.run)
         for request in ("a", "b"):
             apps.spawn(Attempt(request, "look", 0.0, 1.0, 1, b""))
-        await until(lambda: len(told.reports) == 2)
+        await wait_until(lambda: len(reporter.reports) == 2)
         tasks.cancel_scope.cancel()
-    assert all(isinstance(report, RunFinished) and report.outcome is Outcome.INTERRUPTED for report in told.reports)
+    assert all(isinstance(report, RunFinished) and report.outcome is Outcome.INTERRUPTED for report in reporter.reports)
     assert counters["apps.faults"] == 2
 
 
-async def test_a_report_to_the_name_service_is_one_that_was_not_taken(refusing):
+async def test_a_report_to_the_name_service_counts_as_not_taken(failing_connect):
     counters = Counters()
     service = names.NameService(("127.0.0.1", 1), "n1", LIMITS, counters)
     assert not await service.report(True)
     assert counters["names.faults"] == counters["names.not_taken"] == 1
 
 
-async def test_a_look_at_the_app_servers_and_a_record_are_tried_again(refusing):
+async def test_queries_for_app_servers_and_record_updates_are_retried(failing_connect):
     counters = Counters()
-    resolver = SimpleNamespace(find=refusing, exchange=refusing)
+    resolver = SimpleNamespace(find=failing_connect, exchange=failing_connect)
     browser = Browser(resolver, "_app._tcp", "example.", LIMITS, counters, random.uniform)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(browser.run)
-        await until(lambda: refusing.uses >= 3)
+        await wait_until(lambda: failing_connect.uses >= 3)
         tasks.cancel_scope.cancel()
     record = Record(resolver, "_node._tcp", "example.", "n1", ("127.0.0.1", 1), LIMITS, counters, lambda: 0.0)
     assert not await record.report(True)
