--- a/tests/wire/front_harness.py
+++ b/tests/wire/front_harness.py
@@ -78,9 +78,8 @@
         raw = socket.socket()
         for name, value in options.items():
             raw.setsockopt(socket.SOL_SOCKET, getattr(socket, name), value)
-        raw.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
-        )  # once `send` returns, its bytes are in the peer's kernel
+        # Once `send` returns, its bytes are in the peer's kernel.
+        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         raw.connect(self.address)
         return raw
 
--- a/tests/wire/test_closing.py
+++ b/tests/wire/test_closing.py
@@ -181,11 +181,11 @@
 
 async def test_connections_queued_at_the_close_are_accepted_despite_transient_failures(monkeypatch):
     class FailingSocket(socket.socket):
-        failures_to_come = 0
+        remaining_failures = 0
 
         def accept(self):
-            if self.failures_to_come:
-                self.failures_to_come -= 1
+            if self.remaining_failures:
+                self.remaining_failures -= 1
                 raise OSError(errno.ENFILE, "too many open files in system")
             return super().accept()
 
@@ -195,7 +195,7 @@
         raw.send(PING)
         listener = harness.front.listener
         listener.raw = FailingSocket(fileno=listener.raw.detach())
-        listener.raw.failures_to_come = 5
+        listener.raw.remaining_failures = 5
         finish_front(harness)
         caller = await open_caller(raw)
         assert (await caller.reply()).status == 200
--- a/tests/wire/test_connections.py
+++ b/tests/wire/test_connections.py
@@ -98,9 +98,7 @@
         assert await silent.ended() and new
         kept.send(standalone.ping)
         assert (await kept.reply()).status == 200
-        busy = await standalone.open(
-            standalone.ping[:9]
-        )  # a partial request: its connection is kept, and displaces the idle one
+        busy = await standalone.open(standalone.ping[:9])  # a partial request: displaces the idle one and is kept
         assert await idle.ended()
         kept.send(standalone.ping)
         assert (await kept.reply()).status == 200
@@ -129,9 +127,8 @@
         newcomer = await standalone.open()
         newcomer.send(standalone.ping)
         assert (await newcomer.reply()).status == 200
-        assert (
-            standalone.counters["http.connections_displaced"] <= 3
-        )  # two above the bound, and one for the new connection
+        # Two are above the bound, and one makes place for the new connection.
+        assert standalone.counters["http.connections_displaced"] <= 3
         for caller in kept[3:]:
             caller.send(standalone.ping)
             assert (await caller.reply()).status == 200
--- a/tests/wire/test_pieces.py
+++ b/tests/wire/test_pieces.py
@@ -63,9 +63,8 @@
 
 
 @pytest.mark.parametrize("disconnects", [True, False])
-@pytest.mark.parametrize(
-    "size", [0, 1, 16, 20, 24, 28, 30]
-)  # of a reply of 31 bytes: id, verdict, length, body, line end
+# Sizes within a reply of 31 bytes: id, verdict, length, body, line end.
+@pytest.mark.parametrize("size", [0, 1, 16, 20, 24, 28, 30])
 async def test_a_vault_that_stops_within_a_reply_delays_no_answer_past_its_deadline(rig, size, disconnects):
     rig.pool.plan = {"race-results": CALL, "submit-time": CALL}
 
