--- a/flintshift/wire/caller_stream.py
+++ b/flintshift/wire/caller_stream.py
@@ -64,7 +64,7 @@
     """Create a stream on an accepted socket, in the same way as anyio's listener.
 
     `SocketStream.from_socket` inspects the socket and connects it again. That takes some 0.1 ms more for each
-    connection, a third of the cost of a short one under overload.
+    connection, which is a third of the cost of each in an overload of short connections.
 
     Raises:
         OSError, ValueError, RuntimeError: the connection is already reset, or the system refused for too long.
--- a/flintshift/wire/http_front.py
+++ b/flintshift/wire/http_front.py
@@ -33,7 +33,7 @@
     async def serve_connection(self, connection: Connection) -> None:
         early = b""  # bytes of the next request that arrived before the answer to the present one
         while True:
-            conn, early_parts, keep = h11.Connection(h11.SERVER, self.limits.max_head_bytes), list[bytes](), False
+            conn, early_parts, keep_alive = h11.Connection(h11.SERVER, self.limits.max_head_bytes), list[bytes](), False
             if early:
                 self.on_request_bytes(connection)
                 conn.receive_data(early)
@@ -41,13 +41,13 @@
                 request = await self._read_request(connection, conn)
                 if request is None:
                     return
-                keep = conn.their_state is h11.DONE
-                if not await self._answer(connection, keep, *request, early_parts.append):
+                keep_alive = conn.their_state is h11.DONE
+                if not await self._answer(connection, keep_alive, *request, early_parts.append):
                     return
             except RequestError as error:
                 self.counters.add(f"http.status_{error.status}")
-                keep = error.status == 404 and conn.their_state is h11.DONE
-                await self._respond(connection, keep, error.status, json.dumps({"error": error.text}).encode())
+                keep_alive = error.status == 404 and conn.their_state is h11.DONE
+                await self._respond(connection, keep_alive, error.status, json.dumps({"error": error.text}).encode())
             except h11.RemoteProtocolError as error:  # the end of the request can't be determined any more
                 self.counters.add("http.status_400")
                 text = json.dumps({"error": str(error)}).encode()
@@ -93,7 +93,7 @@
     async def _answer(
         self,
         connection: Connection,
-        keep: bool,
+        keep_alive: bool,
         request: h11.Request,
         body: bytes,
         on_early_data: Callable[[bytes], None],
@@ -103,7 +103,7 @@
         path, _, query = target.partition("?")
         if path == "/ping":
             healthy = await self.check_health(method, query)
-            await self._respond(connection, keep, 200 if healthy else 503, b"")
+            await self._respond(connection, keep_alive, 200 if healthy else 503, b"")
             return True
         class_name = self.attempt_builder.class_name_of(method, target)
         headers: dict[bytes, bytes] = {}
@@ -121,7 +121,7 @@
         answer = await self.submit_and_wait(connection, attempt, pending, on_early_data)
         if answer is not None:
             answer_headers = response_headers(
-                answer, answer.body, self.serving_status, self._closes_after_answer(connection, keep)
+                answer, answer.body, self.serving_status, self._closes_after_answer(connection, keep_alive)
             )
             await self.write_answer(
                 connection,
@@ -132,13 +132,13 @@
         return answer is not None
 
     async def _respond(
-        self, connection: Connection, keep: bool, status: int, body: bytes, answer: Answer | None = None
+        self, connection: Connection, keep_alive: bool, status: int, body: bytes, answer: Answer | None = None
     ) -> None:
-        headers = response_headers(answer, body, self.serving_status, self._closes_after_answer(connection, keep))
+        headers = response_headers(answer, body, self.serving_status, self._closes_after_answer(connection, keep_alive))
         await self.write(connection, encode_response(status, headers, body))
 
-    def _closes_after_answer(self, connection: Connection, keep: bool) -> bool:
+    def _closes_after_answer(self, connection: Connection, keep_alive: bool) -> bool:
         """Decide whether this answer is announced as the last on its connection. After an answer without that
         announcement, the caller may already have sent another request."""
-        connection.closes_after_answer = self.closes_after_answers or connection.is_last_request or not keep
+        connection.closes_after_answer = self.closes_after_answers or connection.is_last_request or not keep_alive
         return connection.closes_after_answer
--- a/tests/wire/test_connections.py
+++ b/tests/wire/test_connections.py
@@ -92,16 +92,16 @@
     async with StandaloneFront(
         displace_silent_after_ms=0.0, displace_idle_after_ms=0.0, request_read_timeout_ms=60_000.0
     ) as standalone:
-        kept, idle = await standalone.open(standalone.ping), await standalone.open(standalone.ping)
+        retained, idle = await standalone.open(standalone.ping), await standalone.open(standalone.ping)
         silent = await standalone.open()
         new = await standalone.open(standalone.ping)
         assert await silent.ended() and new
-        kept.send(standalone.ping)
-        assert (await kept.reply()).status == 200
+        retained.send(standalone.ping)
+        assert (await retained.reply()).status == 200
         busy = await standalone.open(standalone.ping[:9])  # a partial request: displaces the idle one and is kept
         assert await idle.ended()
-        kept.send(standalone.ping)
-        assert (await kept.reply()).status == 200
+        retained.send(standalone.ping)
+        assert (await retained.reply()).status == 200
         busy.send(standalone.ping[9:])
         assert (await busy.reply()).status == 200
         assert standalone.counters["http.connections_displaced"] == 2
@@ -109,27 +109,27 @@
 
 async def test_if_no_connection_may_be_displaced_the_new_one_is_answered_and_then_closed():
     async with StandaloneFront(request_read_timeout_ms=60_000.0) as standalone:
-        kept = [await standalone.open(standalone.ping) for _ in range(3)]
+        retained = [await standalone.open(standalone.ping) for _ in range(3)]
         newcomer = await standalone.open()
         newcomer.send(standalone.ping)
         answer = await newcomer.reply()
         assert answer.status == 200 and answer.headers["connection"] == "close"
         assert await newcomer.ended() and standalone.counters["http.connections_refused"] == 1
-        kept[0].send(standalone.ping)
-        assert (await kept[0].reply()).status == 200
+        retained[0].send(standalone.ping)
+        assert (await retained[0].reply()).status == 200
 
 
 async def test_a_new_connection_waits_for_displaced_ones_to_close_and_no_more_than_needed_are_displaced():
     async with StandaloneFront(
         max_connections=16, displace_silent_after_ms=0.0, displace_idle_after_ms=0.0
     ) as standalone:
-        kept, standalone.front.max_connections = [await standalone.open(standalone.ping) for _ in range(16)], 14
+        retained, standalone.front.max_connections = [await standalone.open(standalone.ping) for _ in range(16)], 14
         newcomer = await standalone.open()
         newcomer.send(standalone.ping)
         assert (await newcomer.reply()).status == 200
         # Two are above the bound, and one makes place for the new connection.
         assert standalone.counters["http.connections_displaced"] <= 3
-        for caller in kept[3:]:
+        for caller in retained[3:]:
             caller.send(standalone.ping)
             assert (await caller.reply()).status == 200
 
@@ -138,7 +138,7 @@
 async def test_silent_partial_and_trickled_requests_are_closed_in_time_but_not_connections_kept_alive(front):
     async with StandaloneFront(front, request_read_timeout_ms=150.0) as standalone:
         if front == "http":
-            kept = await standalone.open(standalone.ping)
+            retained = await standalone.open(standalone.ping)
         assert await (await standalone.open()).ended()
         partial = await standalone.open(standalone.ping[:6])
         for position in range(6, 12):  # each byte arrives in time, the whole request does not
@@ -146,8 +146,8 @@
             partial.send(standalone.ping[position : position + 1])
         assert (await partial.reply()).status == 408 and await partial.ended()
         if front == "http":
-            kept.send(standalone.ping)
-            assert (await kept.reply()).status == 200
+            retained.send(standalone.ping)
+            assert (await retained.reply()).status == 200
 
 
 @pytest.mark.parametrize("front", FRONTS)
