--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -36,8 +36,8 @@
 )
 from flintshift.startup.registration import ListService, Registration
 from flintshift.wire import standard_error
-from flintshift.wire.acceptor import Acceptor, listening_in_time
-from flintshift.wire.fields import Fields
+from flintshift.wire.acceptor import Acceptor, open_listener_with_retries
+from flintshift.wire.fields import AttemptBuilder
 from flintshift.wire.front import Front
 from flintshift.wire.http_front import HttpFront
 from flintshift.wire.names import NameService
@@ -100,7 +100,7 @@
         self.decisions.runs.workers, self.decisions.runs.vault_calls = {"pool": self.pool}, self.vault
         self.names = NameService(config.naming, config.name, limits, counters)
         self.lists.append(self.names)
-        self.fields = Fields(self.catalogue, limits, now_ms, now_ms.age_ms)
+        self.fields = AttemptBuilder(self.catalogue, limits, now_ms, now_ms.age_ms)
         most = limits.http_connections if config.operators.uwsgi is None else limits.http_connections_beside_uwsgi
         http = HttpFront(self.fields, self.decisions, limits, counters, now_ms, most, self.pool.verify)
         self.fronts.append((http, config.listen))
@@ -196,7 +196,7 @@
 
             self.decisions.waiting_claims.claims = ConsensusInUpgrade(self.upgrade, self.copying.claims)
         for front, _ in self.fronts:
-            front.leave()  # until it is known that this process takes the clients
+            front.pause_accepting()  # until it is known that this process takes the clients
 
     def _keep_books(self, options: UsageOptions) -> None:
         from flintshift.lifecycle.durable_state import open_ledger
@@ -206,7 +206,7 @@
         books = self.books = LedgerRecorder(self.ledger, self.config.settings, self.now_ms.steady_ms)
         self.decisions.runs.usage_recorder = books
         for front, _ in self.fronts:
-            front.books = books
+            front.usage_recorder = books
         self.actors.append(self.ledger.run)
         if options.export is not None:
             from flintshift.lifecycle.exports import create_export_actor
@@ -292,7 +292,7 @@
         async def listen() -> None:
             listeners.extend(await self._listeners())
             if self.config.control is not None:
-                doors.append(await listening_in_time(self.config.control, self.limits, self.retry.again))
+                doors.append(await open_listener_with_retries(self.config.control, self.limits, self.retry.again))
 
         await self._unless_told(received, listen)
         if len(listeners) != len(self.fronts) or (self.config.control is not None and not doors):
@@ -364,7 +364,7 @@
 
     @staticmethod
     def warn(text: str) -> None:
-        standard_error.say(f"flintshift: {text}")
+        standard_error.write_line(f"flintshift: {text}")
 
     def alone(self) -> bool:
         """No other process of this node holds its listeners."""
@@ -372,7 +372,7 @@
 
     # What operators ask for at the control door.
 
-    def not_ready(self) -> str | None:
+    def not_ready_reason(self) -> str | None:
         posture = self.decisions.serving_status
         if posture.draining:
             return "the node leaves"
@@ -382,10 +382,10 @@
             return "the node is out of service"
         return None if posture.workers_up else "the worker pool is not linked yet"
 
-    def out_of_service(self) -> str | None:
+    def take_out_of_service(self) -> str | None:
         return self._serve_clients(False)
 
-    def in_service(self) -> str | None:
+    def put_in_service(self) -> str | None:
         return self._serve_clients(True)
 
     def _serve_clients(self, serving: bool) -> str | None:
@@ -430,20 +430,22 @@
     def take_clients(self) -> None:
         """This process accepts from now on, and tells where it is listed."""
         for front, _ in self.fronts:
-            front.take()
+            front.resume_accepting()
         self.tell_lists()
 
     def leave_clients(self) -> None:
         """Another process of this node accepts from now on; what is open here goes on to its next answer."""
         for front, _ in self.fronts:
-            front.leave()
+            front.pause_accepting()
         self.registration.announce(None)
 
     async def _listeners(self) -> list[Acceptor]:
         if self.upgrade is None:
-            return [Acceptor(await listening_in_time(at, self.limits, self.retry.again)) for _, at in self.fronts]
+            return [
+                Acceptor(await open_listener_with_retries(at, self.limits, self.retry.again)) for _, at in self.fronts
+            ]
         await self.upgrade.begin()
         return [Acceptor(raw) for raw in self.upgrade.sockets]
 
     def print_counters(self) -> None:
-        standard_error.say(self.counters.to_json_line(self.config.name))
+        standard_error.write_line(self.counters.to_json_line(self.config.name))
--- a/flintshift/lifecycle/replication.py
+++ b/flintshift/lifecycle/replication.py
@@ -52,8 +52,8 @@
 from flintshift.startup.backoff import Uniform
 from flintshift.startup.permits import Permit, PermitRequest
 from flintshift.storage.files import DiskFiles, Files, LockedError
-from flintshift.wire.acceptor import listening
-from flintshift.wire.failures import may_pass
+from flintshift.wire.acceptor import open_listener
+from flintshift.wire.failures import is_transient
 from flintshift.wire.peer_link import Greeting, OutLink, PeerFront
 
 if TYPE_CHECKING:
@@ -413,11 +413,11 @@
         await self.store.opened.wait()
         while True:
             try:
-                raw = listening(self.listen, self.limits.listen_backlog)
+                raw = open_listener(self.listen, self.limits.listen_backlog)
                 break
             except OSError as error:
                 # The address is in use until the predecessor has ended, however long that takes.
-                if not (may_pass(error) if self.may_have_predecessor else self.may_retry(error)):
+                if not (is_transient(error) if self.may_have_predecessor else self.may_retry(error)):
                     raise
             await anyio.sleep(self.limits.start_retry_delay_ms / 1000)
         await self.front.serve(raw)
--- a/flintshift/lifecycle/start_retry.py
+++ b/flintshift/lifecycle/start_retry.py
@@ -8,8 +8,8 @@
 
 from flintshift.core.limits import Limits
 from flintshift.lifecycle import signals
-from flintshift.wire.failures import may_pass
-from flintshift.wire.standard_error import say
+from flintshift.wire.failures import is_transient
+from flintshift.wire.standard_error import write_line
 
 Result = TypeVar("Result")
 
@@ -30,7 +30,7 @@
         monotonic_s: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], None] = time.sleep,
         told_to_leave: Callable[[], bool] = signals.told_to_leave,
-        warn: Callable[[str], None] = say,
+        warn: Callable[[str], None] = write_line,
     ) -> None:
         self.monotonic_s, self.sleep, self.told_to_leave, self.warn = monotonic_s, sleep, told_to_leave, warn
         self.latest_s = monotonic_s() + most_s
@@ -41,7 +41,7 @@
         """Whether what failed so is to be tried again after ``WAIT_S``; a cause that is new is told."""
         self.tries += 1
         left_s = self.latest_s - self.monotonic_s()
-        if not may_pass(error) or left_s <= 0:
+        if not is_transient(error) or left_s <= 0:
             return False
         cause = str(error)
         if cause not in self.told:
--- a/flintshift/wire/unix.py
+++ b/flintshift/wire/unix.py
@@ -1,4 +1,4 @@
-"""Unix sockets at paths of the node's own: what a process that ended has left there goes, and nothing else does."""
+"""Unix sockets at file paths. A socket that an ended process left at a path is removed, any other file is kept."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-BACKLOG = 8
+LISTEN_BACKLOG = 8
 
 
 @contextlib.contextmanager
-def short(path: Path) -> Iterator[str]:
-    """A name for the path that fits a socket's address however deep the folder lies."""
+def short_socket_path(path: Path) -> Iterator[str]:
+    """Yield a name of the path that fits into a socket address, however deep its folder is nested."""
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}" if len(str(path)) > 100 else str(path)
@@ -22,32 +22,32 @@
         os.close(folder)
 
 
-def listens(path: Path) -> bool:
-    """Whether a process listens there now; asked without waiting.
+def is_listening(path: Path) -> bool:
+    """Whether a process listens at the path now; does not block.
 
     Raises:
-        OSError: the folder can't be looked into.
+        OSError: the folder can't be opened.
     """
-    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as raw, short(path) as name:
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as raw, short_socket_path(path) as name:
         raw.setblocking(False)
         return raw.connect_ex(name) in (0, errno.EAGAIN)  # EAGAIN: its queue is full
 
 
-def open_path(path: Path) -> socket.socket:
-    """The path, listening, for this user alone. A socket that nobody is to listen at any more goes.
+def open_unix_listener(path: Path) -> socket.socket:
+    """Listen at the path, with access for this user only. A socket file at the path is replaced.
 
     Raises:
-        OSError: the folder does not take it, or a file that is no socket stands there.
+        OSError: the folder does not allow it, or the path is a file other than a socket.
     """
     raw = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     raw.setblocking(False)
     try:
         if path.is_socket():
             path.unlink()
-        with short(path) as name:
+        with short_socket_path(path) as name:
             raw.bind(name)
         path.chmod(0o600)
-        raw.listen(BACKLOG)
+        raw.listen(LISTEN_BACKLOG)
     except BaseException:
         raw.close()
         raise
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -19,7 +19,7 @@
 from flintshift.settings.platform import flat
 from flintshift.settings.units import address
 from flintshift.wire import uwsgi
-from flintshift.wire.fields import UnusableError
+from flintshift.wire.fields import RequestError
 from flintshift.wire.outcomes import OUTCOMES
 
 
@@ -232,7 +232,7 @@
     if not missing_bytes:
         assert uwsgi.unpack(block) == dict(pairs)
     else:
-        with pytest.raises(UnusableError) as caught:
+        with pytest.raises(RequestError) as caught:
             uwsgi.unpack(block)
         assert caught.value.status == 400
 
@@ -244,13 +244,13 @@
     if expected < 400:
         assert uwsgi.body_size({"CONTENT_LENGTH": length}, 12) == expected
     else:
-        with pytest.raises(UnusableError) as caught:
+        with pytest.raises(RequestError) as caught:
             uwsgi.body_size({"CONTENT_LENGTH": length}, 12)
         assert caught.value.status == expected
 
 
 def test_a_duplicate_field_is_rejected():
-    with pytest.raises(UnusableError, match="HTTP_X_UNIQUE"):
+    with pytest.raises(RequestError, match="HTTP_X_UNIQUE"):
         uwsgi.unpack(uwsgi.pack([("HTTP_X_UNIQUE", "a"), ("HTTP_X_UNIQUE", "b")])[4:])
 
 
--- a/tests/wire/fronted.py
+++ b/tests/wire/front_harness.py
@@ -1,4 +1,4 @@
-"""An HTTP front that listens in the test's own event loop, with decisions made by the test."""
+"""A test harness: an HTTP front that listens in the test's own event loop, with decisions made by the test."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from flintshift.core.limits import Limits
 from flintshift.core.ports import ServingStatus
 from flintshift.settings.platform import flat, settings_from
-from flintshift.wire.acceptor import Acceptor, listening
-from flintshift.wire.fields import Fields
+from flintshift.wire.acceptor import Acceptor, open_listener
+from flintshift.wire.fields import AttemptBuilder
 from flintshift.wire.http_front import HttpFront
 
 PING = REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping")
@@ -28,41 +28,41 @@
 
 
 @dataclass
-class Decided:
-    """In the place of the decisions: what was handed over, answered when the test says so."""
+class ScriptedDecisions:
+    """Stands in for the decisions: keeps submitted attempts, and answers them when the test says so."""
 
     serving_status: ServingStatus = field(default_factory=lambda: ServingStatus(workers_up=True))
-    taken: list[Attempt] = field(default_factory=list)
-    turned_away: list[Attempt] = field(default_factory=list)
-    departed: list[str] = field(default_factory=list)
-    at_once: Answer | None = None
-    open: int = 0  # requests that it holds
+    submitted: list[Attempt] = field(default_factory=list)
+    rejected: list[Attempt] = field(default_factory=list)
+    disconnected: list[str] = field(default_factory=list)
+    immediate_answer: Answer | None = None
+    open: int = 0  # unanswered requests
 
     def submit(self, attempt: Attempt) -> None:
-        self.taken.append(attempt)
-        if self.at_once is not None:
-            attempt.settle(self.at_once, now_ms())
+        self.submitted.append(attempt)
+        if self.immediate_answer is not None:
+            attempt.settle(self.immediate_answer, now_ms())
 
     def reject(self, attempt: Attempt) -> None:
-        self.turned_away.append(attempt)
+        self.rejected.append(attempt)
         attempt.settle(Answer(Verdict.REFUSED, retry_after_ms=300.0), now_ms())
 
     async def report(self, report) -> None:
         if isinstance(report, CallerDisconnected):
-            self.departed.append(report.attempt.id)
+            self.disconnected.append(report.attempt.id)
 
 
-class Fronted:
-    """An HTTP front that listens, with decisions made by the test."""
+class FrontHarness:
+    """Runs an HTTP front on a free port; an asynchronous context manager."""
 
     def __init__(self, **limits: float) -> None:
-        self.limits, self.counters, self.decided = Limits(**limits), Counters(), Decided()
-        fields = Fields(Catalogue(settings_from(flat(SETTINGS)), self.limits), self.limits, now_ms)
-        self.front = HttpFront(fields, self.decided, self.limits, self.counters, now_ms, 100, None)
+        self.limits, self.counters, self.decisions = Limits(**limits), Counters(), ScriptedDecisions()
+        attempt_builder = AttemptBuilder(Catalogue(settings_from(flat(SETTINGS)), self.limits), self.limits, now_ms)
+        self.front = HttpFront(attempt_builder, self.decisions, self.limits, self.counters, now_ms, 100, None)
 
     async def __aenter__(self):
-        listener = Acceptor(listening(("127.0.0.1", 0), 64))
-        self.at = listener.raw.getsockname()
+        listener = Acceptor(open_listener(("127.0.0.1", 0), 64))
+        self.address = listener.raw.getsockname()
         self.tasks = await anyio.create_task_group().__aenter__()
         self.tasks.start_soon(self.front.serve, listener, self.tasks)
         self.tasks.start_soon(self.front.sweep)
@@ -71,38 +71,39 @@
     async def __aexit__(self, *_):
         self.tasks.cancel_scope.cancel()
         await self.tasks.__aexit__(None, None, None)
-        assert not self.front.connections and not any(self.front.idle)  # nothing outlives its owner
+        assert not self.front.connections and not any(self.front.idle)  # no connection outlives its front
 
     def connect(self, **options: int) -> socket.socket:
-        """A caller's connection, open as far as the kernel goes, without a turn of the loop."""
+        """Connect a caller. The kernel completes the connection without a turn of the event loop."""
         raw = socket.socket()
         for name, value in options.items():
             raw.setsockopt(socket.SOL_SOCKET, getattr(socket, name), value)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # its bytes are in the peer's kernel once it returns
-        raw.connect(self.at)
+        # Once `send` returns, its bytes are in the peer's kernel.
+        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        raw.connect(self.address)
         return raw
 
-    async def rested(self) -> socket.socket:
-        """A connection that has brought a request before, and rests."""
+    async def open_idle_connection(self) -> socket.socket:
+        """Open a connection whose first request is answered and which is idle now."""
         raw = self.connect()
-        caller = await calling(raw.dup())
+        caller = await open_caller(raw.dup())
         caller.send(PING)
         assert (await caller.reply()).status == 200
         caller.writer.close()
-        while self.front.busy or not any(one.reading for one in self.front.connections):
+        while self.front.busy_count or not any(connection.read_scope for connection in self.front.connections):
             await asyncio.sleep(0)
         return raw
 
-    async def until(self, true) -> None:
+    async def wait_until(self, condition) -> None:
         with anyio.fail_after(10):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.001)
 
 
-async def calling(raw: socket.socket) -> Caller:
+async def open_caller(raw: socket.socket) -> Caller:
     raw.setblocking(False)
     return Caller(*await asyncio.open_connection(sock=raw))
 
 
-def whole(fields=None) -> bytes:
+def http_request(fields=None) -> bytes:
     return REQUEST_BYTES["http"]("race-results", b"", fields or request_fields("race-results"))
