--- a/flintshift/lifecycle/reconfiguration.py
+++ b/flintshift/lifecycle/reconfiguration.py
@@ -98,10 +98,10 @@
 
     def _move(self, config: Config) -> None:
         """Use the addresses that it names."""
-        if config.pool != self.pool.to:
+        if config.pool != self.pool.address:
             self.pool.move(config.pool)
         self.vault.move(config.vault)
-        if config.naming != self.names.to:
+        if config.naming != self.names.address:
             self.names.move(config.naming)
             if self.decisions.serving_status.workers_up:
                 self.tell_lists()
--- a/flintshift/wire/names.py
+++ b/flintshift/wire/names.py
@@ -16,19 +16,19 @@
 
 
 class NameService:
-    def __init__(self, to: tuple[str, int], name: str, limits: Limits, counters: Counters) -> None:
-        self.to, self.name, self.limits, self.counters = to, name, limits, counters
+    def __init__(self, address: tuple[str, int], name: str, limits: Limits, counters: Counters) -> None:
+        self.address, self.name, self.limits, self.counters = address, name, limits, counters
 
-    def move(self, to: tuple[str, int]) -> None:
+    def move(self, address: tuple[str, int]) -> None:
         """Report to another address from the next report on."""
-        self.to = to
+        self.address = address
 
     async def report(self, serving: bool) -> bool:
         """One report; True when it counts, as it does once it has arrived whole, answered or not."""
         sent, word = anyio.Event(), "not_taken"
         try:
             with anyio.fail_after(self.limits.report_timeout_ms / 1000):
-                async with await connect(self.to, self.limits) as stream:
+                async with await connect(self.address, self.limits) as stream:
                     body = json.dumps({"serving": "yes" if serving else "no"})
                     if await self._put(stream, body.encode(), sent):
                         word = "taken"
@@ -43,7 +43,11 @@
 
     async def _put(self, stream: SocketStream, body: bytes, sent: anyio.Event) -> bool:
         conn = h11.Connection(h11.CLIENT)
-        headers = [("Host", f"{self.to[0]}:{self.to[1]}"), ("Content-Length", str(len(body))), ("Connection", "close")]
+        headers = [
+            ("Host", f"{self.address[0]}:{self.address[1]}"),
+            ("Content-Length", str(len(body))),
+            ("Connection", "close"),
+        ]
         request = h11.Request(method="PUT", target=f"/ns/hosts/{quote(self.name)}", headers=headers)
         await stream.send(
             b"".join(conn.send(event) or b"" for event in (request, h11.Data(data=body), h11.EndOfMessage()))
--- a/flintshift/wire/pool.py
+++ b/flintshift/wire/pool.py
@@ -38,7 +38,7 @@
 class PoolLink:
     def __init__(
         self,
-        to: tuple[str, int],
+        address: tuple[str, int],
         gauge_names: list[str | None],
         limits: Limits,
         counters: Counters,
@@ -46,7 +46,7 @@
         uniform: Uniform = random.uniform,
     ) -> None:
         self.uniform = uniform
-        self.to, self.gauge_names, self.limits = to, gauge_names, limits
+        self.address, self.gauge_names, self.limits = address, gauge_names, limits
         self.counters, self.report = counters, report
         self.outbox: Mailbox[Command] = Mailbox(limits.outbox_size)
         self.unheard = Unheard(limits.pool_in_doubt_ms, limits.max_unconfirmed_commands)
@@ -112,10 +112,10 @@
 
     # The link.
 
-    def move(self, to: tuple[str, int]) -> None:
+    def move(self, address: tuple[str, int]) -> None:
         """Link to another address. The link in use takes no further command, but is read until it closes:
         what it tells too is known by its number."""
-        self.to = to
+        self.address = address
         self.over.set()
         if self.resting is not None:
             self.resting.cancel()
@@ -130,7 +130,7 @@
 
     async def _link(self, over: anyio.Event, backoff: Backoff) -> None:
         try:
-            async with await connect(self.to, self.limits) as stream:
+            async with await connect(self.address, self.limits) as stream:
                 if not over.is_set():  # guards the new link against being replaced by a late one
                     await self._serve(stream, over, backoff)
         except* NoticeError as errors:
