--- a/flintshift/cli/copies.py
+++ b/flintshift/cli/copies.py
@@ -120,10 +120,10 @@
     from flintshift.replication.store import examine_store
     from flintshift.storage.files import DiskFiles
     from flintshift.storage.snapshot import DamagedError
-    from flintshift.wire.peer_codec import entry_from
+    from flintshift.wire.peer_codec import decode_entry
 
     try:
-        state, records, keys = examine_store(DiskFiles(), folder, entry_from)
+        state, records, keys = examine_store(DiskFiles(), folder, decode_entry)
     except OSError as error:
         click.echo(f"flintshift: {error}", err=True)
         sys.exit(1)
--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -26,7 +26,7 @@
 from flintshift.settings.options import CopiesOptions
 from flintshift.storage.files import Files
 from flintshift.storage.log import BrokenLogError
-from flintshift.wire.peer_codec import entry_bytes, entry_from
+from flintshift.wire.peer_codec import decode_entry, encode_entry
 
 PURGE_MS = 1000.0
 TURN_MS = 30_000.0  # a segment of the log is used for so long at the most
@@ -106,8 +106,8 @@
             time.time() * 1000,
             boot_id(),
             self.options.durability == "power-cut",
-            entry_bytes,
-            entry_from,
+            encode_entry,
+            decode_entry,
         )
         found, state, now = self.folder.recovered, self.folder.state, self.now_ms()
         before = self.registers.stores
--- a/flintshift/wire/peer_codec.py
+++ b/flintshift/wire/peer_codec.py
@@ -32,7 +32,7 @@
 Told = Ask | Vote | Ended | FillAsk | Page | Accused | logs.LogMessage | PermitRequest | Permit
 
 
-class WordsError(JunkError, ValueError):
+class PeerMessageError(JunkError, ValueError):
     """What came is no batch of these words."""
 
 
@@ -96,7 +96,7 @@
     )
 
 
-def batch_of(words: Iterable[Word], beat: bool = False) -> pb.Batch:
+def encode_batch(words: Iterable[Word], beat: bool = False) -> pb.Batch:
     batch = pb.Batch(beat=beat)
     for word in words:
         match word:
@@ -192,7 +192,7 @@
     return []  # of a later release
 
 
-def read_batch(data: bytes) -> pb.Batch:
+def parse_batch(data: bytes) -> pb.Batch:
     """A frame's content.
 
     Raises:
@@ -201,10 +201,10 @@
     try:
         return pb.Batch.FromString(data)
     except Exception as error:  # the library's own DecodeError has no base of its own
-        raise WordsError(f"no batch of words: {error}") from error
+        raise PeerMessageError(f"no batch of words: {error}") from error
 
 
-def words_of(batch: pb.Batch, member: str, identity: str) -> list[Told]:
+def decode_messages(batch: pb.Batch, member: str, identity: str) -> list[Told]:
     """The words of a batch, which came from that process of a member.
 
     Raises:
@@ -264,17 +264,17 @@
             *(Permit(one.number, one.granted) for one in batch.permits),
         ]
     except (ValueError, IndexError) as error:
-        raise WordsError(f"a word that can't be: {error}") from error
+        raise PeerMessageError(f"a word that can't be: {error}") from error
 
 
-def entry_bytes(entry: Entry, at_ms: float) -> bytes:
+def encode_entry(entry: Entry, at_ms: float) -> bytes:
     """A register for the disk."""
     made = pb.Entry(at_ms=at_ms)
     _entry(made, entry)
     return bytes(made.SerializeToString())
 
 
-def entry_from(data: bytes) -> tuple[Entry, float]:
+def decode_entry(data: bytes) -> tuple[Entry, float]:
     """A register from the disk, and when it was written.
 
     Raises:
@@ -284,4 +284,4 @@
         told = pb.Entry.FromString(data)
         return _entry_of(told), told.at_ms
     except Exception as error:
-        raise WordsError(f"no register: {error}") from error
+        raise PeerMessageError(f"no register: {error}") from error
--- a/flintshift/wire/peer_link.py
+++ b/flintshift/wire/peer_link.py
@@ -24,7 +24,14 @@
 from flintshift.proto import peers_pb2 as pb
 from flintshift.startup.backoff import Backoff
 from flintshift.wire.link import BROKEN, JunkError
-from flintshift.wire.peer_codec import PEER_FRAME_MOST, Word, WordsError, batch_of, read_batch, words_of
+from flintshift.wire.peer_codec import (
+    PEER_FRAME_MOST,
+    PeerMessageError,
+    Word,
+    decode_messages,
+    encode_batch,
+    parse_batch,
+)
 
 SCHEMA = 1  # of `proto/peers.proto`; with a member of the schema before or after, what the lower of both has
 HEAD = 4
@@ -96,12 +103,12 @@
             while len(self.data) >= HEAD:
                 size = int.from_bytes(self.data[:HEAD], "little")
                 if size > PEER_FRAME_MOST:
-                    raise WordsError(f"a frame of {size} bytes")
+                    raise PeerMessageError(f"a frame of {size} bytes")
                 if len(self.data) < HEAD + size:
                     return
                 told = bytes(self.data[HEAD : HEAD + size])
                 del self.data[: HEAD + size]
-                self.got(self, read_batch(told))
+                self.got(self, parse_batch(told))
         except (JunkError, UnicodeError) as error:
             self.end(f"{type(error).__name__} {error}")
 
@@ -148,7 +155,7 @@
             words, self.words = self.words[:WORDS_MOST], self.words[WORDS_MOST:]
             beat, self.beats = self.beats, False
             self.words_out += len(words)
-            self.send(batch_of(words, beat))
+            self.send(encode_batch(words, beat))
 
     def end(self, cause: str) -> None:
         self.cause = self.cause or cause
@@ -246,7 +253,7 @@
             wire.met.set()
         elif wire is self.wire:
             self.asked_ms = math.inf
-            self.heard(self.member, wire.greeted.identity, words_of(batch, self.member, wire.greeted.identity))
+            self.heard(self.member, wire.greeted.identity, decode_messages(batch, self.member, wire.greeted.identity))
 
 
 class PeerFront:
@@ -303,7 +310,7 @@
     def _got(self, wire: Wire, batch: pb.Batch) -> None:
         if wire.greeted is not None:
             told = wire.greeted
-            self.heard(told.member, told.identity, words_of(batch, told.member, told.identity))
+            self.heard(told.member, told.identity, decode_messages(batch, told.member, told.identity))
             return
         told = batch.hello
         refused = self.greeting.refuses(told, self.members)
--- a/tests/replication/test_member_messages.py
+++ b/tests/replication/test_member_messages.py
@@ -13,7 +13,7 @@
 from flintshift.replication.placement import Placement
 from flintshift.replication.refill import FillAsk, Page
 from flintshift.startup.permits import Permit, PermitRequest
-from flintshift.wire.peer_codec import OUTCOMES, WordsError, batch_of, read_batch, words_of
+from flintshift.wire.peer_codec import OUTCOMES, PeerMessageError, decode_messages, encode_batch, parse_batch
 from flintshift.wire.peer_link import SCHEMA, Greeting
 
 KEYS = [("submit-time", f"k{number}") for number in range(2000)]
@@ -40,12 +40,12 @@
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
 def test_messages_are_decoded_as_they_were_encoded(message):
-    data = batch_of([message]).SerializeToString()
-    assert words_of(read_batch(data), "n1", "n1#1") == [message]
+    data = encode_batch([message]).SerializeToString()
+    assert decode_messages(parse_batch(data), "n1", "n1#1") == [message]
 
 
 def test_an_accusation_is_decoded_with_its_accuser_and_every_outcome_has_a_number():
-    assert words_of(batch_of([Accuse("n3#1", True)]), "n2", "n2#1") == [Accused("n2", "n3#1", True)]
+    assert decode_messages(encode_batch([Accuse("n3#1", True)]), "n2", "n2#1") == [Accused("n2", "n3#1", True)]
     assert set(OUTCOMES) == set(Outcome)
 
 
@@ -59,15 +59,15 @@
     ],
 )
 def test_invalid_messages_are_rejected(batch):
-    with pytest.raises(WordsError):
-        words_of(batch, "n1", "n1#1")
+    with pytest.raises(PeerMessageError):
+        decode_messages(batch, "n1", "n1#1")
 
 
 def test_a_malformed_batch_is_rejected_and_fields_of_a_later_release_are_skipped():
-    with pytest.raises(WordsError):
-        read_batch(b"\xff" * 9)
-    later = batch_of([MESSAGES[1]]).SerializeToString() + b"\xfa\x07\x03abc"  # field 127
-    assert words_of(read_batch(later), "n1", "n1#1") == [MESSAGES[1]]
+    with pytest.raises(PeerMessageError):
+        parse_batch(b"\xff" * 9)
+    later = encode_batch([MESSAGES[1]]).SerializeToString() + b"\xfa\x07\x03abc"  # field 127
+    assert decode_messages(parse_batch(later), "n1", "n1#1") == [MESSAGES[1]]
 
 
 @pytest.mark.parametrize(
@@ -77,7 +77,7 @@
     greeting, member_names = Greeting("n1", "n1#1", 1, b"digest"), ["n1", "n2"]
     hello = Greeting("n2", "n2#1", 1, b"digest").hello(7, 0).hello
     hello.schema = schema
-    received = read_batch(pb.Batch(hello=hello).SerializeToString() + b"\xfa\x07\x03abc").hello  # and an unknown field
+    received = parse_batch(pb.Batch(hello=hello).SerializeToString() + b"\xfa\x07\x03abc").hello  # and an unknown field
     assert bool(greeting.refuses(received, member_names)) is not accepted
 
 
--- a/tests/replication/test_store.py
+++ b/tests/replication/test_store.py
@@ -15,7 +15,7 @@
 from flintshift.replication.store import ReplicaFolder, create_empty_store, examine_store
 from flintshift.storage.log import BrokenLogError
 from flintshift.storage.snapshot import DamagedError
-from flintshift.wire.peer_codec import entry_bytes, entry_from
+from flintshift.wire.peer_codec import decode_entry, encode_entry
 
 FOLDER = Path("/srv/copies")
 NOW_MS = 1_000_000.0
@@ -28,7 +28,7 @@
 
 def open_folder(files, now=NOW_MS, member="n1", boot="b1", synced=False, unix_ms=None):
     unix_ms = now if unix_ms is None else unix_ms
-    return ReplicaFolder(files, FOLDER, member, now, unix_ms, boot, synced, entry_bytes, entry_from)
+    return ReplicaFolder(files, FOLDER, member, now, unix_ms, boot, synced, encode_entry, decode_entry)
 
 
 def create_store(files=None):
@@ -104,9 +104,9 @@
     for offset in range(12, len(files.current_files[log].data) - 1, 7):
         flip_bit(files, log, offset)
         with pytest.raises(DamagedError):
-            examine_store(files, FOLDER, entry_from)
+            examine_store(files, FOLDER, decode_entry)
         flip_bit(files, log, offset)
-    assert examine_store(files, FOLDER, entry_from)[1:] == (2, 2)
+    assert examine_store(files, FOLDER, decode_entry)[1:] == (2, 2)
     store.close()
     flip_bit(files, log, 40)
     reopened = open_folder(files)
