--- a/benchmarks/peer_link.py
+++ b/benchmarks/peer_link.py
@@ -28,7 +28,7 @@
 from flintshift.core.limits import Limits  # noqa: E402
 from flintshift.lab.ports import free_ports  # noqa: E402
 from flintshift.proto import peers_pb2 as pb  # noqa: E402
-from flintshift.wire.peer_link import Wire  # noqa: E402
+from flintshift.wire.peer_link import PeerConnection  # noqa: E402
 
 METHOD = "/flintshift.peers.v1.Peers/Talk"
 Exchange = Callable[[pb.Batch], Awaitable[None]]
@@ -78,8 +78,8 @@
     return exchange
 
 
-def echo() -> Wire:
-    return Wire(Limits(), lambda wire, batch: wire.send(batch))
+def echo() -> PeerConnection:
+    return PeerConnection(Limits(), lambda wire, batch: wire.send(batch))
 
 
 async def framed_serve(at: str) -> None:
@@ -92,10 +92,10 @@
     await asyncio.Event().wait()
 
 
-def over(wire_of: Callable[[Wire], Awaitable[Any]]) -> Callable[[], Awaitable[Exchange]]:
+def over(wire_of: Callable[[PeerConnection], Awaitable[Any]]) -> Callable[[], Awaitable[Exchange]]:
     async def connect() -> Exchange:
         came = asyncio.Event()
-        wire = Wire(Limits(), lambda wire, batch: came.set())
+        wire = PeerConnection(Limits(), lambda wire, batch: came.set())
         await wire_of(wire)
 
         async def exchange(batch: pb.Batch) -> None:
--- a/flintshift/lifecycle/copying.py
+++ b/flintshift/lifecycle/copying.py
@@ -55,7 +55,7 @@
 from flintshift.storage.files import DiskFiles, Files, LockedError
 from flintshift.wire.acceptor import listening
 from flintshift.wire.failures import may_pass
-from flintshift.wire.peer_link import Greeting, OutLink, PeerFront
+from flintshift.wire.peer_link import Handshake, OutgoingLink, PeerListener
 
 if TYPE_CHECKING:
     from flintshift.lifecycle.start_permits import StartPermits
@@ -106,9 +106,9 @@
             self.identity, halls, who.HeartbeatTiming(peers.beat_ms, peers.lease_ms), self.now_ms()
         )
         self.proposals = Proposals(self.identity, self.placement, self._lives, self.draw)
-        greeting = self.greeting = Greeting(name, self.identity, peers.epoch, members_digest(peers))
+        greeting = self.greeting = Handshake(name, self.identity, peers.epoch, members_digest(peers))
         self.links = {
-            member: OutLink(
+            member: OutgoingLink(
                 member,
                 address,
                 limits,
@@ -122,7 +122,7 @@
             )
             for member, (_, address) in {**peers.members, name: (halls[name], peers.listen)}.items()
         }
-        self.front = PeerFront(
+        self.front = PeerListener(
             limits, counters, greeting, list(halls), self.store.known_stores, self._asked, self._met, self._refused
         )
         self.listen = peers.listen
@@ -278,7 +278,7 @@
         for action in self.members.handle(self.now_ms(), event):
             match action:
                 case who.SendHeartbeat(to):
-                    self.links[to].beat()
+                    self.links[to].send_heartbeat()
                 case who.Accuse():
                     for link in self.links.values():
                         link.send(action, self.now_ms(), False)
@@ -301,7 +301,7 @@
         """Either end of a link said hello."""
         self.store.met(member, told.store, told.known_store)
         self._members(who.MessageReceived(told.identity))
-        self.links[member].hurry()
+        self.links[member].retry_now()
 
     def _refused(self, cause: str) -> None:
         self.log("warning", "peers.link_refused", cause=cause)
@@ -417,7 +417,7 @@
                     except OSError as error:
                         self.log("error", "copies.not_taken_over", cause=str(error))
             visit.cancel_scope.cancel()
-        self.links[self.name].wire = None
+        self.links[self.name].connection = None
         self.reached.discard(self.name)
         self.log("info", "copies.taken_over", cause="the process that held them has ended")
 
@@ -431,7 +431,7 @@
     def _tick(self) -> None:
         now = self.now_ms()
         for link in self.links.values():
-            link.watch(now)
+            link.check_timeout(now)
         self._members(who.Tick())
         if self.use is not None:
             self.use.tick()
--- a/flintshift/wire/peer_link.py
+++ b/flintshift/wire/peer_link.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Greeting:
+class Handshake:
     """What this process says of itself."""
 
     member: str
@@ -61,7 +61,7 @@
             )
         )
 
-    def refuses(self, told: pb.Hello, known: Sequence[str]) -> str:
+    def rejection_reason(self, told: pb.Hello, known: Sequence[str]) -> str:
         """Why a process that says this of itself is no member of this fleet; empty: it is one."""
         if told.refused:
             return f"it refuses this member: {told.refused}"
@@ -77,10 +77,10 @@
         return ""
 
 
-class Wire(asyncio.Protocol):
+class PeerConnection(asyncio.Protocol):
     """One connection. ``got`` is told each batch, in the turn in which it comes."""
 
-    def __init__(self, limits: Limits, got: Callable[[Wire, pb.Batch], None]) -> None:
+    def __init__(self, limits: Limits, got: Callable[[PeerConnection, pb.Batch], None]) -> None:
         self.limits, self.got = limits, got
         self.data = bytearray()
         self.words: list[Word] = []
@@ -134,7 +134,7 @@
         self.words.append(word)
         self._soon()
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         self.beats = True
         self._soon()
 
@@ -153,9 +153,9 @@
         self.flushing = False
         while (self.words or self.beats) and not self.paused and self.transport is not None:
             words, self.words = self.words[:WORDS_MOST], self.words[WORDS_MOST:]
-            beat, self.beats = self.beats, False
+            heartbeat, self.beats = self.beats, False
             self.words_out += len(words)
-            self.send(encode_batch(words, beat))
+            self.send(encode_batch(words, heartbeat))
 
     def end(self, cause: str) -> None:
         self.cause = self.cause or cause
@@ -166,7 +166,7 @@
 Heard = Callable[[str, str, list[Any]], None]  # member, identity, words
 
 
-class OutLink:
+class OutgoingLink:
     """To one member: opened by this process, again and again. ``up`` and ``down`` are told as it comes and goes."""
 
     def __init__(
@@ -175,7 +175,7 @@
         to: tuple[str, int],
         limits: Limits,
         counters: Counters,
-        greeting: Greeting,
+        greeting: Handshake,
         stores: Callable[[str], tuple[int, int]],
         heard: Heard,
         up: Callable[[str, pb.Hello], None],
@@ -191,35 +191,35 @@
             down,
             draw,
         )
-        self.wire: Wire | None = None  # while the other end is met
+        self.connection: PeerConnection | None = None  # while the other end is met
         self.asked_ms = math.inf  # since when an answer is owed
         self.wanted = anyio.Event()  # the next try is made at once
 
-    def hurry(self) -> None:
+    def retry_now(self) -> None:
         """The other end is there again: it has just opened a link of its own."""
-        if self.wire is None:
+        if self.connection is None:
             self.wanted.set()
 
     def send(self, word: Word, now_ms: float, answered: bool) -> None:
-        if self.wire is not None:
-            self.wire.put(word)
+        if self.connection is not None:
+            self.connection.put(word)
             if answered:
                 self.asked_ms = min(self.asked_ms, now_ms)
 
-    def beat(self) -> None:
-        if self.wire is not None:
-            self.wire.beat()
+    def send_heartbeat(self) -> None:
+        if self.connection is not None:
+            self.connection.send_heartbeat()
 
-    def watch(self, now_ms: float) -> None:
+    def check_timeout(self, now_ms: float) -> None:
         """Break it off where an answer is owed for too long: what breaks is found at once, what hangs is not."""
-        if self.wire is not None and now_ms - self.asked_ms > self.limits.peer_timeout_ms:
+        if self.connection is not None and now_ms - self.asked_ms > self.limits.peer_timeout_ms:
             self.counters.add("peers.links_silent")
-            self.wire.end("an answer was owed for too long")
+            self.connection.end("an answer was owed for too long")
 
     async def run(self) -> None:
         waits = Backoff(self.limits.backoff_ms, self.limits.max_peer_backoff_ms, self.draw.uniform)
         while True:
-            wire = Wire(self.limits, self._got)
+            wire = PeerConnection(self.limits, self._got)
             refused = ""
             try:
                 with anyio.fail_after(self.limits.connect_timeout_ms / 1000):
@@ -227,17 +227,17 @@
                     wire.send(self.greeting.hello(*self.stores(self.member)))
                     await wire.met.wait()
                 if wire.greeted is not None:
-                    refused = self.greeting.refuses(wire.greeted, [self.member])
+                    refused = self.greeting.rejection_reason(wire.greeted, [self.member])
                 if wire.greeted is not None and not refused:
                     waits.reset()
-                    self.wire, self.asked_ms = wire, math.inf
+                    self.connection, self.asked_ms = wire, math.inf
                     self.up(self.member, wire.greeted)
                     await wire.ended.wait()
             except BROKEN as error:
                 wire.cause = f"{type(error).__name__} {error}".strip()
             finally:
                 wire.end("this end closed it")
-            self.wire = None
+            self.connection = None
             if refused or "Error" in wire.cause:
                 self.counters.add("peers.links_failed")
             self.down(self.member, refused or wire.cause)
@@ -247,23 +247,23 @@
             with anyio.move_on_after(wait_ms / 1000):
                 await self.wanted.wait()
 
-    def _got(self, wire: Wire, batch: pb.Batch) -> None:
+    def _got(self, wire: PeerConnection, batch: pb.Batch) -> None:
         if wire.greeted is None:
             wire.greeted = batch.hello
             wire.met.set()
-        elif wire is self.wire:
+        elif wire is self.connection:
             self.asked_ms = math.inf
             self.heard(self.member, wire.greeted.identity, decode_messages(batch, self.member, wire.greeted.identity))
 
 
-class PeerFront:
+class PeerListener:
     """Where other members ask this process. Each link is known by the identity at its other end."""
 
     def __init__(
         self,
         limits: Limits,
         counters: Counters,
-        greeting: Greeting,
+        greeting: Handshake,
         members: Sequence[str],
         stores: Callable[[str], tuple[int, int]],
         heard: Heard,
@@ -272,8 +272,8 @@
     ) -> None:
         self.limits, self.counters, self.greeting, self.members = limits, counters, greeting, members
         self.stores, self.heard, self.met, self.refused = stores, heard, met, refused
-        self.wires: dict[str, Wire] = {}
-        self.open: dict[Wire, float] = {}  # when it came
+        self.wires: dict[str, PeerConnection] = {}
+        self.open: dict[PeerConnection, float] = {}  # when it came
 
     def send(self, identity: str, word: Word) -> None:
         wire = self.wires.get(identity)
@@ -292,7 +292,7 @@
             for wire in list(self.open):
                 wire.end("this member leaves")
 
-    def _new(self) -> Wire:
+    def _new(self) -> PeerConnection:
         wire = Accepted(self.limits, self._got, self)
         self.open[wire] = asyncio.get_running_loop().time()
         if len(self.open) > self.limits.max_peer_links:
@@ -307,13 +307,13 @@
             if wire.greeted is None and now - since > self.limits.connect_timeout_ms / 1000:
                 wire.end("it did not say who it is")
 
-    def _got(self, wire: Wire, batch: pb.Batch) -> None:
+    def _got(self, wire: PeerConnection, batch: pb.Batch) -> None:
         if wire.greeted is not None:
             told = wire.greeted
             self.heard(told.member, told.identity, decode_messages(batch, told.member, told.identity))
             return
         told = batch.hello
-        refused = self.greeting.refuses(told, self.members)
+        refused = self.greeting.rejection_reason(told, self.members)
         if told.member:
             wire.send(self.greeting.hello(*self.stores(told.member), refused=refused))
         if refused:
@@ -322,7 +322,7 @@
         self.wires[told.identity] = wire
         self.met(told.member, told)
 
-    def gone(self, wire: Wire) -> None:
+    def gone(self, wire: PeerConnection) -> None:
         self.open.pop(wire, None)
         if "Error" in wire.cause and wire.greeted is None:
             self.counters.add("peers.junk")
@@ -331,10 +331,10 @@
             del self.wires[wire.greeted.identity]
 
 
-class Accepted(Wire):
+class Accepted(PeerConnection):
     """One that another process opened."""
 
-    def __init__(self, limits: Limits, got: Callable[[Wire, pb.Batch], None], front: PeerFront) -> None:
+    def __init__(self, limits: Limits, got: Callable[[PeerConnection, pb.Batch], None], front: PeerListener) -> None:
         super().__init__(limits, got)
         self.front = front
 
--- a/tests/lifecycle/test_failing_system_calls.py
+++ b/tests/lifecycle/test_failing_system_calls.py
@@ -112,14 +112,14 @@
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.wire.acceptor import listening
-from flintshift.wire.peer_link import PeerFront
+from flintshift.wire.peer_link import PeerListener
 
 def nothing(*_):
     return None
 
 async def main():
     raw = listening(("127.0.0.1", 0), 16)
-    front = PeerFront(Limits(), Counters(), None, ["n1"], nothing, nothing, nothing, nothing)
+    front = PeerListener(Limits(), Counters(), None, ["n1"], nothing, nothing, nothing, nothing)
     print(raw.getsockname()[1], flush=True)
     await front.serve(raw)
 
--- a/tests/replication/test_member_messages.py
+++ b/tests/replication/test_member_messages.py
@@ -14,7 +14,7 @@
 from flintshift.replication.refill import FillAsk, Page
 from flintshift.startup.permits import Permit, PermitRequest
 from flintshift.wire.peer_codec import OUTCOMES, PeerMessageError, decode_messages, encode_batch, parse_batch
-from flintshift.wire.peer_link import SCHEMA, Greeting
+from flintshift.wire.peer_link import SCHEMA, Handshake
 
 KEYS = [("submit-time", f"k{number}") for number in range(2000)]
 VALUE = Value(Stage.CLAIMED, "r1", "n1#1", b"\0\xff" * 8, 1234.5)
@@ -74,11 +74,11 @@
     ("schema", "accepted"), [(SCHEMA - 1, True), (SCHEMA, True), (SCHEMA + 1, True), (SCHEMA + 2, False)]
 )
 def test_members_one_release_apart_accept_each_other(schema, accepted):
-    greeting, member_names = Greeting("n1", "n1#1", 1, b"digest"), ["n1", "n2"]
-    hello = Greeting("n2", "n2#1", 1, b"digest").hello(7, 0).hello
+    greeting, member_names = Handshake("n1", "n1#1", 1, b"digest"), ["n1", "n2"]
+    hello = Handshake("n2", "n2#1", 1, b"digest").hello(7, 0).hello
     hello.schema = schema
     received = parse_batch(pb.Batch(hello=hello).SerializeToString() + b"\xfa\x07\x03abc").hello  # and an unknown field
-    assert bool(greeting.refuses(received, member_names)) is not accepted
+    assert bool(greeting.rejection_reason(received, member_names)) is not accepted
 
 
 @pytest.mark.parametrize(
