--- a/flintshift/handover/claims.py
+++ b/flintshift/handover/claims.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from flintshift.handover.messages import Answered, Claimed, Freed, Key, Known, Word
+from flintshift.handover.messages import Answered, Claimed, Freed, Key, Known, Message
 
 
 @dataclass(slots=True)
@@ -17,13 +17,13 @@
 
     owner: str
     live_until_ms: float
-    print: bytes
+    fingerprint: bytes
     waiting: dict[str, float] = field(default_factory=dict)  # attempts that wait for the word, and until when
 
 
 @dataclass(frozen=True, slots=True)
 class Say:
-    word: Word
+    word: Message
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
             return []
         if len(self.pending) >= self.most:
             return [GiveUp(claim.owner)]
-        self.pending[claim.key] = Pending(claim.owner, claim.live_until_ms, claim.print, {claim.owner: until_ms})
+        self.pending[claim.key] = Pending(claim.owner, claim.live_until_ms, claim.fingerprint, {claim.owner: until_ms})
         return [Say(claim)]
 
     def claimed(self, word: Claimed, senior: bool, held: Known | None) -> list[Step]:
@@ -75,9 +75,9 @@
             return [Say(held), Say(Answered(word.key, word.owner, False))]
         mine = self.pending.get(word.key)
         if mine is not None and senior:
-            claimed = Known(word.key, mine.owner, mine.live_until_ms, mine.print, None, b"")
+            claimed = Known(word.key, mine.owner, mine.live_until_ms, mine.fingerprint, None, b"")
             return [Say(claimed), Say(Answered(word.key, word.owner, False))]
-        entry = Known(word.key, word.owner, word.live_until_ms, word.print, None, b"")
+        entry = Known(word.key, word.owner, word.live_until_ms, word.fingerprint, None, b"")
         return [Adopt(entry), Say(Answered(word.key, word.owner, True))]
 
     def answered(self, word: Answered) -> list[Step]:
--- a/flintshift/handover/messages.py
+++ b/flintshift/handover/messages.py
@@ -32,56 +32,56 @@
 # Words on the link. A reader takes nothing that is not of these types.
 
 
-class _Word(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
     pass
 
 
-class Hello(_Word, frozen=True):
+class Hello(_Message, frozen=True):
     version: int
 
 
-class Welcome(_Word, frozen=True):
+class Welcome(_Message, frozen=True):
     """With the listening sockets, in the order of the fronts."""
 
     version: int
-    out: bool  # of service
-    ahead_ms: float | None = None  # the node's clock, of the monotonic one; None: an older version does not tell
+    out_of_service: bool  # of service
+    clock_ahead_ms: float | None = None  # the node's clock, of the monotonic one; None: an older version does not tell
 
 
-class Known(_Word, frozen=True):
+class Known(_Message, frozen=True):
     """An entry of the key table."""
 
     key: Key
     owner: str
     live_until_ms: float
-    print: bytes
+    fingerprint: bytes
     outcome: Outcome | None  # of its run; None: it is not over
     result: bytes
 
 
-class Copied(_Word, frozen=True):
+class Copied(_Message, frozen=True):
     """All entries have been told."""
 
 
-class Ready(_Word, frozen=True):
+class Ready(_Message, frozen=True):
     """The successor can take the clients."""
 
 
-class Yours(_Word, frozen=True):
+class Yours(_Message, frozen=True):
     """The predecessor accepts no more."""
 
 
-class Claimed(_Word, frozen=True):
+class Claimed(_Message, frozen=True):
     """May this attempt run under this key?"""
 
     key: Key
     owner: str
-    door_ms: float  # when it came to the machine
+    arrival_ms: float  # when it came to the machine
     live_until_ms: float
-    print: bytes
+    fingerprint: bytes
 
 
-class Answered(_Word, frozen=True):
+class Answered(_Message, frozen=True):
     """Whether it may; if not, what holds the key was told before."""
 
     key: Key
@@ -89,7 +89,7 @@
     granted: bool
 
 
-class Over(_Word, frozen=True):
+class Over(_Message, frozen=True):
     """A run that was claimed is over."""
 
     key: Key
@@ -99,40 +99,40 @@
     result: bytes
 
 
-class Freed(_Word, frozen=True):
+class Freed(_Message, frozen=True):
     """What was claimed never ran."""
 
     key: Key
     owner: str
 
 
-class Load(_Word, frozen=True):
+class Load(_Message, frozen=True):
     """The parts of the node's limits that the predecessor keeps, from 0 to 1, and its open connections."""
 
-    crowd: float
+    concurrency: float
     memory: float
     calls: float
     connections: int
 
 
-class Learned(_Word, frozen=True):
+class Learned(_Message, frozen=True):
     """What the predecessor's decisions have learned of the machine, as ``interface.LearnedEstimates`` has it."""
 
-    limit: float
+    run_limit: float
     run_ms: dict[str, float]
 
 
-class Service(_Word, frozen=True):
+class Service(_Message, frozen=True):
     """An operator's word came to the older's door."""
 
-    out: bool
+    out_of_service: bool
 
 
-class Left(_Word, frozen=True):
+class Left(_Message, frozen=True):
     """This process ends in good order: all that it ran has been told."""
 
 
-Word = (
+Message = (
     Hello
     | Welcome
     | Known
@@ -159,7 +159,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerGone:
+class PeerExited:
     """The other process has ended."""
 
 
@@ -171,21 +171,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorCommand:
     """An operator's word at this process's door."""
 
-    out: bool
+    out_of_service: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Used:
+class UsageUpdate:
     """What this process uses now, and has learned; told again and again."""
 
     load: Load
     learned: Learned
 
 
-Event = Word | PoolUp | PeerGone | LinkEnded | Operator | Used
+Event = Message | PoolUp | PeerExited | LinkEnded | OperatorCommand | UsageUpdate
 
 
 # What it answers.
@@ -193,65 +193,76 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    word: Word
+    word: Message
 
 
 @dataclass(frozen=True, slots=True)
-class SendCopy:
+class SendEntries:
     """Send every live entry of the key table, then `Copied`."""
 
 
 @dataclass(frozen=True, slots=True)
-class TakeClients:
+class StartAccepting:
     """Accept, report to the name service, be ready."""
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveClients:
+class StopAccepting:
     """Accept no more, say nothing to the name service, close connections with their next answer."""
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class SetLimitShare:
     """The parts of the node's limits that are this process's, and how many connections the other holds."""
 
-    crowd: float
+    concurrency: float
     memory: float
     calls: float
-    others: int = 0
+    peer_connections: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class LosePeer:
+class FailPeerRuns:
     """The other is gone: its unended runs are lost. ``partial``: keys may be unknown here."""
 
     partial: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Serve:
+class SetServiceState:
     """Be in or out of service, as the operators last said."""
 
-    out: bool
+    out_of_service: bool
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUpStart:
+class AbortStart:
     """This process can't take over, and has taken no client yet: it ends."""
 
     cause: str
 
 
 @dataclass(frozen=True, slots=True)
-class Learn:
+class ApplyEstimates:
     """Begin with what the predecessor has learned."""
 
     learned: Learned
 
 
 @dataclass(frozen=True, slots=True)
-class OpenPath:
+class ListenForSuccessor:
     """A successor may come from now on."""
 
 
-Action = Send | SendCopy | TakeClients | LeaveClients | Keep | LosePeer | Serve | GiveUpStart | Learn | OpenPath
+Action = (
+    Send
+    | SendEntries
+    | StartAccepting
+    | StopAccepting
+    | SetLimitShare
+    | FailPeerRuns
+    | SetServiceState
+    | AbortStart
+    | ApplyEstimates
+    | ListenForSuccessor
+)
--- a/flintshift/handover/phases.py
+++ b/flintshift/handover/phases.py
@@ -4,31 +4,31 @@
 
 from flintshift.handover.messages import (
     VERSION,
+    AbortStart,
     Action,
+    ApplyEstimates,
     Copied,
     Event,
-    GiveUpStart,
+    FailPeerRuns,
     Hello,
-    Keep,
-    Learn,
     Learned,
-    LeaveClients,
     Left,
     LinkEnded,
+    ListenForSuccessor,
     Load,
-    LosePeer,
-    OpenPath,
-    Operator,
-    PeerGone,
+    OperatorCommand,
+    PeerExited,
     Phase,
     PoolUp,
     Ready,
     Send,
-    SendCopy,
-    Serve,
+    SendEntries,
     Service,
-    TakeClients,
-    Used,
+    SetLimitShare,
+    SetServiceState,
+    StartAccepting,
+    StopAccepting,
+    UsageUpdate,
     Welcome,
     Yours,
 )
@@ -52,7 +52,7 @@
         self.cut: tuple[float, str] | None = None  # the link broke before this process took clients: when, and how
         self.phase = Phase.ASKING if asks else Phase.ALONE
         self.runs_ms, self.calls_ms = runs_ms, calls_ms
-        self.freed: list[tuple[float, Keep]] = []  # what is this process's again, and when
+        self.freed: list[tuple[float, SetLimitShare]] = []  # what is this process's again, and when
         self.up = False  # the own worker pool
         self.out = False  # of service; handed on
         self.left = False  # the predecessor has told all
@@ -106,17 +106,17 @@
                 if version != VERSION:  # the successor reads it, says so and ends
                     return [Send(Welcome(VERSION, self.out))]
                 self.phase = Phase.GIVING
-                return [Send(Welcome(VERSION, self.out)), SendCopy()]
+                return [Send(Welcome(VERSION, self.out)), SendEntries()]
             case Service(out):
                 self.out = out
-                return [Serve(out)]
-            case Operator(out):
+                return [SetServiceState(out)]
+            case OperatorCommand(out):
                 self.out = out
                 return [Send(Service(out))] if phase in (Phase.GIVING, Phase.SHEDDING) else []
             case Welcome(version, out) if phase is Phase.ASKING:
                 if version != VERSION:
                     return [
-                        GiveUpStart(
+                        AbortStart(
                             f"the process that serves speaks version {version} of the handover, this one "
                             f"{VERSION}: drain it, stop it, then start this one"
                         )
@@ -128,26 +128,26 @@
                 return self._ready()
             case PoolUp():
                 self.up = True
-                return self._ready() if phase is Phase.COPIED else ([TakeClients()] if phase is Phase.ALONE else [])
+                return self._ready() if phase is Phase.COPIED else ([StartAccepting()] if phase is Phase.ALONE else [])
             case Ready() if phase is Phase.GIVING:
                 self.freed = []
                 self.phase, self.kept, self.connections = Phase.SHEDDING, WHOLE, 0
                 taught = [Send(self.learned)] if self.learned is not None else []
-                return [LeaveClients(), *taught, *self._shed(self.used), Send(Yours())]
+                return [StopAccepting(), *taught, *self._shed(self.used), Send(Yours())]
             case Yours() if phase is Phase.WAITING:
                 self.phase = Phase.SERVING
-                return [self._rest(), Serve(self.out), TakeClients()]
+                return [self._rest(), SetServiceState(self.out), StartAccepting()]
             case Load() if phase in (Phase.WAITING, Phase.SERVING):
                 self.kept = event
                 return [self._rest()] if phase is Phase.SERVING else []
             case Learned() if phase is Phase.WAITING:
-                return [Learn(event)]
-            case Used(load, _) if phase is Phase.SHEDDING:
+                return [ApplyEstimates(event)]
+            case UsageUpdate(load, _) if phase is Phase.SHEDDING:
                 return self._shed(load)
-            case Used(load, learned):
+            case UsageUpdate(load, learned):
                 self.used, self.learned = load, learned
                 if self.cut is not None and now_ms >= self.cut[0] + CUT_MS:
-                    return [GiveUpStart(f"the link to the process that serves ended ({self.cut[1]}), and it lives")]
+                    return [AbortStart(f"the link to the process that serves ended ({self.cut[1]}), and it lives")]
                 return self._past(now_ms)
             case LinkEnded(cause):
                 if phase is Phase.GIVING:  # a successor that did not get all takes no clients
@@ -159,7 +159,7 @@
             case Left():
                 self.left = phase not in (Phase.ASKING, Phase.COPYING)
                 return []
-            case PeerGone():
+            case PeerExited():
                 return self._alone(now_ms)
             case _:
                 raise WordError(f"{type(event).__name__} does not fit the phase {phase.value}")
@@ -177,17 +177,19 @@
         self.connections = max(self.connections, used.connections)
         least = max(LEAST, FIRST * used.connections / self.connections) if used.connections else 0.0
         self.kept = Load(
-            min(kept.crowd, max(used.crowd, least)),
+            min(kept.concurrency, max(used.concurrency, least)),
             min(kept.memory, max(used.memory, least)),
             min(kept.calls, max(used.calls, least)),
             used.connections,
         )
-        return [Keep(self.kept.crowd, self.kept.memory, self.kept.calls), Send(self.kept)]
+        return [SetLimitShare(self.kept.concurrency, self.kept.memory, self.kept.calls), Send(self.kept)]
 
-    def _rest(self) -> Keep:
+    def _rest(self) -> SetLimitShare:
         """The successor's parts: what its predecessor does not keep."""
         kept = self.kept
-        return Keep(1.0 - kept.crowd, 1.0 - kept.memory, max(0.0, CALLS_SUM - kept.calls), kept.connections)
+        return SetLimitShare(
+            1.0 - kept.concurrency, 1.0 - kept.memory, max(0.0, CALLS_SUM - kept.calls), kept.connections
+        )
 
     def _alone(self, now_ms: float) -> list[Action]:
         before, self.phase = self.phase, Phase.ALONE
@@ -195,17 +197,17 @@
             return []
         calls = self._rest().calls if before is Phase.SERVING else self.kept.calls
         self.freed = [
-            (now_ms + (0.0 if self.left else self.runs_ms), Keep(1.0, 1.0, calls)),
-            (now_ms + self.calls_ms, Keep(1.0, 1.0, 1.0)),
+            (now_ms + (0.0 if self.left else self.runs_ms), SetLimitShare(1.0, 1.0, calls)),
+            (now_ms + self.calls_ms, SetLimitShare(1.0, 1.0, 1.0)),
         ]
         self.cut = None
         was_successor = before not in (Phase.GIVING, Phase.SHEDDING)
         partial = was_successor and before is not Phase.SERVING and not self.left
-        actions: list[Action] = [LosePeer(partial)]
+        actions: list[Action] = [FailPeerRuns(partial)]
         if was_successor:
-            actions.append(OpenPath())
+            actions.append(ListenForSuccessor())
         if self.up and before in (Phase.WAITING, Phase.COPIED, Phase.COPYING, Phase.ASKING, Phase.SHEDDING):
-            actions.append(TakeClients())
+            actions.append(StartAccepting())
         return [*actions, *self._past(now_ms)]
 
     def _past(self, now_ms: float) -> list[Action]:
--- a/flintshift/handover/shared_keys.py
+++ b/flintshift/handover/shared_keys.py
@@ -14,7 +14,7 @@
 from flintshift.core.keys import KeyEntry, KeyTable, fingerprint
 from flintshift.core.limits import Limits
 from flintshift.handover.claims import Adopt, Agreement, GiveUp, GoOn, Say
-from flintshift.handover.messages import Answered, Claimed, Freed, Key, Known, Over, Word
+from flintshift.handover.messages import Answered, Claimed, Freed, Key, Known, Message, Over
 from flintshift.interface import Outcome
 
 
@@ -85,11 +85,11 @@
 
     # What the other says.
 
-    def heard(self, now_ms: float, word: Word, senior: bool) -> list[Step]:
+    def heard(self, now_ms: float, word: Message, senior: bool) -> list[Step]:
         match word:
             case Claimed(key):
                 entry = self.keys.entries.get(key)
-                held = entry is not None and not entry.foreign and word.door_ms <= entry.live_until_ms
+                held = entry is not None and not entry.foreign and word.arrival_ms <= entry.live_until_ms
                 return self._done(self.agreement.claimed(word, senior, known(key, entry) if held and entry else None))
             case Answered():
                 return self._done(self.agreement.answered(word))
@@ -121,7 +121,7 @@
         return done
 
     def _adopt(self, now_ms: float, word: Known) -> list[Step]:
-        entry = KeyEntry(word.owner, word.live_until_ms, word.print, word.outcome, word.result, foreign=True)
+        entry = KeyEntry(word.owner, word.live_until_ms, word.fingerprint, word.outcome, word.result, foreign=True)
         return [End(follower, Outcome.ERROR) for follower in self.keys.adopt(word.key, entry, now_ms)]
 
 
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -20,33 +20,33 @@
 from flintshift.core.ports import Log
 from flintshift.handover.claims import GiveUp, GoOn, Say
 from flintshift.handover.messages import (
+    AbortStart,
     Action,
     Answered,
+    ApplyEstimates,
     Claimed,
     Event,
+    FailPeerRuns,
     Freed,
-    GiveUpStart,
-    Keep,
     Known,
-    Learn,
     Learned,
-    LeaveClients,
     LinkEnded,
+    ListenForSuccessor,
     Load,
-    LosePeer,
-    OpenPath,
-    Operator,
+    Message,
+    OperatorCommand,
     Over,
-    PeerGone,
+    PeerExited,
     Phase,
     PoolUp,
     Send,
-    SendCopy,
-    Serve,
-    TakeClients,
-    Used,
+    SendEntries,
+    SetLimitShare,
+    SetServiceState,
+    StartAccepting,
+    StopAccepting,
+    UsageUpdate,
     Welcome,
-    Word,
 )
 from flintshift.handover.phases import Phases, WordError
 from flintshift.handover.shared_keys import End, SharedKeys, Step, key_of
@@ -136,8 +136,8 @@
     def _join_clock(self, link: Link) -> None:
         """Go by the clock of the process that serves: windows are told by it."""
         for word in link.early:
-            if isinstance(word, Welcome) and word.ahead_ms is not None:
-                self.now_ms.join(word.ahead_ms)
+            if isinstance(word, Welcome) and word.clock_ahead_ms is not None:
+                self.now_ms.join(word.clock_ahead_ms)
 
     async def run(self) -> None:
         async with anyio.create_task_group() as links:
@@ -192,11 +192,11 @@
             await self.link.close()
 
     async def _meet(self, link: Link) -> None:
-        async def heard(word: Word) -> None:
+        async def heard(word: Message) -> None:
             await self.decisions.report(at.MessageReceived((link, word)))
 
         async def gone() -> None:
-            await self.decisions.report(at.MessageReceived((link, PeerGone())))
+            await self.decisions.report(at.MessageReceived((link, PeerExited())))
 
         async def ended(cause: str) -> None:
             self.log("info", "upgrade.link_ended", phase=self.phases.phase.value, cause=cause)
@@ -258,7 +258,7 @@
             connections = sum(len(front.connections) for front, _ in self.node.fronts)
             learned = self.decisions.controller.learned_estimates()
             self._step(
-                Used(
+                UsageUpdate(
                     Load(used.concurrency, used.memory, used.calls, connections),
                     Learned(learned.run_limit, learned.run_ms),
                 )
@@ -271,7 +271,7 @@
 
     def serve(self, out: bool) -> None:
         """An operator's word at this process's door."""
-        self._step(Operator(out))
+        self._step(OperatorCommand(out))
 
     # What is answered.
 
@@ -296,29 +296,29 @@
                 self._send(Welcome(version, out, -self.now_ms.steady_ms(0.0)))
             case Send(word):
                 self._send(word)
-            case SendCopy():
+            case SendEntries():
                 if self.link is not None:
                     self.link.send_copy(iter(()) if self.keys_elsewhere else self.shared.copy())
-            case TakeClients():
+            case StartAccepting():
                 self.node.take_clients()
-            case LeaveClients():
+            case StopAccepting():
                 self.node.leave_clients()
-            case Keep(crowd, memory, calls, others):
+            case SetLimitShare(crowd, memory, calls, others):
                 self.decisions.set_limit_share(LimitShare(crowd, memory, calls))
                 for front, _ in self.node.fronts:
                     front.others = others
-            case Learn(learned):
+            case ApplyEstimates(learned):
                 self.decisions.pending.append(
-                    at.LearnedStateReceived(api.LearnedEstimates(learned.limit, learned.run_ms))
+                    at.LearnedStateReceived(api.LearnedEstimates(learned.run_limit, learned.run_ms))
                 )
-            case LosePeer(partial):
+            case FailPeerRuns(partial):
                 self._lose(partial)
-            case Serve(out):
+            case SetServiceState(out):
                 self.node.decisions.serving_status.out_of_service = out
                 self.node.tell_lists()
-            case GiveUpStart(cause):
+            case AbortStart(cause):
                 self.node.give_up(UpgradeError(cause))
-            case OpenPath():
+            case ListenForSuccessor():
                 self.opened.set()
 
     def _lose(self, partial: bool) -> None:
@@ -342,6 +342,6 @@
                 case End(request, outcome, result):
                     self.decisions.pending.append(at.RunFinished(request, outcome, 0.0, result))
 
-    def _send(self, word: Word) -> None:
+    def _send(self, word: Message) -> None:
         if self.link is not None:
             self.link.send(word)
--- a/flintshift/wire/handover.py
+++ b/flintshift/wire/handover.py
@@ -17,7 +17,7 @@
 
 from flintshift.core.limits import Limits
 from flintshift.core.mailbox import Mailbox
-from flintshift.handover.messages import VERSION, Copied, Hello, Known, Left, Welcome, Word
+from flintshift.handover.messages import VERSION, Copied, Hello, Known, Left, Message, Welcome
 from flintshift.wire.handover_codec import FrameError, Unpacker, packed
 from flintshift.wire.link import BROKEN
 from flintshift.wire.unix import short
@@ -56,21 +56,21 @@
 
     def __init__(self, stream: UNIXSocketStream, limits: Limits) -> None:
         self.stream, self.limits = stream, limits
-        self.outbox: Mailbox[Word | bytes] = Mailbox(limits.outbox_size)
+        self.outbox: Mailbox[Message | bytes] = Mailbox(limits.outbox_size)
         self.copy: Iterator[Known] | None = None
-        self.unpacker, self.early = Unpacker(), list[Word]()
+        self.unpacker, self.early = Unpacker(), list[Message]()
         self.watched = _watch(stream.extra(anyio.abc.SocketAttribute.raw_socket))
         self.sockets: list[socket.socket] = []  # that go with the welcome
         self.broken, self.over = False, anyio.Event()  # nothing is read any more
         self.left = anyio.Event()  # the last word has gone
 
-    def send(self, word: Word) -> None:
+    def send(self, word: Message) -> None:
         """Without waiting; an outbox that is full says that the other does not read. Where nothing else waits, it is in
         the socket when this returns: the end of a run is there before its caller is answered, and a death between
         takes nothing from the other."""
         if self.broken:
             return
-        told: Word | bytes = word
+        told: Message | bytes = word
         if self.outbox.idle and not isinstance(word, Welcome | Left):
             told = packed(word)
             try:
@@ -104,7 +104,7 @@
 
     async def run(
         self,
-        heard: Callable[[Word], Awaitable[None]],
+        heard: Callable[[Message], Awaitable[None]],
         gone: Callable[[], Awaitable[None]],
         ended: Callable[[str], Awaitable[None]],
     ) -> None:
@@ -118,7 +118,7 @@
             os.close(self.watched)
         await gone()
 
-    async def _talk(self, heard: Callable[[Word], Awaitable[None]]) -> str:
+    async def _talk(self, heard: Callable[[Message], Awaitable[None]]) -> str:
         """Read until the link ends; returns why it did."""
         cause = ""
         try:
--- a/flintshift/wire/handover_codec.py
+++ b/flintshift/wire/handover_codec.py
@@ -6,19 +6,19 @@
 
 import msgspec
 
-from flintshift.handover.messages import Word
+from flintshift.handover.messages import Message
 
 SIZE = struct.Struct("!I")
 MOST = 65_536  # bytes of a frame: a result has 4 KiB at most
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Word).decode
+_decode = msgspec.msgpack.Decoder(Message).decode
 
 
 class FrameError(Exception):
     """What was read is no word."""
 
 
-def packed(word: Word) -> bytes:
+def packed(word: Message) -> bytes:
     body = _encode(word)
     return SIZE.pack(len(body)) + body
 
@@ -29,13 +29,13 @@
     def __init__(self) -> None:
         self.buffer = bytearray()
 
-    def feed(self, data: bytes) -> list[Word]:
+    def feed(self, data: bytes) -> list[Message]:
         """
         Raises:
             FrameError: this is none of ours; nothing after it can be read.
         """
         self.buffer += data
-        found: list[Word] = []
+        found: list[Message] = []
         while len(self.buffer) >= SIZE.size:
             (size,) = SIZE.unpack_from(self.buffer)
             if size > MOST:
--- a/tests/handover/test_codec.py
+++ b/tests/handover/test_codec.py
@@ -104,7 +104,7 @@
     (answer,) = older.handle(0.0, say.Hello(say.VERSION + 1))
     assert isinstance(answer, say.Send) and isinstance(answer.word, say.Welcome) and older.phase is say.Phase.ALONE
     (end,) = younger.handle(0.0, say.Welcome(say.VERSION + 1, False))
-    assert isinstance(end, say.GiveUpStart) and f"version {say.VERSION + 1}" in end.cause
+    assert isinstance(end, say.AbortStart) and f"version {say.VERSION + 1}" in end.cause
 
 
 def beside(left):
@@ -112,27 +112,29 @@
     phases = Phases(True, runs_ms=900.0, calls_ms=5000.0)
     for event in (say.Welcome(say.VERSION, False), say.Copied(), say.PoolUp(), say.Load(0.6, 0.5, 0.4, 7), say.Yours()):
         actions = phases.handle(0.0, event)
-    assert [action for action in actions if isinstance(action, say.Keep)] == [say.Keep(0.4, 0.5, 0.95 - 0.4, 7)]
+    assert [action for action in actions if isinstance(action, say.SetLimitShare)] == [
+        say.SetLimitShare(0.4, 0.5, 0.95 - 0.4, 7)
+    ]
     if left:
         phases.handle(0.0, say.Left())
-    return phases, phases.handle(0.0, say.PeerGone())
+    return phases, phases.handle(0.0, say.PeerExited())
 
 
 def kept(phases, now_ms):
-    return phases.handle(now_ms, say.Used(say.Load(0.0, 0.0, 0.0, 0), say.Learned(2.0, {})))
+    return phases.handle(now_ms, say.UsageUpdate(say.Load(0.0, 0.0, 0.0, 0), say.Learned(2.0, {})))
 
 
 def test_the_parts_of_a_process_that_left_are_free_at_once_but_for_its_calls():
     phases, actions = beside(left=True)
-    assert actions[-1] == say.Keep(1.0, 1.0, 0.95 - 0.4) and say.LosePeer(False) in actions
-    assert kept(phases, 4999.0) == [] and kept(phases, 5000.0) == [say.Keep(1.0, 1.0, 1.0)]
+    assert actions[-1] == say.SetLimitShare(1.0, 1.0, 0.95 - 0.4) and say.FailPeerRuns(False) in actions
+    assert kept(phases, 4999.0) == [] and kept(phases, 5000.0) == [say.SetLimitShare(1.0, 1.0, 1.0)]
 
 
 def test_the_runs_of_a_process_that_died_may_go_on_for_their_aim_and_its_calls_for_the_window():
     phases, actions = beside(left=False)
-    assert not any(isinstance(action, say.Keep) for action in actions)
-    assert kept(phases, 899.0) == [] and kept(phases, 900.0) == [say.Keep(1.0, 1.0, 0.95 - 0.4)]
-    assert kept(phases, 4999.0) == [] and kept(phases, 5000.0) == [say.Keep(1.0, 1.0, 1.0)]
+    assert not any(isinstance(action, say.SetLimitShare) for action in actions)
+    assert kept(phases, 899.0) == [] and kept(phases, 900.0) == [say.SetLimitShare(1.0, 1.0, 0.95 - 0.4)]
+    assert kept(phases, 4999.0) == [] and kept(phases, 5000.0) == [say.SetLimitShare(1.0, 1.0, 1.0)]
     assert kept(phases, 9000.0) == []
 
 
--- a/tests/handover/test_model.py
+++ b/tests/handover/test_model.py
@@ -97,13 +97,13 @@
             match action:
                 case say.Send(said):
                     self.out.append(said)
-                case say.SendCopy():
+                case say.SendEntries():
                     self.out.extend([*self.shared.copy(), say.Copied()])
-                case say.TakeClients():
+                case say.StartAccepting():
                     self.clients = True
-                case say.LeaveClients():
+                case say.StopAccepting():
                     self.clients = False
-                case say.LosePeer(partial):
+                case say.FailPeerRuns(partial):
                     self.do(self.shared.alone(self.now, partial, 1e6, True))
 
 
@@ -155,7 +155,7 @@
                 side.hear(other.out.popleft())
             case "gone":
                 self.notified = True
-                side.hear(say.PeerGone())
+                side.hear(say.PeerExited())
             case "finish":
                 side.finish(more[0])
             case "try":
