--- a/flintshift/handover/claims.py
+++ b/flintshift/handover/claims.py
@@ -22,12 +22,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendToPeer:
     word: Message
 
 
 @dataclass(frozen=True, slots=True)
-class GoOn:
+class ResumeAttempt:
     """Take the attempt up again: under its granted claim, or by what the table now holds."""
 
     request: str
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class AbandonAttempt:
     """The word did not come in time: the attempt may have run at the other process."""
 
     request: str
@@ -48,7 +48,7 @@
     entry: Known
 
 
-Step = Say | GoOn | GiveUp | Adopt
+Step = SendToPeer | ResumeAttempt | AbandonAttempt | Adopt
 
 
 class Agreement:
@@ -64,21 +64,21 @@
             known.waiting[claim.owner] = until_ms
             return []
         if len(self.pending) >= self.most:
-            return [GiveUp(claim.owner)]
+            return [AbandonAttempt(claim.owner)]
         self.pending[claim.key] = Pending(claim.owner, claim.live_until_ms, claim.fingerprint, {claim.owner: until_ms})
-        return [Say(claim)]
+        return [SendToPeer(claim)]
 
     def claimed(self, word: Claimed, senior: bool, held: Known | None) -> list[Step]:
         """The other wants to run; ``held``: what this process itself holds under the key, live when the other's
         attempt came."""
         if held is not None:
-            return [Say(held), Say(Answered(word.key, word.owner, False))]
+            return [SendToPeer(held), SendToPeer(Answered(word.key, word.owner, False))]
         mine = self.pending.get(word.key)
         if mine is not None and senior:
             claimed = Known(word.key, mine.owner, mine.live_until_ms, mine.fingerprint, None, b"")
-            return [Say(claimed), Say(Answered(word.key, word.owner, False))]
+            return [SendToPeer(claimed), SendToPeer(Answered(word.key, word.owner, False))]
         entry = Known(word.key, word.owner, word.live_until_ms, word.fingerprint, None, b"")
-        return [Adopt(entry), Say(Answered(word.key, word.owner, True))]
+        return [Adopt(entry), SendToPeer(Answered(word.key, word.owner, True))]
 
     def answered(self, word: Answered) -> list[Step]:
         mine = self.pending.get(word.key)
@@ -86,12 +86,15 @@
             return []  # of a claim before the link broke
         del self.pending[word.key]
         if not word.granted:
-            return [GoOn(request, False) for request in mine.waiting]
+            return [ResumeAttempt(request, False) for request in mine.waiting]
         if mine.owner not in mine.waiting:  # given up, or its caller went: it did not run
-            return [Say(Freed(word.key, mine.owner)), *(GoOn(request, False) for request in mine.waiting)]
-        return [GoOn(request, request == mine.owner) for request in mine.waiting]
+            return [
+                SendToPeer(Freed(word.key, mine.owner)),
+                *(ResumeAttempt(request, False) for request in mine.waiting),
+            ]
+        return [ResumeAttempt(request, request == mine.owner) for request in mine.waiting]
 
-    def departed(self, request: str) -> None:
+    def cancel_wait(self, request: str) -> None:
         for mine in self.pending.values():
             mine.waiting.pop(request, None)
 
@@ -102,11 +105,11 @@
             past = [request for request, until_ms in mine.waiting.items() if until_ms <= now_ms]
             for request in past:
                 del mine.waiting[request]
-                given.append(GiveUp(request))
+                given.append(AbandonAttempt(request))
         return given
 
     def alone(self) -> list[Step]:
         """There is no other any more: each waits for nobody's word."""
         waiting = [request for mine in self.pending.values() for request in mine.waiting]
         self.pending.clear()
-        return [GoOn(request, False) for request in waiting]
+        return [ResumeAttempt(request, False) for request in waiting]
--- a/flintshift/handover/shared_keys.py
+++ b/flintshift/handover/shared_keys.py
@@ -13,7 +13,7 @@
 from flintshift.core.attempts import Attempt
 from flintshift.core.keys import KeyEntry, KeyTable, fingerprint
 from flintshift.core.limits import Limits
-from flintshift.handover.claims import Adopt, Agreement, GiveUp, GoOn, Say
+from flintshift.handover.claims import AbandonAttempt, Adopt, Agreement, ResumeAttempt, SendToPeer
 from flintshift.handover.messages import Answered, Claimed, Freed, Key, Known, Message, Over
 from flintshift.interface import Outcome
 
@@ -27,7 +27,7 @@
     result: bytes = b""
 
 
-Step = Say | GoOn | GiveUp | End
+Step = SendToPeer | ResumeAttempt | AbandonAttempt | End
 
 
 class SharedKeys:
@@ -65,13 +65,13 @@
     def told_entry(self, attempt: Attempt) -> list[Step]:
         """This process began a run that it needed not claim."""
         entry = self.keys.owned_entry(attempt)
-        return [] if entry is None else [Say(known(key_of(attempt), entry))]
+        return [] if entry is None else [SendToPeer(known(key_of(attempt), entry))]
 
     def told_end(self, attempt: Attempt) -> list[Step]:
         entry = self.keys.owned_entry(attempt)
         if entry is None or entry.outcome is None:
             return []
-        return [Say(Over(key_of(attempt), attempt.id, entry.live_until_ms, entry.outcome, entry.result))]
+        return [SendToPeer(Over(key_of(attempt), attempt.id, entry.live_until_ms, entry.outcome, entry.result))]
 
     def expire(self, now_ms: float) -> list[Step]:
         return self._done(self.agreement.expire(now_ms))
@@ -113,7 +113,7 @@
         lost: list[Step] = [End(follower, Outcome.ERROR) for follower in self.keys.fail_foreign_runs()]
         return lost + self._done(self.agreement.alone())
 
-    def _done(self, steps: list[Say | GoOn | GiveUp | Adopt]) -> list[Step]:
+    def _done(self, steps: list[SendToPeer | ResumeAttempt | AbandonAttempt | Adopt]) -> list[Step]:
         """Adopt what is to be adopted; the rest is the driver's to do, in the same order."""
         done: list[Step] = []
         for step in steps:
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -18,7 +18,7 @@
 from flintshift.core.limit_share import LimitShare
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log
-from flintshift.handover.claims import GiveUp, GoOn, Say
+from flintshift.handover.claims import AbandonAttempt, ResumeAttempt, SendToPeer
 from flintshift.handover.messages import (
     AbortStart,
     Action,
@@ -232,7 +232,7 @@
         self._do(self.shared.ask(self.now_ms(), attempt))
 
     def cancel_claim(self, request: str) -> None:
-        self.shared.agreement.departed(request)
+        self.shared.agreement.cancel_wait(request)
 
     def on_key_claimed(self, attempt: Attempt) -> None:
         if self.phases.tells_entries:
@@ -333,11 +333,11 @@
     def _do(self, steps: list[Step]) -> None:
         for step in steps:
             match step:
-                case Say(word):
+                case SendToPeer(word):
                     self._send(word)
-                case GoOn(request, granted):
+                case ResumeAttempt(request, granted):
                     self.decisions.pending.append(at.ClaimAnswered(request, granted))
-                case GiveUp(request):
+                case AbandonAttempt(request):
                     self.decisions.pending.append(at.ClaimAnswered(request, None))
                 case End(request, outcome, result):
                     self.decisions.pending.append(at.RunFinished(request, outcome, 0.0, result))
--- a/tests/handover/test_codec.py
+++ b/tests/handover/test_codec.py
@@ -11,7 +11,7 @@
 
 from flintshift.core.limits import Limits
 from flintshift.handover import messages as say
-from flintshift.handover.claims import Agreement, GiveUp, Say
+from flintshift.handover.claims import AbandonAttempt, Agreement, SendToPeer
 from flintshift.handover.phases import Phases, WordError
 from flintshift.interface import Outcome
 from flintshift.wire.handover import Link
@@ -141,5 +141,9 @@
 def test_claims_that_are_never_answered_are_bounded_and_past_that_an_attempt_is_given_up_at_once():
     agreement = Agreement(2)
     claims = [say.Claimed(("pay", f"k{number}"), f"r{number}", 0.0, 1e6, b"") for number in range(3)]
-    assert [agreement.ask(claim, 1000.0) for claim in claims] == [[Say(claims[0])], [Say(claims[1])], [GiveUp("r2")]]
-    assert agreement.expire(1000.0) == [GiveUp("r0"), GiveUp("r1")] and len(agreement.pending) == 2
+    assert [agreement.ask(claim, 1000.0) for claim in claims] == [
+        [SendToPeer(claims[0])],
+        [SendToPeer(claims[1])],
+        [AbandonAttempt("r2")],
+    ]
+    assert agreement.expire(1000.0) == [AbandonAttempt("r0"), AbandonAttempt("r1")] and len(agreement.pending) == 2
--- a/tests/handover/test_model.py
+++ b/tests/handover/test_model.py
@@ -14,7 +14,7 @@
 from flintshift.core.keys import KeyTable
 from flintshift.core.limits import Limits
 from flintshift.handover import messages as say
-from flintshift.handover.claims import GiveUp, GoOn, Say
+from flintshift.handover.claims import AbandonAttempt, ResumeAttempt, SendToPeer
 from flintshift.handover.phases import Phases
 from flintshift.handover.shared_keys import End, SharedKeys, key_of
 from flintshift.interface import Effect, Outcome, RequestClass
@@ -54,7 +54,7 @@
         if attempt.id in self.refuses:
             self.end(attempt.id, Outcome.REJECTED)
             if agreed:
-                self.do([Say(say.Freed(key_of(attempt), attempt.id))])
+                self.do([SendToPeer(say.Freed(key_of(attempt), attempt.id))])
             return
         self.keys.claim(attempt, self.now + 1e6)
         if self.phases.tells_entries:
@@ -81,11 +81,11 @@
     def do(self, steps):
         for step in steps:
             match step:
-                case Say(word):
+                case SendToPeer(word):
                     self.out.append(word)
-                case GoOn(request, granted):
+                case ResumeAttempt(request, granted):
                     self.take(self.attempts[request], granted)
-                case GiveUp(request):
+                case AbandonAttempt(request):
                     self.told[request] = "failed"
                 case End(request, outcome):
                     self.end(request, outcome)
