--- a/flintshift/handover/shared_keys.py
+++ b/flintshift/handover/shared_keys.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class FollowerEnded:
     """An attempt that waited for another's run: how that ended."""
 
     request: str
@@ -27,20 +27,20 @@
     result: bytes = b""
 
 
-Step = SendToPeer | ResumeAttempt | AbandonAttempt | End
+Step = SendToPeer | ResumeAttempt | AbandonAttempt | FollowerEnded
 
 
 class SharedKeys:
     def __init__(self, keys: KeyTable, limits: Limits) -> None:
         self.keys, self.limits = keys, limits
         self.agreement = Agreement(limits.max_open_claims)
-        self.unsure_until_ms = self.lost_ms = 0.0
+        self.in_doubt_until_ms = self.lost_ms = 0.0
         self.marked = True  # callers mark further tries
 
-    def unsure(self, now_ms: float, attempt: Attempt) -> bool:
+    def in_doubt(self, now_ms: float, attempt: Attempt) -> bool:
         """It may have run in a process that died before it had told all: nobody can be asked. What came after the
         death, and is not marked as a further try, can't have."""
-        if now_ms >= self.unsure_until_ms:
+        if now_ms >= self.in_doubt_until_ms:
             return False
         return (
             attempt.marked_repeat or not self.marked or attempt.arrival_ms <= self.lost_ms + self.limits.key_margin_ms
@@ -48,7 +48,7 @@
 
     # What happens here.
 
-    def ask(self, now_ms: float, attempt: Attempt) -> list[Step]:
+    def request_claim(self, now_ms: float, attempt: Attempt) -> list[Step]:
         kind, limits = attempt.request_class, self.limits
         window = kind.repeat_window_ms if kind is not None else 0.0
         claim = Claimed(
@@ -62,12 +62,12 @@
         until = min(now_ms + limits.claim_timeout_ms, attempt.deadline_at_ms - limits.claim_reserve_ms)
         return self._done(self.agreement.ask(claim, until))
 
-    def told_entry(self, attempt: Attempt) -> list[Step]:
+    def report_entry(self, attempt: Attempt) -> list[Step]:
         """This process began a run that it needed not claim."""
         entry = self.keys.owned_entry(attempt)
         return [] if entry is None else [SendToPeer(known(key_of(attempt), entry))]
 
-    def told_end(self, attempt: Attempt) -> list[Step]:
+    def report_end(self, attempt: Attempt) -> list[Step]:
         entry = self.keys.owned_entry(attempt)
         if entry is None or entry.outcome is None:
             return []
@@ -76,7 +76,7 @@
     def expire(self, now_ms: float) -> list[Step]:
         return self._done(self.agreement.expire(now_ms))
 
-    def copy(self) -> Iterator[Known]:
+    def owned_entries(self) -> Iterator[Known]:
         """All that this process holds, in pieces; what changes meanwhile is told beside it."""
         for key in list(self.keys.entries):
             entry = self.keys.entries.get(key)
@@ -85,7 +85,7 @@
 
     # What the other says.
 
-    def heard(self, now_ms: float, word: Message, senior: bool) -> list[Step]:
+    def on_message(self, now_ms: float, word: Message, senior: bool) -> list[Step]:
         match word:
             case Claimed(key):
                 entry = self.keys.entries.get(key)
@@ -100,17 +100,20 @@
                 if entry is None:
                     return []
                 entry.live_until_ms = max(entry.live_until_ms, live_until_ms)
-                return [End(follower, outcome, result) for follower in self.keys.record_outcome(entry, outcome, result)]
+                return [
+                    FollowerEnded(follower, outcome, result)
+                    for follower in self.keys.record_outcome(entry, outcome, result)
+                ]
             case Freed(key, owner):
-                return [End(follower, Outcome.REJECTED) for follower in self.keys.release_foreign(key, owner)]
+                return [FollowerEnded(follower, Outcome.REJECTED) for follower in self.keys.release_foreign(key, owner)]
         return []
 
-    def alone(self, now_ms: float, partial: bool, window_ms: float, marked: bool) -> list[Step]:
+    def on_peer_exit(self, now_ms: float, partial: bool, window_ms: float, marked: bool) -> list[Step]:
         """The other has ended. ``partial``: it had not told all, so for a window keys may be unknown here."""
         if partial:
-            self.unsure_until_ms = now_ms + window_ms + self.limits.max_repeat_delay_ms
+            self.in_doubt_until_ms = now_ms + window_ms + self.limits.max_repeat_delay_ms
             self.lost_ms, self.marked = now_ms, marked
-        lost: list[Step] = [End(follower, Outcome.ERROR) for follower in self.keys.fail_foreign_runs()]
+        lost: list[Step] = [FollowerEnded(follower, Outcome.ERROR) for follower in self.keys.fail_foreign_runs()]
         return lost + self._done(self.agreement.alone())
 
     def _done(self, steps: list[SendToPeer | ResumeAttempt | AbandonAttempt | Adopt]) -> list[Step]:
@@ -122,7 +125,7 @@
 
     def _adopt(self, now_ms: float, word: Known) -> list[Step]:
         entry = KeyEntry(word.owner, word.live_until_ms, word.fingerprint, word.outcome, word.result, foreign=True)
-        return [End(follower, Outcome.ERROR) for follower in self.keys.adopt(word.key, entry, now_ms)]
+        return [FollowerEnded(follower, Outcome.ERROR) for follower in self.keys.adopt(word.key, entry, now_ms)]
 
 
 def key_of(attempt: Attempt) -> Key:
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -49,7 +49,7 @@
     Welcome,
 )
 from flintshift.handover.phases import Phases, WordError
-from flintshift.handover.shared_keys import End, SharedKeys, Step, key_of
+from flintshift.handover.shared_keys import FollowerEnded, SharedKeys, Step, key_of
 from flintshift.interface import Outcome
 from flintshift.lifecycle.clock import Clock
 from flintshift.lifecycle.config import Config
@@ -212,7 +212,7 @@
         if link is not None and link is not self.link:
             return  # of a meeting that is over
         if isinstance(word, Claimed | Answered | Known | Over | Freed):
-            self._do(self.shared.heard(self.now_ms(), word, self.phases.senior))
+            self._do(self.shared.on_message(self.now_ms(), word, self.phases.senior))
         else:
             self._step(word)
 
@@ -226,24 +226,24 @@
         return self.phases.agreeing
 
     def in_doubt(self, attempt: Attempt) -> bool:
-        return self.shared.unsure(self.now_ms(), attempt)
+        return self.shared.in_doubt(self.now_ms(), attempt)
 
     def request_claim(self, attempt: Attempt) -> None:
-        self._do(self.shared.ask(self.now_ms(), attempt))
+        self._do(self.shared.request_claim(self.now_ms(), attempt))
 
     def cancel_claim(self, request: str) -> None:
         self.shared.agreement.cancel_wait(request)
 
     def on_key_claimed(self, attempt: Attempt) -> None:
         if self.phases.tells_entries:
-            self._do(self.shared.told_entry(attempt))
+            self._do(self.shared.report_entry(attempt))
 
     def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
         return False  # the other is told of the end as the caller is answered
 
     def on_run_ended(self, attempt: Attempt) -> None:
         if self.phases.tells_ends:
-            self._do(self.shared.told_end(attempt))
+            self._do(self.shared.report_end(attempt))
 
     def on_key_freed(self, attempt: Attempt) -> None:
         if self.phases.tells_ends:
@@ -298,7 +298,7 @@
                 self._send(word)
             case SendEntries():
                 if self.link is not None:
-                    self.link.send_copy(iter(()) if self.keys_elsewhere else self.shared.copy())
+                    self.link.send_copy(iter(()) if self.keys_elsewhere else self.shared.owned_entries())
             case StartAccepting():
                 self.node.take_clients()
             case StopAccepting():
@@ -328,7 +328,7 @@
         for front, _ in self.node.fronts:
             front.others = 0
         if not self.keys_elsewhere:
-            self._do(self.shared.alone(self.now_ms(), partial, window, settings.marks_repeats))
+            self._do(self.shared.on_peer_exit(self.now_ms(), partial, window, settings.marks_repeats))
 
     def _do(self, steps: list[Step]) -> None:
         for step in steps:
@@ -339,7 +339,7 @@
                     self.decisions.pending.append(at.ClaimAnswered(request, granted))
                 case AbandonAttempt(request):
                     self.decisions.pending.append(at.ClaimAnswered(request, None))
-                case End(request, outcome, result):
+                case FollowerEnded(request, outcome, result):
                     self.decisions.pending.append(at.RunFinished(request, outcome, 0.0, result))
 
     def _send(self, word: Message) -> None:
--- a/tests/core/test_waiting_claims.py
+++ b/tests/core/test_waiting_claims.py
@@ -129,6 +129,6 @@
     shared, now = SharedKeys(KeyTable(limits), limits), 1e6
     one = at.Attempt("a", "pay", now, 10.0, 1, b"", request_key="k", caller_timeout_ms=allow_ms)
     one.request_class = RequestClass("pay", 500.0, 900.0, 1.0, Effect.KEYED, repeat_window_ms=1e6)
-    shared.ask(now, one)
+    shared.request_claim(now, one)
     (claim,) = shared.agreement.pending.values()
     assert claim.waiting == {"a": now + waits_ms}
--- a/tests/handover/test_model.py
+++ b/tests/handover/test_model.py
@@ -16,7 +16,7 @@
 from flintshift.handover import messages as say
 from flintshift.handover.claims import AbandonAttempt, ResumeAttempt, SendToPeer
 from flintshift.handover.phases import Phases
-from flintshift.handover.shared_keys import End, SharedKeys, key_of
+from flintshift.handover.shared_keys import FollowerEnded, SharedKeys, key_of
 from flintshift.interface import Effect, Outcome, RequestClass
 
 LIMITS, KIND = Limits(), RequestClass("pay", 500.0, 900.0, 1.0, Effect.KEYED, repeat_window_ms=1e6)
@@ -47,10 +47,10 @@
                 self.end(attempt.id, entry.outcome)
             return
         if not agreed:
-            if self.shared.unsure(self.now, attempt):
+            if self.shared.in_doubt(self.now, attempt):
                 return self.end(attempt.id, Outcome.ERROR)
             if self.phases.agreeing:
-                return self.do(self.shared.ask(self.now, attempt))
+                return self.do(self.shared.request_claim(self.now, attempt))
         if attempt.id in self.refuses:
             self.end(attempt.id, Outcome.REJECTED)
             if agreed:
@@ -58,7 +58,7 @@
             return
         self.keys.claim(attempt, self.now + 1e6)
         if self.phases.tells_entries:
-            self.do(self.shared.told_entry(attempt))
+            self.do(self.shared.report_entry(attempt))
         self.ran.append(attempt.id)
         self.everywhere.append(attempt.id)
         assert len(self.everywhere) == 1, f"run twice: {self.everywhere}"
@@ -71,7 +71,7 @@
         for follower in self.keys.record_outcome(entry, Outcome.OK, b"r"):
             self.end(follower, Outcome.OK)
         if self.phases.tells_ends:
-            self.do(self.shared.told_end(attempt))
+            self.do(self.shared.report_end(attempt))
         self.told.setdefault(request, "served")
 
     def end(self, request, outcome):
@@ -87,24 +87,24 @@
                     self.take(self.attempts[request], granted)
                 case AbandonAttempt(request):
                     self.told[request] = "failed"
-                case End(request, outcome):
+                case FollowerEnded(request, outcome):
                     self.end(request, outcome)
 
     def hear(self, word):
         if isinstance(word, say.Claimed | say.Answered | say.Known | say.Over | say.Freed):
-            return self.do(self.shared.heard(self.now, word, self.phases.senior))
+            return self.do(self.shared.on_message(self.now, word, self.phases.senior))
         for action in self.phases.handle(self.now, word):
             match action:
                 case say.Send(said):
                     self.out.append(said)
                 case say.SendEntries():
-                    self.out.extend([*self.shared.copy(), say.Copied()])
+                    self.out.extend([*self.shared.owned_entries(), say.Copied()])
                 case say.StartAccepting():
                     self.clients = True
                 case say.StopAccepting():
                     self.clients = False
                 case say.FailPeerRuns(partial):
-                    self.do(self.shared.alone(self.now, partial, 1e6, True))
+                    self.do(self.shared.on_peer_exit(self.now, partial, 1e6, True))
 
 
 class World:
@@ -188,7 +188,7 @@
                     tuple(sorted(side.ran)),
                     tuple(sorted(side.told.items())),
                     side.alive,
-                    side.shared.unsure_until_ms > 0,
+                    side.shared.in_doubt_until_ms > 0,
                 )
             )
         return tuple(sides), tuple(self.tries), self.expires, self.notified
