--- a/flintshift/handover/phases.py
+++ b/flintshift/handover/phases.py
@@ -39,11 +39,11 @@
 WHOLE = Load(1.0, 1.0, 1.0, 0)
 
 
-class WordError(Exception):
+class UnexpectedMessageError(Exception):
     """The other process said what does not fit the phase."""
 
 
-class Phases:
+class PhaseMachine:
     """One process's side. It starts alone, or asks the process that serves."""
 
     def __init__(self, asks: bool, runs_ms: float, calls_ms: float) -> None:
@@ -53,7 +53,7 @@
         self.phase = Phase.ASKING if asks else Phase.ALONE
         self.runs_ms, self.calls_ms = runs_ms, calls_ms
         self.freed: list[tuple[float, SetLimitShare]] = []  # what is this process's again, and when
-        self.up = False  # the own worker pool
+        self.pool_up = False  # the own worker pool
         self.out = False  # of service; handed on
         self.left = False  # the predecessor has told all
         self.kept = WHOLE  # the predecessor's parts, at either side
@@ -67,26 +67,26 @@
         return self.phase is Phase.ALONE
 
     @property
-    def takes_clients(self) -> bool:
-        return self.up and self.phase in (Phase.ALONE, Phase.GIVING, Phase.SERVING)
+    def accepts_clients(self) -> bool:
+        return self.pool_up and self.phase in (Phase.ALONE, Phase.GIVING, Phase.SERVING)
 
     @property
-    def agreeing(self) -> bool:
+    def claims_required(self) -> bool:
         """A keyed run begins on the other's word alone."""
         return self.phase in (Phase.SHEDDING, Phase.SERVING)
 
     @property
-    def welcomes(self) -> bool:
+    def accepts_successor(self) -> bool:
         """A successor may come: one at a time."""
         return self.phase is Phase.ALONE
 
     @property
-    def tells_entries(self) -> bool:
+    def reports_entries(self) -> bool:
         """The other copies the keys, so it hears of each new one; later each is claimed."""
         return self.phase is Phase.GIVING
 
     @property
-    def tells_ends(self) -> bool:
+    def reports_ends(self) -> bool:
         """The other holds keys whose runs may end here."""
         return self.phase is not Phase.ALONE
 
@@ -127,7 +127,7 @@
                 self.phase = Phase.COPIED
                 return self._ready()
             case PoolUp():
-                self.up = True
+                self.pool_up = True
                 return self._ready() if phase is Phase.COPIED else ([StartAccepting()] if phase is Phase.ALONE else [])
             case Ready() if phase is Phase.GIVING:
                 self.freed = []
@@ -162,10 +162,10 @@
             case PeerExited():
                 return self._alone(now_ms)
             case _:
-                raise WordError(f"{type(event).__name__} does not fit the phase {phase.value}")
+                raise UnexpectedMessageError(f"{type(event).__name__} does not fit the phase {phase.value}")
 
     def _ready(self) -> list[Action]:
-        if not self.up:
+        if not self.pool_up:
             return []
         self.phase = Phase.WAITING
         return [Send(Ready())]
@@ -206,7 +206,7 @@
         actions: list[Action] = [FailPeerRuns(partial)]
         if was_successor:
             actions.append(ListenForSuccessor())
-        if self.up and before in (Phase.WAITING, Phase.COPIED, Phase.COPYING, Phase.ASKING, Phase.SHEDDING):
+        if self.pool_up and before in (Phase.WAITING, Phase.COPIED, Phase.COPYING, Phase.ASKING, Phase.SHEDDING):
             actions.append(StartAccepting())
         return [*actions, *self._past(now_ms)]
 
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -376,7 +376,7 @@
         posture = self.decisions.serving_status
         if posture.draining:
             return "the node leaves"
-        if self.upgrade is not None and posture.workers_up and not self.upgrade.phases.takes_clients:
+        if self.upgrade is not None and posture.workers_up and not self.upgrade.phases.accepts_clients:
             return "another process of this node takes the clients"
         if posture.out_of_service:
             return "the node is out of service"
@@ -401,7 +401,7 @@
 
     def _moved(self) -> None:
         """The pool is up for the first time, or the notice to leave has come."""
-        if self.upgrade is not None and self.decisions.serving_status.workers_up and not self.upgrade.phases.up:
+        if self.upgrade is not None and self.decisions.serving_status.workers_up and not self.upgrade.phases.pool_up:
             self.upgrade.pool_is_up()
         self.tell_lists()
 
@@ -409,7 +409,7 @@
         """Say where this node is listed what it does. Out of service it goes on reporting, as one that does not serve:
         one that says nothing looks dead, and is found again late."""
         posture = self.decisions.serving_status
-        if self.upgrade is not None and not self.upgrade.phases.takes_clients:
+        if self.upgrade is not None and not self.upgrade.phases.accepts_clients:
             return  # the other process tells
         if (
             self.permits is not None
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -48,7 +48,7 @@
     UsageUpdate,
     Welcome,
 )
-from flintshift.handover.phases import Phases, WordError
+from flintshift.handover.phases import PhaseMachine, UnexpectedMessageError
 from flintshift.handover.shared_keys import FollowerEnded, SharedKeys, Step, key_of
 from flintshift.interface import Outcome
 from flintshift.lifecycle.clock import Clock
@@ -90,7 +90,7 @@
         self.shared = SharedKeys(node.decisions.keys, node.limits)
         self.path = meeting_path(node.config.name, node.config.listen)
         self.link: Link | None = None
-        self.phases = Phases(False, 0.0, 0.0)
+        self.phases = PhaseMachine(False, 0.0, 0.0)
         self.used_ms = 0.0
         self.meeting = anyio.CancelScope()
         self.keys_elsewhere = False  # keys are agreed with the whole fleet: nothing of them is told here
@@ -111,7 +111,7 @@
         while not self.sockets:
             self.link = await join(self.path, self.limits)
             if self.link is not None:
-                self.phases = Phases(True, runs_ms, calls_ms)
+                self.phases = PhaseMachine(True, runs_ms, calls_ms)
                 self.sockets = self.link.sockets
                 self._join_clock(self.link)
                 if len(self.sockets) != len(self.node.fronts):
@@ -120,7 +120,7 @@
                         f"{len(self.node.fronts)}: change them at a restart"
                     )
                 break
-            self.phases = Phases(False, runs_ms, calls_ms)
+            self.phases = PhaseMachine(False, runs_ms, calls_ms)
             try:
                 self.sockets = [listening(at_, self.limits.listen_backlog) for _, at_ in self.node.fronts]
             except OSError as error:  # held by one that leaves and gives no word any more, or refused for a moment
@@ -172,7 +172,7 @@
             await anyio.sleep(self.limits.backoff_ms / 1000)
             return
         assert isinstance(stream, UNIXSocketStream)
-        if not self.phases.welcomes or self.decisions.serving_status.draining:
+        if not self.phases.accepts_successor or self.decisions.serving_status.draining:
             await stream.aclose()
             return
         try:
@@ -223,7 +223,7 @@
 
     @property
     def required(self) -> bool:
-        return self.phases.agreeing
+        return self.phases.claims_required
 
     def in_doubt(self, attempt: Attempt) -> bool:
         return self.shared.in_doubt(self.now_ms(), attempt)
@@ -235,18 +235,18 @@
         self.shared.agreement.cancel_wait(request)
 
     def on_key_claimed(self, attempt: Attempt) -> None:
-        if self.phases.tells_entries:
+        if self.phases.reports_entries:
             self._do(self.shared.report_entry(attempt))
 
     def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
         return False  # the other is told of the end as the caller is answered
 
     def on_run_ended(self, attempt: Attempt) -> None:
-        if self.phases.tells_ends:
+        if self.phases.reports_ends:
             self._do(self.shared.report_end(attempt))
 
     def on_key_freed(self, attempt: Attempt) -> None:
-        if self.phases.tells_ends:
+        if self.phases.reports_ends:
             self._send(Freed(key_of(attempt), attempt.id))
 
     def tick(self) -> None:
@@ -279,7 +279,7 @@
         before = self.phases.phase
         try:
             actions = self.phases.handle(self.now_ms(), event)
-        except WordError as error:
+        except UnexpectedMessageError as error:
             self.log("error", "upgrade.word_refused", cause=str(error))
             if self.link is not None:
                 self.link.break_off()
--- a/tests/handover/test_codec.py
+++ b/tests/handover/test_codec.py
@@ -12,7 +12,7 @@
 from flintshift.core.limits import Limits
 from flintshift.handover import messages as say
 from flintshift.handover.claims import AbandonAttempt, Agreement, SendToPeer
-from flintshift.handover.phases import Phases, WordError
+from flintshift.handover.phases import PhaseMachine, UnexpectedMessageError
 from flintshift.interface import Outcome
 from flintshift.wire.handover import Link
 from flintshift.wire.handover_codec import FrameError, Unpacker, packed
@@ -92,15 +92,15 @@
     ],
 )
 def test_a_word_out_of_its_phase_changes_nothing_and_ends_the_link(phase, word):
-    phases = Phases(False, 0.0, 0.0)
+    phases = PhaseMachine(False, 0.0, 0.0)
     phases.phase = say.Phase(phase)
-    with pytest.raises(WordError):
+    with pytest.raises(UnexpectedMessageError):
         phases.handle(0.0, word)
     assert phases.phase.value == phase
 
 
 def test_another_version_is_told_by_both_sides_and_the_older_serves_on():
-    older, younger = Phases(False, 0.0, 0.0), Phases(True, 0.0, 0.0)
+    older, younger = PhaseMachine(False, 0.0, 0.0), PhaseMachine(True, 0.0, 0.0)
     (answer,) = older.handle(0.0, say.Hello(say.VERSION + 1))
     assert isinstance(answer, say.Send) and isinstance(answer.word, say.Welcome) and older.phase is say.Phase.ALONE
     (end,) = younger.handle(0.0, say.Welcome(say.VERSION + 1, False))
@@ -109,7 +109,7 @@
 
 def beside(left):
     """A successor whose predecessor kept 0.6 of the crowd, 0.5 of the memory and 0.4 of the calls, and ended at 0."""
-    phases = Phases(True, runs_ms=900.0, calls_ms=5000.0)
+    phases = PhaseMachine(True, runs_ms=900.0, calls_ms=5000.0)
     for event in (say.Welcome(say.VERSION, False), say.Copied(), say.PoolUp(), say.Load(0.6, 0.5, 0.4, 7), say.Yours()):
         actions = phases.handle(0.0, event)
     assert [action for action in actions if isinstance(action, say.SetLimitShare)] == [
--- a/tests/handover/test_model.py
+++ b/tests/handover/test_model.py
@@ -15,7 +15,7 @@
 from flintshift.core.limits import Limits
 from flintshift.handover import messages as say
 from flintshift.handover.claims import AbandonAttempt, ResumeAttempt, SendToPeer
-from flintshift.handover.phases import Phases
+from flintshift.handover.phases import PhaseMachine
 from flintshift.handover.shared_keys import FollowerEnded, SharedKeys, key_of
 from flintshift.interface import Effect, Outcome, RequestClass
 
@@ -28,7 +28,7 @@
     now = 1e6
 
     def __init__(self, asks, refuses, everywhere):
-        self.phases, self.keys = Phases(asks, 0.0, 0.0), KeyTable(LIMITS)
+        self.phases, self.keys = PhaseMachine(asks, 0.0, 0.0), KeyTable(LIMITS)
         self.shared, self.refuses = SharedKeys(self.keys, LIMITS), set(refuses)
         self.out, self.clients = deque(), not asks
         self.attempts, self.running, self.ran, self.told = {}, set(), [], {}
@@ -49,7 +49,7 @@
         if not agreed:
             if self.shared.in_doubt(self.now, attempt):
                 return self.end(attempt.id, Outcome.ERROR)
-            if self.phases.agreeing:
+            if self.phases.claims_required:
                 return self.do(self.shared.request_claim(self.now, attempt))
         if attempt.id in self.refuses:
             self.end(attempt.id, Outcome.REJECTED)
@@ -57,7 +57,7 @@
                 self.do([SendToPeer(say.Freed(key_of(attempt), attempt.id))])
             return
         self.keys.claim(attempt, self.now + 1e6)
-        if self.phases.tells_entries:
+        if self.phases.reports_entries:
             self.do(self.shared.report_entry(attempt))
         self.ran.append(attempt.id)
         self.everywhere.append(attempt.id)
@@ -70,7 +70,7 @@
         entry = self.keys.owned_entry(attempt)
         for follower in self.keys.record_outcome(entry, Outcome.OK, b"r"):
             self.end(follower, Outcome.OK)
-        if self.phases.tells_ends:
+        if self.phases.reports_ends:
             self.do(self.shared.report_end(attempt))
         self.told.setdefault(request, "served")
 
@@ -179,7 +179,7 @@
             sides.append(
                 (
                     side.phases.phase,
-                    side.phases.up,
+                    side.phases.pool_up,
                     side.clients,
                     tuple(side.out),
                     tuple(entries),
@@ -245,13 +245,13 @@
 
 
 def test_the_model_finds_a_second_run_where_claims_are_not_agreed(monkeypatch):
-    monkeypatch.setattr(Phases, "agreeing", property(lambda self: False))
+    monkeypatch.setattr(PhaseMachine, "claims_required", property(lambda self: False))
     with pytest.raises(AssertionError, match="run twice"):
         explore([(0, "a"), (1, "b")])
 
 
 @pytest.mark.parametrize(("senior", "found"), [(False, "has no answer"), (True, "has no answer|run twice")])
 def test_the_model_finds_what_goes_wrong_where_no_claim_comes_first(monkeypatch, senior, found):
-    monkeypatch.setattr(Phases, "senior", property(lambda self: senior))
+    monkeypatch.setattr(PhaseMachine, "senior", property(lambda self: senior))
     with pytest.raises(AssertionError, match=found):
         explore([(0, "a"), (1, "b")])
