--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -56,7 +56,7 @@
 from flintshift.lifecycle.start_retry import StartRetry
 from flintshift.wire.acceptor import listening
 from flintshift.wire.front import Front
-from flintshift.wire.handover import Link, UpgradeError, join, meeting_path
+from flintshift.wire.handover import HandoverLink, UpgradeError, handover_socket_path, join_predecessor
 from flintshift.wire.link import BROKEN
 from flintshift.wire.unix import open_path
 
@@ -88,8 +88,8 @@
         self.node, self.limits, self.log = node, node.limits, node.log
         self.decisions, self.now_ms = node.decisions, node.now_ms
         self.shared = SharedKeys(node.decisions.keys, node.limits)
-        self.path = meeting_path(node.config.name, node.config.listen)
-        self.link: Link | None = None
+        self.path = handover_socket_path(node.config.name, node.config.listen)
+        self.link: HandoverLink | None = None
         self.phases = PhaseMachine(False, 0.0, 0.0)
         self.used_ms = 0.0
         self.meeting = anyio.CancelScope()
@@ -109,7 +109,7 @@
         runs_ms = max(kind.aim_ms for kind in settings.classes)  # what runs longer is rare, and answered by then
         calls_ms = settings.call_window_ms + settings.linger_ms
         while not self.sockets:
-            self.link = await join(self.path, self.limits)
+            self.link = await join_predecessor(self.path, self.limits)
             if self.link is not None:
                 self.phases = PhaseMachine(True, runs_ms, calls_ms)
                 self.sockets = self.link.sockets
@@ -133,9 +133,9 @@
                 front.take()
         self.log("info", "upgrade.began", phase=self.phases.phase.value, path=str(self.path))
 
-    def _join_clock(self, link: Link) -> None:
+    def _join_clock(self, link: HandoverLink) -> None:
         """Go by the clock of the process that serves: windows are told by it."""
-        for word in link.early:
+        for word in link.early_messages:
             if isinstance(word, Welcome) and word.clock_ahead_ms is not None:
                 self.now_ms.join(word.clock_ahead_ms)
 
@@ -176,7 +176,7 @@
             await stream.aclose()
             return
         try:
-            link = Link(stream, self.limits)
+            link = HandoverLink(stream, self.limits)
         except BROKEN:
             self.node.counters.add("upgrade.not_watched")
             await stream.aclose()
@@ -191,7 +191,7 @@
         if self.link is not None:
             await self.link.close()
 
-    async def _meet(self, link: Link) -> None:
+    async def _meet(self, link: HandoverLink) -> None:
         async def heard(word: Message) -> None:
             await self.decisions.report(at.MessageReceived((link, word)))
 
@@ -207,7 +207,7 @@
 
     # The planner's port. All of it happens in a turn of the planner.
 
-    def on_message(self, told: tuple[Link | None, Event]) -> None:
+    def on_message(self, told: tuple[HandoverLink | None, Event]) -> None:
         link, word = told
         if link is not None and link is not self.link:
             return  # of a meeting that is over
@@ -282,7 +282,7 @@
         except UnexpectedMessageError as error:
             self.log("error", "upgrade.word_refused", cause=str(error))
             if self.link is not None:
-                self.link.break_off()
+                self.link.abort()
             return
         for action in actions:
             self._act(action)
@@ -298,7 +298,7 @@
                 self._send(word)
             case SendEntries():
                 if self.link is not None:
-                    self.link.send_copy(iter(()) if self.keys_elsewhere else self.shared.owned_entries())
+                    self.link.send_entries(iter(()) if self.keys_elsewhere else self.shared.owned_entries())
             case StartAccepting():
                 self.node.take_clients()
             case StopAccepting():
--- a/flintshift/wire/handover.py
+++ b/flintshift/wire/handover.py
@@ -30,7 +30,7 @@
     """This process can't take over; the text says why."""
 
 
-def meeting_path(name: str, listen: tuple[str, int]) -> Path:
+def handover_socket_path(name: str, listen: tuple[str, int]) -> Path:
     """Where the processes of this node meet; the name is short, as a path of a socket may be."""
     mark = hashlib.blake2b(f"{name}\n{listen[0]}:{listen[1]}".encode(), digest_size=6).hexdigest()
     return Path(os.environ.get("TMPDIR") or "/tmp") / f"flintshift-{mark}"
@@ -51,14 +51,14 @@
         raise UpgradeError(f"the end of process {pid} at the meeting path can't be watched: {error}") from error
 
 
-class Link:
+class HandoverLink:
     """One meeting of two processes."""
 
     def __init__(self, stream: UNIXSocketStream, limits: Limits) -> None:
         self.stream, self.limits = stream, limits
         self.outbox: Mailbox[Message | bytes] = Mailbox(limits.outbox_size)
         self.copy: Iterator[Known] | None = None
-        self.unpacker, self.early = Unpacker(), list[Message]()
+        self.unpacker, self.early_messages = Unpacker(), list[Message]()
         self.watched = _watch(stream.extra(anyio.abc.SocketAttribute.raw_socket))
         self.sockets: list[socket.socket] = []  # that go with the welcome
         self.broken, self.over = False, anyio.Event()  # nothing is read any more
@@ -78,12 +78,12 @@
             except BlockingIOError:  # the other is slow: it waits as the rest does
                 pass
             except BROKEN:
-                self.break_off()
+                self.abort()
                 return
         if told != b"" and not self.outbox.offer(told):
-            self.break_off()
+            self.abort()
 
-    def send_copy(self, entries: Iterator[Known]) -> None:
+    def send_entries(self, entries: Iterator[Known]) -> None:
         self.copy = entries
         self.outbox.offer(Copied())  # wakes the writer, which tells the entries first
 
@@ -92,11 +92,11 @@
         self.send(Left())
         with anyio.move_on_after(self.limits.final_send_timeout_ms / 1000):
             await self.left.wait()
-        self.break_off()
+        self.abort()
         with anyio.move_on_after(self.limits.last_read_timeout_ms / 1000):
             await self.over.wait()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         self.broken = True
         raw = self.stream.extra(anyio.abc.SocketAttribute.raw_socket)
         with contextlib.suppress(OSError):
@@ -125,7 +125,7 @@
             async with self.stream, anyio.create_task_group() as tasks:
                 tasks.start_soon(self._write)
                 try:
-                    for word in self.early:
+                    for word in self.early_messages:
                         await heard(word)
                     while True:
                         for word in self.unpacker.feed(await self.stream.receive(self.limits.read_chunk_bytes)):
@@ -167,10 +167,10 @@
                     self.outbox.take_now()
                 await self.stream.send(bytes(batch))
         except BROKEN:
-            self.break_off()
+            self.abort()
 
 
-async def join(path: Path, limits: Limits) -> Link | None:
+async def join_predecessor(path: Path, limits: Limits) -> HandoverLink | None:
     """Meet the process that serves: a link whose first word is its welcome; None where there is no such process, or
     one that leaves or hands over to another.
 
@@ -184,14 +184,14 @@
         raise mute(limits) from error
     except (OSError, RuntimeError):  # no such path, or one of a process that has ended
         return None
-    link = Link(stream, limits)
+    link = HandoverLink(stream, limits)
     try:
         with anyio.fail_after(limits.welcome_timeout_ms / 1000):
             await stream.send(packed(Hello(VERSION)))
-            while not link.early:
+            while not link.early_messages:
                 data, found = await stream.receive_fds(limits.read_chunk_bytes, SOCKETS_MOST)
                 link.sockets += [socket.socket(fileno=one) for one in found]
-                link.early += link.unpacker.feed(data)
+                link.early_messages += link.unpacker.feed(data)
     except TimeoutError as error:
         raise mute(limits) from error
     except BROKEN:
--- a/tests/handover/test_codec.py
+++ b/tests/handover/test_codec.py
@@ -14,7 +14,7 @@
 from flintshift.handover.claims import AbandonAttempt, Agreement, SendToPeer
 from flintshift.handover.phases import PhaseMachine, UnexpectedMessageError
 from flintshift.interface import Outcome
-from flintshift.wire.handover import Link
+from flintshift.wire.handover import HandoverLink
 from flintshift.wire.handover_codec import FrameError, Unpacker, packed
 
 WORDS = [
@@ -44,7 +44,7 @@
 
     said = [say.Known(("pay", f"k{number}"), f"r{number}", 9e12, b"", None, bytes(1000)) for number in range(100)]
     async with anyio.create_task_group() as tasks:
-        link = Link(await UNIXSocketStream.from_socket(near), Limits())
+        link = HandoverLink(await UNIXSocketStream.from_socket(near), Limits())
         tasks.start_soon(functools.partial(link.run, nothing, nothing, nothing))
         await anyio.wait_all_tasks_blocked()
         link.send(WORDS[1])  # as the end of a run: no turn of the loop lies between it and the caller's answer
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -11,7 +11,7 @@
 from standins import BYTES
 
 from benchmarks.upgrade import measure
-from flintshift.wire.handover import meeting_path
+from flintshift.wire.handover import handover_socket_path
 
 pytestmark = pytest.mark.anyio
 
@@ -179,7 +179,7 @@
 
 async def test_a_stale_path_stops_no_start_and_a_live_one_that_says_nothing_does(site, tmp_path, monkeypatch):
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    path = meeting_path("n3", ("127.0.0.1", site.port))
+    path = handover_socket_path("n3", ("127.0.0.1", site.port))
     stale = socket.socket(socket.AF_UNIX)
     stale.bind(str(path))
     stale.close()
