--- a/flintshift/wire/pool_codec.py
+++ b/flintshift/wire/pool_codec.py
@@ -1,4 +1,4 @@
-"""The worker pool's JSON lines: commands as bytes, and notices as typed messages that are checked first."""
+"""The codec of the worker pool's JSON lines: encodes commands, and decodes notices into typed, validated messages."""
 
 from __future__ import annotations
 
@@ -14,19 +14,21 @@
 from flintshift.wire.link import JunkError
 from flintshift.wire.outcomes import OUTCOMES
 
-NUMBER_MOST = 2**53  # notices are numbered from 1; a larger number is no number of one
+NOTICE_NUMBER_LIMIT = 2**53  # notices are numbered from 1; a number from here on is invalid
 
 
 class CommandKind(Enum):
+    """The kinds of commands, as the recovery after a lost link tells them apart."""
+
     SPAWN = "spawn"
     SUPPLY = "supply"
     PASS = "pass"
-    QUESTION = "question"  # poll or verify: nobody misses it once its link is gone
+    QUERY = "question"  # poll or verify: not sent again after its link is lost
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Command:
-    """One line to the pool. ``notice`` is the number of the notice that it answers, 0 where it answers none."""
+    """One encoded line to the pool. ``notice`` is the number of the notice that it answers; 0 if it answers none."""
 
     kind: CommandKind
     line: bytes
@@ -36,11 +38,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """The pool is up, and all notices after the number that was told follow."""
+    """The pool accepted the bind. All notices after the number given in the bind follow."""
 
 
 @dataclass(frozen=True, slots=True)
 class Finished:
+    """A run has ended."""
+
     number: int
     request: str
     outcome: Outcome
@@ -50,6 +54,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Blocked:
+    """A run waits for the reply to a call to the vault."""
+
     number: int
     request: str
     payload: bytes
@@ -57,127 +63,138 @@
 
 @dataclass(frozen=True, slots=True)
 class Remark:
+    """A numbered notice without effect (`chatter`)."""
+
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Polled:
+    """The reply to a poll: the values of the gauges."""
+
     mark: str
-    values: tuple[float, ...] | None  # None: they are no gauges
+    values: tuple[float, ...] | None  # None: the values are not valid gauges
 
 
 @dataclass(frozen=True, slots=True)
 class Verified:
+    """The reply to a verify: whether the pool is healthy."""
+
     mark: str
-    good: bool
+    healthy: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """A command that was not carried out."""
+    """The pool did not carry out a command; ``request`` is empty if the pool gave none."""
 
     command: str
     request: str
 
 
-Numbered = Finished | Blocked | Remark
-Notice = Bound | Numbered | Polled | Verified | Unknown
+NumberedNotice = Finished | Blocked | Remark
+Notice = Bound | NumberedNotice | Polled | Verified | Unknown
 
 
 class NoticeError(JunkError):
-    """A line that is no notice; ``number`` is that of a numbered one whose rest is junk, else 0."""
+    """A line is not a valid notice. ``number`` is its notice number if that could be read, else 0."""
 
     def __init__(self, text: str, number: int = 0) -> None:
         super().__init__(text)
         self.number = number
 
 
-def _line(**fields: object) -> bytes:
+def _encode_line(**fields: object) -> bytes:
     return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
 
-def _base64(data: bytes) -> str:
+def _encode_base64(data: bytes) -> str:
     return base64.b64encode(data).decode("ascii")
 
 
-def bind(number: int) -> bytes:
-    """The first line on a link: the last notice that was read."""
-    return _line(t="bind", no=number)
+def encode_bind(number: int) -> bytes:
+    """Encode the first line on a link, which gives the number of the last notice that was read."""
+    return _encode_line(t="bind", no=number)
 
 
-def spawn(attempt: Attempt) -> Command:
-    line = _line(t="spawn", rid=attempt.id, route=attempt.class_name, b64=_base64(attempt.body))
+def encode_spawn(attempt: Attempt) -> Command:
+    """Encode the command that starts a run."""
+    line = _encode_line(t="spawn", rid=attempt.id, route=attempt.class_name, b64=_encode_base64(attempt.body))
     return Command(CommandKind.SPAWN, line, attempt.id)
 
 
-def supply(request: str, notice: int, reply: bytes) -> Command:
-    return Command(CommandKind.SUPPLY, _line(t="supply", rid=request, b64=_base64(reply)), request, notice)
+def encode_supply(request: str, notice: int, reply: bytes) -> Command:
+    """Encode the command that passes a call's reply to the run that waits for it."""
+    return Command(
+        CommandKind.SUPPLY, _encode_line(t="supply", rid=request, b64=_encode_base64(reply)), request, notice
+    )
 
 
-def go_on(request: str, notice: int) -> Command:
-    return Command(CommandKind.PASS, _line(t="pass", rid=request, no=notice), request, notice)
+def encode_pass(request: str, notice: int) -> Command:
+    """Encode the command that lets a run continue without the reply to its call."""
+    return Command(CommandKind.PASS, _encode_line(t="pass", rid=request, no=notice), request, notice)
 
 
-def question(command: str, mark: str) -> Command:
-    """``poll`` or ``verify``."""
-    return Command(CommandKind.QUESTION, _line(t=command, mark=mark))
+def encode_query(command: str, mark: str) -> Command:
+    """Encode a ``poll`` or ``verify``; its reply carries the same mark."""
+    return Command(CommandKind.QUERY, _encode_line(t=command, mark=mark))
 
 
-def notice_of(line: bytes, result_most: int) -> Notice:
-    """Read one line.
+def decode_notice(line: bytes, max_result_bytes: int) -> Notice:
+    """Decode one line from the pool.
 
     Raises:
-        NoticeError: it is none that the protocol knows.
+        NoticeError: the line is not a valid notice.
     """
     number = 0
     try:
         message = json.loads(line)
         kind = message["t"]
         if kind in ("finished", "blocked", "chatter"):
-            number = _number(message["no"])
-        return _notice(kind, number, message, result_most)
+            number = _notice_number(message["no"])
+        return _decode_message(kind, number, message, max_result_bytes)
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError, OverflowError) as error:
         raise NoticeError(str(error), number) from error
 
 
-def _number(value: Any) -> int:
+def _notice_number(value: Any) -> int:
     number = int(value)
-    if not 0 < number < NUMBER_MOST:
-        raise ValueError(f"{number} numbers no notice")
+    if not 0 < number < NOTICE_NUMBER_LIMIT:
+        raise ValueError(f"{number} is not a valid notice number")
     return number
 
 
-def _milliseconds(value: Any) -> float:
-    """A time that is no time is not known: one notice must not spoil what is learned of all runs."""
-    known = isinstance(value, int | float) and math.isfinite(value) and value >= 0
-    return float(value) if known else 0.0
+def _duration_ms(value: Any) -> float:
+    """The duration, or 0 if it is invalid: one bad notice must not distort the estimates learned from all runs."""
+    valid = isinstance(value, int | float) and math.isfinite(value) and value >= 0
+    return float(value) if valid else 0.0
 
 
-def _notice(kind: Any, number: int, message: dict[str, Any], result_most: int) -> Notice:
+def _decode_message(kind: Any, number: int, message: dict[str, Any], max_result_bytes: int) -> Notice:
     match kind:
         case "bound":
             return Bound()
         case "finished":
             outcome = OUTCOMES["run", message["status"]]
             result = base64.b64decode(message.get("b64") or "", validate=True)
-            if len(result) > result_most:
-                raise ValueError("a result that is too large")
-            return Finished(number, str(message["rid"]), outcome, _milliseconds(message.get("time_ms", 0.0)), result)
+            if len(result) > max_result_bytes:
+                raise ValueError("the result is too large")
+            return Finished(number, str(message["rid"]), outcome, _duration_ms(message.get("time_ms", 0.0)), result)
         case "blocked":
             return Blocked(number, str(message["rid"]), base64.b64decode(message["b64"], validate=True))
         case "chatter":
             return Remark(number)
         case "polled":
-            return Polled(str(message["mark"]), _gauges(message.get("v")))
+            return Polled(str(message["mark"]), _decode_gauges(message.get("v")))
         case "verified":
             return Verified(str(message["mark"]), message.get("status") == "fine")
         case "unknown":
             return Unknown(str(message["status"]), str(message.get("rid", "")))
-    raise ValueError(f"{kind!r} is no notice")
+    raise ValueError(f"{kind!r} is not a notice type")
 
 
-def _gauges(values: Any) -> tuple[float, ...] | None:
+def _decode_gauges(values: Any) -> tuple[float, ...] | None:
     if not isinstance(values, list) or not all(isinstance(value, int | float) for value in values):
         return None
-    found = tuple(map(float, values))
-    return found if all(map(math.isfinite, found)) else None
+    gauges = tuple(map(float, values))
+    return gauges if all(map(math.isfinite, gauges)) else None
--- a/flintshift/wire/pool_recovery.py
+++ b/flintshift/wire/pool_recovery.py
@@ -1,15 +1,15 @@
-"""What of the commands to the worker pool may have been lost with a link, without I/O.
+"""Recovery of commands to the worker pool that may have been lost with a link, without I/O.
 
-A command is unsure from when it is written until something is heard of its request, or until so much was heard on the
-same link that it must have arrived. After a break:
+A command is in doubt from when it is written until a notice about its request is received, or until a line that is
+received long enough after it on the same link shows that it has arrived. After a link is lost:
 
-| command | what is done with it, once all notices up to now are read | why |
+| command | how it is recovered, once all notices up to now are read | why |
 | --- | --- | --- |
-| spawn | sent again | it does nothing where the request runs, and is `late` where it ran |
-| pass | sent again | it names its call |
-| supply | reported as unsure | it names no call, and the run may stand at its next one |
+| spawn | sent again | the pool ignores it if the request runs, and answers `late` if it has run |
+| pass | sent again | it gives the number of its call |
+| supply | reported as in doubt | it doesn't identify its call, and the run may already wait at its next one |
 
-What still waits to be written is none of these: it leaves on the next link.
+A command that is still queued is not in doubt: it is sent on the next link.
 """
 
 from __future__ import annotations
@@ -20,115 +20,120 @@
 from flintshift.wire.pool_codec import Command, CommandKind
 
 
-class Silence:
-    """Whether a link that owes the answer to a question has said nothing for so many looks in a row.
+class SilenceDetector:
+    """Detects a link on which a reply is pending and nothing was received for several checks in a row.
 
-    Looks are counted, not time: while this process itself stands still, what has come is not read."""
+    It counts checks, not time: while this process itself is suspended, received data is not read."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.owed = False
-        self.quiet = 0
+    def __init__(self, max_silent_checks: int) -> None:
+        self.max_silent_checks = max_silent_checks
+        self.reply_pending = False
+        self.silent_checks = 0
 
-    def asked(self) -> None:
-        self.owed = True
+    def on_query_sent(self) -> None:
+        self.reply_pending = True
 
-    def heard(self) -> None:
-        self.owed, self.quiet = False, 0
+    def on_received(self) -> None:
+        self.reply_pending, self.silent_checks = False, 0
 
-    def looked(self) -> bool:
-        """One more look; True where the link is to be made anew."""
-        self.quiet = self.quiet + 1 if self.owed else 0
-        return self.quiet >= self.most
+    def check(self) -> bool:
+        """Record one check. True: the link is silent and must be replaced."""
+        self.silent_checks = self.silent_checks + 1 if self.reply_pending else 0
+        return self.silent_checks >= self.max_silent_checks
 
 
-class JunkNotices:
-    """Which numbered notice is passed over: one that is junk on two links in a row would be told at each bind, and end
-    every link."""
+class MalformedNotices:
+    """Decides which malformed notice is skipped: one that is malformed on two links in a row. The pool would send it
+    again after each bind, and it would end every link."""
 
     def __init__(self) -> None:
-        self.last = 0
+        self.last_number = 0
 
-    def met(self, number: int) -> bool:
-        """A link ended by a notice that is junk, 0 where it has no number; True where that one is passed over."""
-        again = number != 0 and number == self.last
-        self.last = number
-        return again
+    def record(self, number: int) -> bool:
+        """Record that a malformed notice ended a link; ``number`` is 0 if it has none. True: that notice is skipped."""
+        repeated = number != 0 and number == self.last_number
+        self.last_number = number
+        return repeated
 
 
-FORGET_AT_ONCE = 2  # arrived commands that are looked for with each new one, so that none costs a walk over all
+MAX_DISCARDS_PER_COMMAND = 2  # old commands examined with each new one: a scan of all would be too costly
 
 
 @dataclass(slots=True)
-class Sent:
+class TrackedCommand:
+    """A command whose arrival is not confirmed yet."""
+
     command: Command
-    written_ms: float | None = None  # None: it waits to be written
+    written_ms: float | None = None  # None: it is still queued
+
 
+class UnconfirmedCommands:
+    """The commands whose arrival at the worker pool is not confirmed yet.
 
-class Unheard:
-    """The commands of which nothing was heard yet. ``unsure_ms``: what was written so long before the last line that
-    came, on the same link, has arrived. ``most``: commands of each kind that are known; past it the oldest goes,
-    as a run of which nothing was ever heard would stand here for ever."""
+    ``in_doubt_ms``: a command that was written so long before the last line received on the same link has arrived.
+    ``max_commands``: the tracked commands of each kind. Beyond it the oldest is dropped, since a run about which no
+    notice ever comes would be tracked forever."""
 
-    def __init__(self, unsure_ms: float, most: int) -> None:
-        self.unsure_ms, self.most = unsure_ms, most
-        self.spawns: dict[str, Sent] = {}  # by request
-        self.resumed: dict[str, Sent] = {}  # by request: how a run that stood at a call was last told to go on
-        self.since_ms = 0.0  # what was written later may be lost with a link that broke
-        self.unsettled = False  # what a link that broke may have lost is not made good yet
+    def __init__(self, in_doubt_ms: float, max_commands: int) -> None:
+        self.in_doubt_ms, self.max_commands = in_doubt_ms, max_commands
+        self.spawns: dict[str, TrackedCommand] = {}  # by request
+        self.resumed: dict[str, TrackedCommand] = {}  # by request: the last supply or pass to a waiting run
+        self.in_doubt_since_ms = 0.0  # a supply or pass written from then on may be lost with a broken link
+        self.recovery_pending = False  # the commands that a broken link may have lost are not recovered yet
 
-    def queued(self, command: Command, heard_ms: float) -> None:
-        """A command waits to be written; the link was last heard of then."""
+    def on_queued(self, command: Command, last_received_ms: float) -> None:
+        """Track a command that was queued. ``last_received_ms``: when the link last received something."""
         if command.kind is CommandKind.SPAWN:
             self._add(self.spawns, command)
-        elif command.kind is not CommandKind.QUESTION:
+        elif command.kind is not CommandKind.QUERY:
             self._add(self.resumed, command)
-            if not self.unsettled:
-                self._forget(heard_ms)
-
-    def _add(self, known: dict[str, Sent], command: Command) -> None:
-        known.pop(command.request, None)  # the newest stand at the end
-        if len(known) >= self.most:
-            del known[next(iter(known))]
-        known[command.request] = Sent(command)
-
-    def _forget(self, heard_ms: float) -> None:
-        for request, sent in list(itertools.islice(self.resumed.items(), FORGET_AT_ONCE)):
-            if sent.written_ms is not None and sent.written_ms < heard_ms - self.unsure_ms:
+            if not self.recovery_pending:
+                self._discard_confirmed(last_received_ms)
+
+    def _add(self, commands: dict[str, TrackedCommand], command: Command) -> None:
+        commands.pop(command.request, None)  # the dict keeps the newest at its end
+        if len(commands) >= self.max_commands:
+            del commands[next(iter(commands))]
+        commands[command.request] = TrackedCommand(command)
+
+    def _discard_confirmed(self, last_received_ms: float) -> None:
+        for request, tracked in list(itertools.islice(self.resumed.items(), MAX_DISCARDS_PER_COMMAND)):
+            if tracked.written_ms is not None and tracked.written_ms < last_received_ms - self.in_doubt_ms:
                 del self.resumed[request]
 
-    def written(self, command: Command, now_ms: float) -> None:
-        known = self.spawns if command.kind is CommandKind.SPAWN else self.resumed
-        sent = known.get(command.request)
-        if sent is not None and sent.command is command:
-            sent.written_ms = now_ms
+    def on_written(self, command: Command, now_ms: float) -> None:
+        commands = self.spawns if command.kind is CommandKind.SPAWN else self.resumed
+        tracked = commands.get(command.request)
+        if tracked is not None and tracked.command is command:
+            tracked.written_ms = now_ms
 
-    def heard(self, request: str) -> None:
+    def on_response(self, request: str) -> None:
         self.spawns.pop(request, None)
         self.resumed.pop(request, None)
 
-    def broke(self, heard_ms: float) -> None:
-        """The link is gone, and was last heard of then. What an earlier one may have lost is not forgotten for it."""
-        since_ms = heard_ms - self.unsure_ms
-        self.since_ms = min(self.since_ms, since_ms) if self.unsettled else since_ms
-        self.unsettled = True
+    def on_link_lost(self, last_received_ms: float) -> None:
+        """The link was lost; it last received something at ``last_received_ms``. Commands that an earlier link may have
+        lost stay in doubt."""
+        since_ms = last_received_ms - self.in_doubt_ms
+        self.in_doubt_since_ms = min(self.in_doubt_since_ms, since_ms) if self.recovery_pending else since_ms
+        self.recovery_pending = True
 
-    def settled(self) -> None:
-        """What may have been lost is made good, or there was nothing."""
-        self.unsettled = False
+    def finish_recovery(self) -> None:
+        """The commands that may have been lost are recovered, or there were none."""
+        self.recovery_pending = False
 
-    def unsure(self) -> list[Command]:
-        """What may have been lost with the link that broke, the oldest first."""
-        spawns = [sent.command for sent in self.spawns.values() if sent.written_ms is not None]
+    def in_doubt(self) -> list[Command]:
+        """The commands that may be lost with the broken link: spawns, then supplies and passes, each oldest first."""
+        spawns = [tracked.command for tracked in self.spawns.values() if tracked.written_ms is not None]
         resumed = [
-            sent.command
-            for sent in self.resumed.values()
-            if sent.written_ms is not None and sent.written_ms >= self.since_ms
+            tracked.command
+            for tracked in self.resumed.values()
+            if tracked.written_ms is not None and tracked.written_ms >= self.in_doubt_since_ms
         ]
         return spawns + resumed
 
-    def still(self, command: Command) -> bool:
-        """Nothing has been heard of it since, and no newer command has taken its place."""
-        known = self.spawns if command.kind is CommandKind.SPAWN else self.resumed
-        sent = known.get(command.request)
-        return sent is not None and sent.command is command
+    def is_unconfirmed(self, command: Command) -> bool:
+        """Whether no notice confirmed the command since, and no newer command for its request replaced it."""
+        commands = self.spawns if command.kind is CommandKind.SPAWN else self.resumed
+        tracked = commands.get(command.request)
+        return tracked is not None and tracked.command is command
