--- a/flintshift/wire/names.py
+++ b/flintshift/wire/names.py
@@ -1,4 +1,4 @@
-"""The name service client: a report by HTTP/1.1 now and then."""
+"""The client of the name service, which it reports to over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -16,33 +16,35 @@
 
 
 class NameService:
+    """Reports to the name service whether this node serves."""
+
     def __init__(self, address: tuple[str, int], name: str, limits: Limits, counters: Counters) -> None:
         self.address, self.name, self.limits, self.counters = address, name, limits, counters
 
     def move(self, address: tuple[str, int]) -> None:
-        """Report to another address from the next report on."""
+        """Send the next report to another address."""
         self.address = address
 
     async def report(self, serving: bool) -> bool:
-        """One report; True when it counts, as it does once it has arrived whole, answered or not."""
-        sent, word = anyio.Event(), "not_taken"
+        """Send one report. True if it counts, which it does once it is completely sent, answered or not."""
+        request_sent, status = anyio.Event(), "not_taken"
         try:
             with anyio.fail_after(self.limits.report_timeout_ms / 1000):
                 async with await connect(self.address, self.limits) as stream:
                     body = json.dumps({"serving": "yes" if serving else "no"})
-                    if await self._put(stream, body.encode(), sent):
-                        word = "taken"
+                    if await self._put(stream, body.encode(), request_sent):
+                        status = "taken"
         except TimeoutError:
-            word = "unanswered" if sent.is_set() else word
+            status = "unanswered" if request_sent.is_set() else status
         except (*BROKEN, h11.ProtocolError):
             pass
-        except Exception as error:  # whatever else the event loop may raise costs this report, and not the node
+        except Exception as error:  # any other error of the event loop fails this report, not the node
             faults.met(self.counters, "names", error)
-        self.counters.add(f"names.{word}")
-        return word != "not_taken"
+        self.counters.add(f"names.{status}")
+        return status != "not_taken"
 
-    async def _put(self, stream: SocketStream, body: bytes, sent: anyio.Event) -> bool:
-        conn = h11.Connection(h11.CLIENT)
+    async def _put(self, stream: SocketStream, body: bytes, request_sent: anyio.Event) -> bool:
+        protocol = h11.Connection(h11.CLIENT)
         headers = [
             ("Host", f"{self.address[0]}:{self.address[1]}"),
             ("Content-Length", str(len(body))),
@@ -50,12 +52,12 @@
         ]
         request = h11.Request(method="PUT", target=f"/ns/hosts/{quote(self.name)}", headers=headers)
         await stream.send(
-            b"".join(conn.send(event) or b"" for event in (request, h11.Data(data=body), h11.EndOfMessage()))
+            b"".join(protocol.send(event) or b"" for event in (request, h11.Data(data=body), h11.EndOfMessage()))
         )
-        sent.set()
+        request_sent.set()
         while True:
-            event = conn.next_event()
+            event = protocol.next_event()
             if event is h11.NEED_DATA:
-                conn.receive_data(await stream.receive(self.limits.read_chunk_bytes))
+                protocol.receive_data(await stream.receive(self.limits.read_chunk_bytes))
             elif isinstance(event, h11.Response):
                 return event.status_code == 204
--- a/flintshift/wire/outcomes.py
+++ b/flintshift/wire/outcomes.py
@@ -1,4 +1,4 @@
-"""The words that peers end runs and calls with, and what each means, in one table."""
+"""The statuses with which peers end runs and calls, and the outcome that each stands for."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     ("call", "notnow"): Outcome.REJECTED,
     ("call", "failed"): Outcome.ERROR,
     ("call", "overdue"): Outcome.TIMED_OUT,
-    ("call", "pointless"): Outcome.MOOT,  # no run waits for it: the run's own end follows
+    ("call", "pointless"): Outcome.MOOT,  # no run waits for it: the end of the run follows
     ("link", "refused"): Outcome.UNREACHABLE,  # proves that nothing ran
-    ("link", "broken"): Outcome.INTERRUPTED,  # proves nothing
+    ("link", "broken"): Outcome.INTERRUPTED,  # it may have run or not
     ("link", "silent"): Outcome.TIMED_OUT,
 }
--- a/flintshift/wire/uwsgi_apps.py
+++ b/flintshift/wire/uwsgi_apps.py
@@ -1,4 +1,4 @@
-"""The uwsgi app servers: one connection a run, to a server that DNS-SD named."""
+"""Runs on the uwsgi app servers: one connection per run, to a server that DNS-SD lists."""
 
 from __future__ import annotations
 
@@ -20,6 +20,8 @@
 
 
 class AppServers:
+    """Runs requests on app servers and reports how they ended (``core.ports.Workers``)."""
+
     def __init__(
         self,
         browser: Browser,
@@ -31,67 +33,67 @@
         self.browser, self.limits, self.counters = browser, limits, counters
         self.report, self.now_ms = report, now_ms
         self.outbox: Mailbox[Attempt] = Mailbox(limits.outbox_size)
-        self.room = anyio.CapacityLimiter(limits.app_connections)  # guards the descriptors
+        self.connections = anyio.CapacityLimiter(limits.app_connections)  # limits the file descriptors in use
 
     def spawn(self, attempt: Attempt) -> bool:
         return self.outbox.offer(attempt)
 
-    def supply(self, request: str, no: int, reply: bytes) -> bool:
+    def supply(self, request: str, notice: int, reply: bytes) -> bool:
         return True  # app servers make no calls through the node
 
-    def continue_run(self, request: str, no: int) -> bool:
+    def continue_run(self, request: str, notice: int) -> bool:
         return True
 
     async def run(self) -> None:
         async with anyio.create_task_group() as tasks:
             while True:
                 attempt = await self.outbox.take()
-                await self.room.acquire_on_behalf_of(attempt)
+                await self.connections.acquire_on_behalf_of(attempt)
                 tasks.start_soon(self._run, attempt)
 
     async def _run(self, attempt: Attempt) -> None:
-        began_ms = self.now_ms()
+        started_ms = self.now_ms()
         try:
             outcome, result = await self._on_some_server(attempt)
-        except Exception as error:  # whatever else the event loop may raise costs this run, and not the node
+        except Exception as error:  # any other error of the event loop fails this run, not the node
             faults.met(self.counters, "apps", error)
             outcome, result = OUTCOMES["link", "broken"], b""
         finally:
-            self.room.release_on_behalf_of(attempt)
+            self.connections.release_on_behalf_of(attempt)
         self.counters.add(f"apps.{outcome.value}")
-        await self.report(RunFinished(attempt.id, outcome, self.now_ms() - began_ms, result))
+        await self.report(RunFinished(attempt.id, outcome, self.now_ms() - started_ms, result))
 
     async def _on_some_server(self, attempt: Attempt) -> tuple[Outcome, bytes]:
-        for at in self.browser.servers(attempt.class_name):
+        for address in self.browser.servers(attempt.class_name):
             try:
-                stream = await connect(at, self.limits)
-            except BROKEN:  # it never ran there: the next server may have it
+                stream = await connect(address, self.limits)
+            except BROKEN:  # it never ran there: the next server is tried
                 self.counters.add("apps.not_reached")
                 continue
             try:
                 async with stream:
                     with anyio.fail_after(self.limits.app_run_timeout_ms / 1000):
-                        return await self._ask(stream, attempt)
+                        return await self._exchange(stream, attempt)
             except TimeoutError:
                 return OUTCOMES["link", "silent"], b""
-            except (*BROKEN, h11.ProtocolError):  # it may have run: no other server may have it
+            except (*BROKEN, h11.ProtocolError):  # it may have run: no other server is tried
                 return OUTCOMES["link", "broken"], b""
         return OUTCOMES["link", "refused"], b""
 
-    async def _ask(self, stream: SocketStream, attempt: Attempt) -> tuple[Outcome, bytes]:
-        conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=self.limits.max_head_bytes)
-        # uwsgi asks in its own way and answers as HTTP does: only the answer is h11's.
-        conn.send(h11.Request(method="POST", target="/", headers=[("Host", "app")]))
-        conn.send(h11.EndOfMessage())
+    async def _exchange(self, stream: SocketStream, attempt: Attempt) -> tuple[Outcome, bytes]:
+        protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=self.limits.max_head_bytes)
+        # A uwsgi request has its own format and its response is HTTP: h11 parses the response only.
+        protocol.send(h11.Request(method="POST", target="/", headers=[("Host", "app")]))
+        protocol.send(h11.EndOfMessage())
         await stream.send(attempt.head + attempt.body)
         status, result = 0, b""
         while True:
-            event = conn.next_event()
+            event = protocol.next_event()
             if event is h11.NEED_DATA:
                 try:
-                    conn.receive_data(await stream.receive(self.limits.read_chunk_bytes))
+                    protocol.receive_data(await stream.receive(self.limits.read_chunk_bytes))
                 except anyio.EndOfStream:
-                    conn.receive_data(b"")
+                    protocol.receive_data(b"")
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
--- a/flintshift/wire/vault.py
+++ b/flintshift/wire/vault.py
@@ -1,7 +1,7 @@
-"""The links to the vault: calls by line and length, one at a time on a connection, connections reused.
+"""The client of the vault: calls with a header line and a payload of given length, over reused connections.
 
-One call a connection, so that a reply that is spoilt, never comes or is replaced by a reset costs that call
-alone; few calls are under way at once.
+A connection carries one call at a time, so that a corrupt or missing reply or a reset fails that call alone. Few calls
+are open at once.
 """
 
 from __future__ import annotations
@@ -24,20 +24,22 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class VaultCall:
+    """A call to the vault. ``request`` is the request whose run makes it."""
+
     request: str
-    asked_ms: float
+    requested_ms: float
     limit_ms: float
     payload: bytes
-    once: bool  # it must not be made twice, nor fail for the sake of a connection
+    once: bool  # it must neither be made twice nor fail because a reused connection broke
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
 
 
 @dataclass(slots=True, eq=False)
-class Line:
-    """A connection to the vault, and for whom it was used last."""
+class VaultConnection:
+    """A connection to the vault; ``request`` is the one that used it last."""
 
-    to: tuple[str, int]
+    address: tuple[str, int]
     stream: SocketStream
     reader: BufferedByteReceiveStream
     request: str = ""
@@ -46,108 +48,111 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnd:
-    """How a call ended: ``by`` the vault's own word (`call`), or by what became of its connection (`link`)."""
+    """How a call ended. ``source`` is `call` for a status from the vault, `link` for one of its connection."""
 
-    by: str
-    word: str
+    source: str
+    status: str
     reply: bytes = b""
 
     @property
     def outcome(self) -> Outcome:
-        return OUTCOMES[self.by, self.word]
+        return OUTCOMES[self.source, self.status]
 
 
 REFUSED = CallEnd("link", "refused")  # proves that the call never ran
-BROKEN_OFF = CallEnd("link", "broken")  # proves nothing
+BROKEN_OFF = CallEnd("link", "broken")  # it may have run or not
 SILENT = CallEnd("link", "silent")
 
 
 class VaultLink:
+    """Makes calls to the vault and reports how each ended (``core.ports.VaultCalls``)."""
+
     def __init__(
         self,
-        to: tuple[str, int] | None,
+        address: tuple[str, int] | None,
         limits: Limits,
         counters: Counters,
         report: Callable[[Report], Awaitable[None]],
         now_ms: Callable[[], float],
     ) -> None:
-        self.to, self.limits, self.counters = to, limits, counters
+        self.address, self.limits, self.counters = address, limits, counters
         self.report, self.now_ms = report, now_ms
-        self.outbox: Mailbox[Ask | str] = Mailbox(limits.outbox_size)
-        self.out: dict[str, Ask] = {}  # calls under way
-        self.wary_until_ms = 0.0  # a connection that was used before broke lately
-        self.idle: list[Line] = []  # the one used last at the end
+        self.outbox: Mailbox[VaultCall | str] = Mailbox(limits.outbox_size)
+        self.open_calls: dict[str, VaultCall] = {}  # by request
+        self.unused_only_until_ms = 0.0  # until then, calls with `once` use new connections only, as a reused one broke
+        self.idle_connections: list[VaultConnection] = []  # the most recently used last
 
     def start_call(self, request: str, limit_ms: float, payload: bytes, once: bool) -> bool:
-        return self.outbox.offer(Ask(request, self.now_ms(), limit_ms, payload, once))
+        return self.outbox.offer(VaultCall(request, self.now_ms(), limit_ms, payload, once))
 
     def cancel_call(self, request: str) -> None:
-        if not self.outbox.offer(request):  # its reply will find nobody
+        if not self.outbox.offer(request):  # the call goes on, and its reply is ignored
             self.counters.add("vault.unask_dropped")
 
-    def move(self, to: tuple[str, int] | None) -> None:
-        """New calls go to another address, or nowhere; those under way stay where they are."""
-        self.to = to
+    def move(self, address: tuple[str, int] | None) -> None:
+        """Send new calls to another address, or reject them (None); open calls keep their connections."""
+        self.address = address
 
     async def run(self) -> None:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._sweep)
+            tasks.start_soon(self._close_idle_connections)
             while True:
                 command = await self.outbox.take()
-                if isinstance(command, Ask):
-                    self._end(command.request)  # a second call for a request gives up the first
-                    self.out[command.request] = command
-                    tasks.start_soon(self._call, command)
+                if isinstance(command, VaultCall):
+                    self._cancel(command.request)  # a second call of a request cancels the first
+                    self.open_calls[command.request] = command
+                    tasks.start_soon(self._run_call, command)
                 else:
-                    self._end(command)
+                    self._cancel(command)
 
-    def _end(self, request: str) -> None:
-        ask = self.out.pop(request, None)
-        if ask is not None:
-            ask.scope.cancel()  # closes its connection, which gives up the call
+    def _cancel(self, request: str) -> None:
+        call = self.open_calls.pop(request, None)
+        if call is not None:
+            call.scope.cancel()  # closes its connection, which cancels the call at the vault
 
-    async def _call(self, ask: Ask) -> None:
-        with ask.scope:
+    async def _run_call(self, call: VaultCall) -> None:
+        with call.scope:
             try:
-                end = await self._end_of(ask)
-            except Exception as error:  # whatever else the event loop may raise costs this call, and not the node
+                end = await self._make_call(call)
+            except Exception as error:  # any other error of the event loop fails this call, not the node
                 faults.met(self.counters, "vault", error)
                 end = BROKEN_OFF
-            if self.out.get(ask.request) is ask:
-                del self.out[ask.request]
-            self.counters.add(f"vault.{end.word}")
-            await self.report(CallFinished(ask.request, end.outcome, self.now_ms() - ask.asked_ms, end.reply))
-
-    async def _end_of(self, ask: Ask) -> CallEnd:
-        """How the call ended. The vault may have forgotten a connection that was used before, which it resets
-        at the next call, and nothing tells that from a reset in place of a reply. So what may be made twice
-        is made again on a new connection, and what must not goes on new ones alone for a while after."""
-        wary = ask.once and self.now_ms() < self.wary_until_ms
-        line = None if wary else self._free_line(ask.request)
-        if line is not None:
-            end = await self._on(line, ask)
+            if self.open_calls.get(call.request) is call:
+                del self.open_calls[call.request]
+            self.counters.add(f"vault.{end.status}")
+            await self.report(CallFinished(call.request, end.outcome, self.now_ms() - call.requested_ms, end.reply))
+
+    async def _make_call(self, call: VaultCall) -> CallEnd:
+        """Make a call and return how it ended. The vault may have dropped a reused connection and reset it at the next
+        call, which looks the same as a reset instead of a reply. So a call that may be made twice is repeated on a new
+        connection, and calls with `once` use new connections only for a while after."""
+        unused_only = call.once and self.now_ms() < self.unused_only_until_ms
+        connection = None if unused_only else self._take_idle_connection(call.request)
+        if connection is not None:
+            end = await self._call_on(connection, call)
             if end is not BROKEN_OFF:
                 return end
-            self.wary_until_ms = self.now_ms() + self.limits.vault_new_links_ms
-            if ask.once:
+            self.unused_only_until_ms = self.now_ms() + self.limits.vault_new_links_ms
+            if call.once:
                 return end
             self.counters.add("vault.made_again")
-        to = self.to
-        if to is None or len(self.out) > self.limits.vault_connections:  # the bound guards the descriptors
+        address = self.address
+        # The number of connections is limited for the sake of the file descriptors.
+        if address is None or len(self.open_calls) > self.limits.vault_connections:
             return REFUSED
         try:
-            line = await self._connect(to)
+            connection = await self._connect(address)
         except BROKEN:
             return REFUSED
-        return await self._on(line, ask)
+        return await self._call_on(connection, call)
 
-    async def _on(self, line: Line, ask: Ask) -> CallEnd:
-        left_ms = ask.asked_ms + ask.limit_ms - self.now_ms()
+    async def _call_on(self, connection: VaultConnection, call: VaultCall) -> CallEnd:
+        remaining_ms = call.requested_ms + call.limit_ms - self.now_ms()
         try:
-            with anyio.fail_after(max(0.0, left_ms + self.limits.call_grace_ms) / 1000):
-                word, reply = await self._ask(line, ask, max(1, round(left_ms)))
+            with anyio.fail_after(max(0.0, remaining_ms + self.limits.call_grace_ms) / 1000):
+                status, reply = await self._exchange(connection, call, max(1, round(remaining_ms)))
         except TimeoutError:
-            return SILENT  # nothing more is to be had of the connection
+            return SILENT  # the connection can't be reused
         except JunkError:
             self.counters.add("vault.junk")
             return BROKEN_OFF
@@ -155,53 +160,60 @@
             self.counters.add("vault.links_lost")
             return BROKEN_OFF
         else:
-            # What follows a reply unasked (a second copy, say) must not be taken for the next one.
-            if not line.reader.buffer and line.to == self.to:
-                line.used_ms = self.now_ms()
-                self.idle.append(line)
-            return CallEnd("call", word, reply)
+            # Further data after a reply (a duplicate, for example) must not be read as the next reply.
+            if not connection.reader.buffer and connection.address == self.address:
+                connection.used_ms = self.now_ms()
+                self.idle_connections.append(connection)
+            return CallEnd("call", status, reply)
         finally:
-            if line not in self.idle:
+            if connection not in self.idle_connections:
                 with anyio.CancelScope(shield=True):
-                    await line.stream.aclose()
-
-    def _free_line(self, request: str) -> Line | None:
-        """A connection that was in use a moment ago. Guards against one that the vault closes or forgets
-        while it is idle, and against a second copy of this request's last reply."""
-        since = self.now_ms() - self.limits.max_vault_idle_ms
-        fit = [line for line in self.idle if line.used_ms >= since and line.to == self.to and line.request != request]
-        if not fit:
+                    await connection.stream.aclose()
+
+    def _take_idle_connection(self, request: str) -> VaultConnection | None:
+        """Take a connection that was used a moment ago. Skips those that the vault may have closed or dropped while
+        idle, and those on which a duplicate of this request's last reply might come."""
+        min_used_ms = self.now_ms() - self.limits.max_vault_idle_ms
+        usable = [
+            connection
+            for connection in self.idle_connections
+            if connection.used_ms >= min_used_ms
+            and connection.address == self.address
+            and connection.request != request
+        ]
+        if not usable:
             return None
-        self.idle.remove(fit[-1])
-        return fit[-1]
+        self.idle_connections.remove(usable[-1])
+        return usable[-1]
 
-    async def _connect(self, to: tuple[str, int]) -> Line:
-        stream = await connect(to, self.limits)
+    async def _connect(self, address: tuple[str, int]) -> VaultConnection:
+        stream = await connect(address, self.limits)
         self.counters.add("vault.links")
-        return Line(to, stream, BufferedByteReceiveStream(stream))
+        return VaultConnection(address, stream, BufferedByteReceiveStream(stream))
 
-    async def _ask(self, line: Line, ask: Ask, left_ms: int) -> tuple[str, bytes]:
-        line.request = ask.request
-        head = f"ask {ask.request} {left_ms} {len(ask.payload)}\r\n"
-        await line.stream.send(head.encode() + ask.payload + b"\r\n")
+    async def _exchange(self, connection: VaultConnection, call: VaultCall, remaining_ms: int) -> tuple[str, bytes]:
+        connection.request = call.request
+        head = f"ask {call.request} {remaining_ms} {len(call.payload)}\r\n"
+        await connection.stream.send(head.encode() + call.payload + b"\r\n")
         for _ in range(self.limits.max_unmatched_replies):
-            if not line.reader.buffer:
-                line.reader.feed_data(await line.stream.receive(self.limits.read_chunk_bytes))
+            if not connection.reader.buffer:
+                connection.reader.feed_data(await connection.stream.receive(self.limits.read_chunk_bytes))
             try:
-                with anyio.fail_after(self.limits.vault_reply_timeout_ms / 1000):  # a reply comes whole, or is junk
-                    request, word, reply = await self._reply(line.reader)
+                # An incomplete reply counts as malformed.
+                with anyio.fail_after(self.limits.vault_reply_timeout_ms / 1000):
+                    request, status, reply = await self._read_reply(connection.reader)
             except TimeoutError as error:
-                raise JunkError("a reply without end") from error
-            if request == ask.request:
-                return word, reply
-            self.counters.add("vault.strays")  # a reply to nothing that was asked here
-        raise JunkError("strays without end")
+                raise JunkError("the reply is incomplete") from error
+            if request == call.request:
+                return status, reply
+            self.counters.add("vault.strays")  # a reply that matches no call on this connection
+        raise JunkError("too many unmatched replies")
 
-    async def _reply(self, reader: BufferedByteReceiveStream) -> tuple[str, str, bytes]:
+    async def _read_reply(self, reader: BufferedByteReceiveStream) -> tuple[str, str, bytes]:
         parts = (await reader.receive_until(b"\r\n", self.limits.max_vault_line_bytes)).decode("latin-1").split(" ")
-        word = parts[1] if len(parts) > 1 else ""
+        status = parts[1] if len(parts) > 1 else ""
         if (
-            word == "yes"
+            status == "yes"
             and len(parts) == 3
             and parts[2].isascii()
             and parts[2].isdecimal()
@@ -210,18 +222,22 @@
         ):
             reply = await reader.receive_exactly(int(parts[2]))
             if await reader.receive_exactly(2) != b"\r\n":
-                raise JunkError("no line end after a reply")
-            return parts[0], word, reply
-        if word == "yes" or ("call", word) not in OUTCOMES or len(parts) != 2:
-            raise JunkError(word)
-        return parts[0], word, b""
-
-    async def _sweep(self) -> None:
-        """Close what has been idle: nothing is owed on it."""
+                raise JunkError("the line end after a reply is missing")
+            return parts[0], status, reply
+        if status == "yes" or ("call", status) not in OUTCOMES or len(parts) != 2:
+            raise JunkError(status)
+        return parts[0], status, b""
+
+    async def _close_idle_connections(self) -> None:
+        """Close connections that have been idle for too long: no reply is pending on them."""
         while True:
             await anyio.sleep(self.limits.max_vault_idle_ms / 1000)
-            since = self.now_ms() - self.limits.max_vault_idle_ms
-            past = [line for line in self.idle if line.used_ms < since or line.to != self.to]
-            self.idle = [line for line in self.idle if line not in past]
-            for line in past:
-                await line.stream.aclose()
+            min_used_ms = self.now_ms() - self.limits.max_vault_idle_ms
+            expired = [
+                connection
+                for connection in self.idle_connections
+                if connection.used_ms < min_used_ms or connection.address != self.address
+            ]
+            self.idle_connections = [connection for connection in self.idle_connections if connection not in expired]
+            for connection in expired:
+                await connection.stream.aclose()
--- a/tests/wire/test_lists.py
+++ b/tests/wire/test_lists.py
@@ -1,4 +1,4 @@
-"""A list service that misbehaves: each report ends in time, nothing is left open, and the next one counts again."""
+"""A name service that misbehaves: each report ends in time, no descriptor stays open, and the next report counts."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from flintshift.wire.names import NameService
 
 pytestmark = pytest.mark.anyio
-WAIT_MS = 100.0
-GOOD = b"HTTP/1.1 204 No Content\r\n\r\n"
+REPORT_TIMEOUT_MS = 100.0
+NO_CONTENT = b"HTTP/1.1 204 No Content\r\n\r\n"
 
 
 async def resets_at_once(reader, writer):
@@ -33,15 +33,15 @@
 
 async def answers_in_pieces(reader, writer):
     await reader.readuntil(b"}")
-    for place in range(len(GOOD)):
-        writer.write(GOOD[place : place + 1])
+    for position in range(len(NO_CONTENT)):
+        writer.write(NO_CONTENT[position : position + 1])
         await writer.drain()
         await asyncio.sleep(0)
 
 
 async def stops_in_its_answer(reader, writer):
     await reader.readuntil(b"}")
-    writer.write(GOOD[:9])
+    writer.write(NO_CONTENT[:9])
     await reader.read()
 
 
@@ -50,58 +50,60 @@
     writer.close()
 
 
-async def answers_junk(reader, writer):
+async def answers_malformed(reader, writer):
     await reader.readuntil(b"}")
     writer.write(b"\xff\x00" * 99)
 
 
-async def turns_away(reader, writer):
+async def rejects(reader, writer):
     await reader.readuntil(b"}")
     writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
-async def tells_to_go_on_first(reader, writer):
+async def continues_first(reader, writer):
     await reader.readuntil(b"}")
-    writer.write(b"HTTP/1.1 100 Continue\r\n\r\n" + GOOD)
+    writer.write(b"HTTP/1.1 100 Continue\r\n\r\n" + NO_CONTENT)
 
 
-async def good(reader, writer):
+async def answers(reader, writer):
     await reader.readuntil(b"}")
-    writer.write(GOOD)
+    writer.write(NO_CONTENT)
 
 
-SERVICES = [  # how it behaves, and whether the report counts: it does once it has arrived whole, answered or not
+BEHAVIOURS = [  # the behaviour, and whether the report counts: it does once it has arrived completely, answered or not
     (resets_at_once, None),
     (resets_in_the_report, None),
     (never_answers, True),
     (answers_in_pieces, True),
     (stops_in_its_answer, True),
     (closes_without_an_answer, False),
-    (answers_junk, False),
-    (turns_away, False),
-    (tells_to_go_on_first, True),
+    (answers_malformed, False),
+    (rejects, False),
+    (continues_first, True),
 ]
 
 
-@pytest.mark.parametrize(("behaves", "counts"), SERVICES, ids=[behaves.__name__ for behaves, _ in SERVICES])
-async def test_a_report_to_a_list_service_in_trouble_ends_in_time_and_the_next_one_counts(behaves, counts):
-    now = behaves
+@pytest.mark.parametrize(("behaviour", "expected"), BEHAVIOURS, ids=[behaviour.__name__ for behaviour, _ in BEHAVIOURS])
+async def test_a_report_to_a_failing_name_service_ends_in_time_and_the_next_one_counts(behaviour, expected):
+    current_behaviour = behaviour
 
     async def serve(reader, writer):
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            await now(reader, writer)
+            await current_behaviour(reader, writer)
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    service = NameService(server.sockets[0].getsockname(), "n3", Limits(report_timeout_ms=WAIT_MS), Counters())
-    before = len(os.listdir("/proc/self/fd"))
+    service = NameService(
+        server.sockets[0].getsockname(), "n3", Limits(report_timeout_ms=REPORT_TIMEOUT_MS), Counters()
+    )
+    descriptors_before = len(os.listdir("/proc/self/fd"))
     for _ in range(20):
-        began = time.monotonic()
-        taken = await service.report(True)
-        assert (time.monotonic() - began) * 1000 < WAIT_MS + 400
-        assert counts is None or taken is counts
-    now = good
+        started_s = time.monotonic()
+        counted = await service.report(True)
+        assert (time.monotonic() - started_s) * 1000 < REPORT_TIMEOUT_MS + 400
+        assert expected is None or counted is expected
+    current_behaviour = answers
     assert await service.report(True)
     server.close()
     await asyncio.sleep(0.01)
-    assert len(os.listdir("/proc/self/fd")) <= before + 2  # nothing is left open
+    assert len(os.listdir("/proc/self/fd")) <= descriptors_before + 2  # no descriptor stays open
--- a/tests/wire/test_name_service.py
+++ b/tests/wire/test_name_service.py
@@ -1,4 +1,4 @@
-"""Reports that the name service takes without an answer."""
+"""Reports to the name service: without an answer, and with a name that must be escaped."""
 
 from __future__ import annotations
 
@@ -21,20 +21,21 @@
     names, counters, limits = Names(tells=True), Counters(), Limits(report_timeout_ms=200.0, report_interval_ms=200.0)
     names.mute = True
     await names.start()
-    service, began = NameService(("127.0.0.1", names.port), "n3", limits, counters), time.time()
-    listing = Registration([service], limits, 1, random.Random(1).uniform)
+    service, started_s = NameService(("127.0.0.1", names.port), "n3", limits, counters), time.time()
+    registration = Registration([service], limits, 1, random.Random(1).uniform)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(listing.run)
-        listing.announce(True)
+        tasks.start_soon(registration.run)
+        registration.announce(True)
         while counters["names.unanswered"] < 3:
             await names.log.until(lambda _: True, counters["names.unanswered"] + 1)
         tasks.cancel_scope.cancel()
     await names.stop()
-    assert time.time() - began < 0.95 and not counters["names.not_taken"]  # 1.0 s with a wait after each
+    # It would take 1.0 s if each report were followed by a wait.
+    assert time.time() - started_s < 0.95 and not counters["names.not_taken"]
     assert not await service.report(True) and counters["names.not_taken"] == 1
 
 
-async def test_a_name_that_no_target_may_hold_is_reported_in_its_escaped_form():
+async def test_a_name_that_is_not_valid_in_a_target_is_escaped():
     names, counters = Names(tells=True), Counters()
     await names.start()
     assert await NameService(("127.0.0.1", names.port), "desk 3/a", Limits(), counters).report(True)
--- a/tests/wire/test_targets.py
+++ b/tests/wire/test_targets.py
@@ -1,4 +1,4 @@
-"""What a request may name in its first line, and what it gets for it."""
+"""Request targets: which are valid, and the answers to those that are not."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(("target", "status"), TARGETS)
-async def test_a_target_is_taken_or_answered_plainly_and_its_connection_goes_on(target, status):
+async def test_a_target_is_accepted_or_rejected_and_its_connection_stays_open(target, status):
     async with Fronted() as fronted:
         fronted.decided.at_once = Answer(Verdict.SERVED, b"1")
         caller = await calling(fronted.connect())
--- a/tests/wire/test_vault.py
+++ b/tests/wire/test_vault.py
@@ -1,4 +1,4 @@
-"""Calls to the vault: replies that are spoilt, connections that are forgotten, what may be made again."""
+"""Calls to the vault: corrupt replies, connections that the vault dropped, and calls that may be repeated."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 pytestmark = pytest.mark.anyio
 
 
-REPLIES = [  # how the vault replies, how the call ends, and how many connections two calls then take
+REPLIES = [  # the vault's reply, the outcome of the call, and how many connections two calls then take
     (b"%b yes 5\r\nreply\r\n", Outcome.OK, 1),
     (b"%b notnow\r\n", Outcome.REJECTED, 1),
-    (b"0000 yes 2\r\nno\r\n%b yes 5\r\nreply\r\n", Outcome.OK, 1),  # an unknown id ahead
-    (b"%b yes 5\r\nreply\r\nff yes 5\r\nreply\r\n", Outcome.OK, 2),  # more than belongs to it
+    (b"0000 yes 2\r\nno\r\n%b yes 5\r\nreply\r\n", Outcome.OK, 1),  # preceded by a reply with an unknown id
+    (b"%b yes 5\r\nreply\r\nff yes 5\r\nreply\r\n", Outcome.OK, 2),  # followed by more data
     (b"%b yes 3\r\nreply\r\n", Outcome.INTERRUPTED, 2),
     (b"%b yes 9\r\nreply\r\n", Outcome.INTERRUPTED, 2),
     (b"%b yes 3000000000\r\n" + b"x" * 70_000, Outcome.INTERRUPTED, 2),
@@ -35,53 +35,54 @@
 ]
 
 
-@pytest.mark.parametrize(("reply", "outcome", "links"), REPLIES)
-async def test_a_spoilt_reply_costs_its_own_call_alone(reply, outcome, links):
-    vault, told, counters = Vault(tells=True), Journal(), Counters()
+@pytest.mark.parametrize(("reply", "outcome", "connections"), REPLIES)
+async def test_a_corrupt_reply_fails_its_own_call_only(reply, outcome, connections):
+    vault, reports, counters = Vault(tells=True), Journal(), Counters()
     vault.reply = reply
     await vault.start()
     limits = Limits(vault_reply_timeout_ms=100.0, call_grace_ms=5.0, max_vault_idle_ms=60_000.0)
-    link = VaultLink(("127.0.0.1", vault.port), limits, counters, told.add, lambda: time.time() * 1000)
+    link = VaultLink(("127.0.0.1", vault.port), limits, counters, reports.add, lambda: time.time() * 1000)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
         assert link.start_call("a1", 50.0 if reply == b"" else 5000.0, b"body", False)
-        assert (await told.until(lambda over: over.request == "a1"))[0].outcome is outcome
+        assert (await reports.until(lambda report: report.request == "a1"))[0].outcome is outcome
         vault.reply = b"%b yes 4\r\nmore\r\n"
         assert link.start_call("b2", 5000.0, b"", False)
-        over = (await told.until(lambda over: over.request == "b2"))[0]
-        assert (over.outcome, over.reply) == (Outcome.OK, b"more")
-        # A second copy of a request's first reply must not be taken for the reply to its second call.
+        report = (await reports.until(lambda report: report.request == "b2"))[0]
+        assert (report.outcome, report.reply) == (Outcome.OK, b"more")
+        # A duplicate of a request's first reply must not be taken for the reply to its second call.
         assert link.start_call("b2", 5000.0, b"", False)
-        await told.until(lambda over: over.request == "b2", 2)
-        assert counters["vault.links"] == links + 1
+        await reports.until(lambda report: report.request == "b2", 2)
+        assert counters["vault.links"] == connections + 1
         tasks.cancel_scope.cancel()
     await vault.stop()
 
 
-async def test_a_connection_that_was_forgotten_costs_no_call():
-    vault, told, counters = Vault(tells=True), Journal(), Counters()
+async def test_a_dropped_connection_fails_no_call():
+    vault, reports, counters = Vault(tells=True), Journal(), Counters()
     await vault.start()
     link = VaultLink(
-        ("127.0.0.1", vault.port), Limits(max_vault_idle_ms=60_000.0), counters, told.add, lambda: time.time() * 1000
+        ("127.0.0.1", vault.port), Limits(max_vault_idle_ms=60_000.0), counters, reports.add, lambda: time.time() * 1000
     )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
         for count, (request, once) in enumerate([("a1", False), ("b2", False), ("c3", True)], 1):
-            vault.forgets = set(vault.links)  # all that is open is reset at its next call
+            vault.forgets = set(vault.links)  # each open connection is reset at its next call
             assert link.start_call(request, 5000.0, b"", once)
-            await told.until(lambda over, request=request: over.request == request)
+            await reports.until(lambda report, request=request: report.request == request)
             assert counters["vault.links"] == count
         tasks.cancel_scope.cancel()
     await vault.stop()
-    assert [over.outcome for over in told.entries] == [Outcome.OK] * 3
-    assert counters["vault.made_again"] == 1  # the read; what must not be made twice took a new one at once
+    assert [report.outcome for report in reports.entries] == [Outcome.OK] * 3
+    # Only the call that may be made twice is repeated; the one that may not used a new connection at once.
+    assert counters["vault.made_again"] == 1
 
 
-async def test_a_call_given_up_closes_its_connection_and_an_idle_one_is_closed():
-    vault, told = Vault(tells=True), Journal()
+async def test_a_cancelled_call_closes_its_connection_and_idle_connections_are_closed():
+    vault, reports = Vault(tells=True), Journal()
     await vault.start()
     link = VaultLink(
-        ("127.0.0.1", vault.port), Limits(max_vault_idle_ms=50.0), Counters(), told.add, lambda: time.time() * 1000
+        ("127.0.0.1", vault.port), Limits(max_vault_idle_ms=50.0), Counters(), reports.add, lambda: time.time() * 1000
     )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
@@ -94,11 +95,11 @@
         await vault.ended.until(lambda _: True, 2)
         tasks.cancel_scope.cancel()
     await vault.stop()
-    assert [over.request for over in told.entries] == ["a1"]
+    assert [report.request for report in reports.entries] == ["a1"]
 
 
 @pytest.mark.parametrize(
-    ("reply", "status", "asked"),
+    ("reply", "status", "call_count"),
     [
         (b"%b yes 5\r\n\x00\r\n\xffx\r\n", 200, 1),
         (b"%b notnow\r\n", 500, 3),
@@ -106,16 +107,18 @@
         (None, 500, 1),
     ],
 )
-async def test_calls_go_unchanged_and_are_repeated_only_when_proven_not_run(rig, reply, status, asked):
+async def test_calls_are_transferred_unchanged_and_repeated_only_if_they_certainly_did_not_run(
+    rig, reply, status, call_count
+):
     rig.vault.reply, rig.pool.plan = reply, {"submit-time": ("blocked", {"b64": "AP8="})}
     assert (await rig.ask("http")).status == status
-    asks = [entry for entry in rig.vault.log.entries if entry[0] == "ask"]
-    assert len(asks) == asked and asks[0][2] == b"\x00\xff"
+    calls = [entry for entry in rig.vault.log.entries if entry[0] == "ask"]
+    assert len(calls) == call_count and calls[0][2] == b"\x00\xff"
     supplied = [base64.b64decode(entry["b64"]) for entry in rig.pool.log.entries if entry["t"] == "supply"]
     assert supplied == ([b"\x00\r\n\xffx"] if status == 200 else [])
 
 
-async def test_a_refused_vault_proves_that_the_call_never_ran(rig):
+async def test_a_refused_connection_proves_that_the_call_never_ran(rig):
     await rig.vault.stop()
     rig.pool.plan = {"submit-time": ("blocked", {"b64": ""})}
     assert (await rig.ask("http")).status == 500
