--- a/flintshift/wire/peer_codec.py
+++ b/flintshift/wire/peer_codec.py
@@ -1,4 +1,7 @@
-"""The words of the copies as they stand in `proto/peers.proto`: made and read, on the network and for the disk."""
+"""The codec of the messages between members: to and from `proto/peers.proto`, for the network and the disk.
+
+A `_set` function writes a value into a protobuf message, the `_get` function reads it from one.
+"""
 
 from __future__ import annotations
 
@@ -24,28 +27,28 @@
     Outcome.UNREACHABLE,
     Outcome.INTERRUPTED,
     Outcome.MOOT,
-)  # numbered from 1; the order is never changed
-NUMBERS = {outcome: number for number, outcome in enumerate(OUTCOMES, 1)}
-PEER_FRAME_MOST = 4 << 20  # bytes; a longer one is junk
+)  # numbered from 1; the order must never change
+OUTCOME_NUMBERS = {outcome: number for number, outcome in enumerate(OUTCOMES, 1)}
+MAX_PEER_FRAME_BYTES = 4 << 20  # a longer frame is malformed
 
-Word = Ask | Vote | Ended | FillAsk | Page | Accuse | logs.LogMessage | PermitRequest | Permit
-Told = Ask | Vote | Ended | FillAsk | Page | Accused | logs.LogMessage | PermitRequest | Permit
+OutgoingMessage = Ask | Vote | Ended | FillAsk | Page | Accuse | logs.LogMessage | PermitRequest | Permit
+IncomingMessage = Ask | Vote | Ended | FillAsk | Page | Accused | logs.LogMessage | PermitRequest | Permit
 
 
 class PeerMessageError(JunkError, ValueError):
-    """What came is no batch of these words."""
+    """The received data is not a valid batch of messages, or the stored data not a valid entry."""
 
 
-def _ballot(into: pb.Ballot, ballot: Ballot) -> None:
-    into.number, into.by = ballot
+def _set_ballot(target: pb.Ballot, ballot: Ballot) -> None:
+    target.number, target.by = ballot
 
 
-def _ballot_of(told: pb.Ballot) -> Ballot:
-    return (told.number, told.by) if told.by else NO_BALLOT
+def _get_ballot(encoded: pb.Ballot) -> Ballot:
+    return (encoded.number, encoded.by) if encoded.by else NO_BALLOT
 
 
-def _value(into: pb.Value, value: Value) -> None:
-    into.stage, into.owner, into.runner, into.print, into.for_ms = (
+def _set_value(target: pb.Value, value: Value) -> None:
+    target.stage, target.owner, target.runner, target.print, target.for_ms = (
         value.stage,
         value.owner,
         value.runner,
@@ -53,162 +56,168 @@
         value.retention_ms,
     )
     if value.outcome is not None:
-        into.outcome, into.result = NUMBERS[value.outcome], value.result
+        target.outcome, target.result = OUTCOME_NUMBERS[value.outcome], value.result
 
 
-def _value_of(told: pb.Value) -> Value:
+def _get_value(encoded: pb.Value) -> Value:
     return Value(
-        Stage(told.stage),
-        told.owner,
-        told.runner,
-        told.print,
-        told.for_ms,
-        OUTCOMES[told.outcome - 1] if told.outcome else None,
-        told.result,
+        Stage(encoded.stage),
+        encoded.owner,
+        encoded.runner,
+        encoded.print,
+        encoded.for_ms,
+        OUTCOMES[encoded.outcome - 1] if encoded.outcome else None,
+        encoded.result,
     )
 
 
-def _key(into: pb.Key, key: Key) -> None:
-    into.class_name, into.key = key
+def _set_key(target: pb.Key, key: Key) -> None:
+    target.class_name, target.key = key
 
 
-def _key_of(told: pb.Key) -> Key:
-    return told.class_name, told.key
+def _get_key(encoded: pb.Key) -> Key:
+    return encoded.class_name, encoded.key
 
 
-def _entry(into: pb.Entry, entry: Entry) -> None:
-    _key(into.key, entry.key)
+def _set_entry(target: pb.Entry, entry: Entry) -> None:
+    _set_key(target.key, entry.key)
     if entry.promised != NO_BALLOT:
-        _ballot(into.promised, entry.promised)
+        _set_ballot(target.promised, entry.promised)
     if entry.value is not None:
-        _ballot(into.ballot, entry.ballot)
-        _value(into.value, entry.value)
-    into.for_ms = entry.remaining_ms
+        _set_ballot(target.ballot, entry.ballot)
+        _set_value(target.value, entry.value)
+    target.for_ms = entry.remaining_ms
 
 
-def _entry_of(told: pb.Entry) -> Entry:
+def _get_entry(encoded: pb.Entry) -> Entry:
     return Entry(
-        _key_of(told.key),
-        _ballot_of(told.promised),
-        _ballot_of(told.ballot),
-        _value_of(told.value) if told.HasField("value") else None,
-        told.for_ms,
+        _get_key(encoded.key),
+        _get_ballot(encoded.promised),
+        _get_ballot(encoded.ballot),
+        _get_value(encoded.value) if encoded.HasField("value") else None,
+        encoded.for_ms,
     )
 
 
-def encode_batch(words: Iterable[Word], beat: bool = False) -> pb.Batch:
-    batch = pb.Batch(beat=beat)
-    for word in words:
-        match word:
+def encode_batch(messages: Iterable[OutgoingMessage], heartbeat: bool = False) -> pb.Batch:
+    """Encode messages, and a heartbeat if wanted, as one batch."""
+    batch = pb.Batch(beat=heartbeat)
+    for message in messages:
+        match message:
             case Ask():
-                ask = batch.asks.add(number=word.number, step=word.step, stores=word.stores, watch=word.watch)
-                _key(ask.key, word.key)
-                _ballot(ask.ballot, word.ballot)
-                if word.value is not None:
-                    _value(ask.value, word.value)
+                ask = batch.asks.add(
+                    number=message.number, step=message.step, stores=message.stores, watch=message.watch
+                )
+                _set_key(ask.key, message.key)
+                _set_ballot(ask.ballot, message.ballot)
+                if message.value is not None:
+                    _set_value(ask.value, message.value)
             case Vote():
-                vote = batch.votes.add(number=word.number, verdict=word.verdict, stores=word.stores)
-                if word.promised != NO_BALLOT:
-                    _ballot(vote.promised, word.promised)
-                if word.value is not None:
-                    _ballot(vote.ballot, word.ballot)
-                    _value(vote.value, word.value)
+                vote = batch.votes.add(number=message.number, verdict=message.verdict, stores=message.stores)
+                if message.promised != NO_BALLOT:
+                    _set_ballot(vote.promised, message.promised)
+                if message.value is not None:
+                    _set_ballot(vote.ballot, message.ballot)
+                    _set_value(vote.value, message.value)
             case Ended(key):
-                _key(batch.ended.add(), key)
+                _set_key(batch.ended.add(), key)
             case FillAsk(store, after):
                 fill = batch.fills.add(store=store)
                 if after is not None:
-                    _key(fill.after, after)
+                    _set_key(fill.after, after)
             case Page():
-                page = batch.pages.add(done=word.done, counts=word.authoritative, known_store=word.known_store)
-                if word.after is not None:
-                    _key(page.after, word.after)
-                for entry in word.entries:
-                    _entry(page.entries.add(), entry)
+                page = batch.pages.add(done=message.done, counts=message.authoritative, known_store=message.known_store)
+                if message.after is not None:
+                    _set_key(page.after, message.after)
+                for entry in message.entries:
+                    _set_entry(page.entries.add(), entry)
             case Accuse(identity, lapsed):
                 batch.accused.add(identity=identity, lapsed=lapsed)
             case logs.ReplicaStatus():
-                at = batch.log_places.add(word=word.verdict, epoch=word.epoch, part=word.parts_received)
-                _log(at.log, word.log)
-                _place(at.last, word.last)
+                status = batch.log_places.add(word=message.verdict, epoch=message.epoch, part=message.parts_received)
+                _set_log_id(status.log, message.log)
+                _set_position(status.last, message.last)
             case PermitRequest(number, holds, done):
                 batch.permit_asks.add(number=number, holds=holds, done=done)
             case Permit(number, granted):
                 batch.permits.add(number=number, granted=granted)
             case _:
-                _log_word(batch.logs.add(), word)
+                _set_log_message(batch.logs.add(), message)
     return batch
 
 
-def _log(into: pb.LogId, log: logs.LogId) -> None:
-    into.member, into.life = log
+def _set_log_id(target: pb.LogId, log: logs.LogId) -> None:
+    target.member, target.life = log
 
 
-def _place(into: pb.LogPlace, place: logs.LogPosition) -> None:
-    into.epoch, into.sequence = place
+def _set_position(target: pb.LogPlace, position: logs.LogPosition) -> None:
+    target.epoch, target.sequence = position
 
 
-def _place_of(told: pb.LogPlace) -> logs.LogPosition:
-    return told.epoch, told.sequence
+def _get_position(encoded: pb.LogPlace) -> logs.LogPosition:
+    return encoded.epoch, encoded.sequence
 
 
-def _log_word(into: pb.LogWord, word: logs.LogMessage) -> None:
-    _log(into.log, word.log)
-    match word:
+def _set_log_message(target: pb.LogWord, message: logs.LogMessage) -> None:
+    _set_log_id(target.log, message.log)
+    match message:
         case logs.Join(_, epoch, last, takes):
-            into.epoch, into.join.takes = epoch, takes
-            _place(into.join.last, last)
+            target.epoch, target.join.takes = epoch, takes
+            _set_position(target.join.last, last)
         case logs.Append(_, epoch, first, records):
-            into.epoch, into.append.first = epoch, first
-            into.append.records.extend(pb.LogRecord(kind=kind, payload=payload) for kind, payload in records)
+            target.epoch, target.append.first = epoch, first
+            target.append.records.extend(pb.LogRecord(kind=kind, payload=payload) for kind, payload in records)
         case logs.SnapshotPart(_, epoch, last, number, more, data):
-            into.epoch = epoch
-            into.part.number, into.part.more, into.part.data = number, more, data
-            _place(into.part.last, last)
+            target.epoch = epoch
+            target.part.number, target.part.more, target.part.data = number, more, data
+            _set_position(target.part.last, last)
         case logs.Exported(_, sink, name, digest):
-            into.exported.sink, into.exported.name, into.exported.digest = sink, name, digest
+            target.exported.sink, target.exported.name, target.exported.digest = sink, name, digest
         case logs.LogFinished(_, epoch):
-            into.epoch, into.over = epoch, True
+            target.epoch, target.over = epoch, True
 
 
-def _log_words_of(told: pb.LogWord) -> list[logs.LogMessage]:
-    log = told.log.member, told.log.life
-    match told.WhichOneof("word"):
+def _get_log_messages(encoded: pb.LogWord) -> list[logs.LogMessage]:
+    log = encoded.log.member, encoded.log.life
+    match encoded.WhichOneof("word"):
         case "join":
-            return [logs.Join(log, told.epoch, _place_of(told.join.last), told.join.takes)]
+            return [logs.Join(log, encoded.epoch, _get_position(encoded.join.last), encoded.join.takes)]
         case "append":
             return [
                 logs.Append(
-                    log, told.epoch, told.append.first, tuple((one.kind, one.payload) for one in told.append.records)
+                    log,
+                    encoded.epoch,
+                    encoded.append.first,
+                    tuple((one.kind, one.payload) for one in encoded.append.records),
                 )
             ]
         case "part":
-            part = told.part
-            return [logs.SnapshotPart(log, told.epoch, _place_of(part.last), part.number, part.more, part.data)]
+            part = encoded.part
+            return [logs.SnapshotPart(log, encoded.epoch, _get_position(part.last), part.number, part.more, part.data)]
         case "exported":
-            return [logs.Exported(log, told.exported.sink, told.exported.name, told.exported.digest)]
+            return [logs.Exported(log, encoded.exported.sink, encoded.exported.name, encoded.exported.digest)]
         case "over":
-            return [logs.LogFinished(log, told.epoch)]
-    return []  # of a later release
+            return [logs.LogFinished(log, encoded.epoch)]
+    return []  # a type of a later release
 
 
 def parse_batch(data: bytes) -> pb.Batch:
-    """A frame's content.
+    """Parse the content of a frame.
 
     Raises:
-        WordsError: it is none.
+        PeerMessageError: it is not a batch.
     """
     try:
         return pb.Batch.FromString(data)
-    except Exception as error:  # the library's own DecodeError has no base of its own
-        raise PeerMessageError(f"no batch of words: {error}") from error
+    except Exception as error:  # the library's DecodeError has no common base class
+        raise PeerMessageError(f"not a batch of messages: {error}") from error
 
 
-def decode_messages(batch: pb.Batch, member: str, identity: str) -> list[Told]:
-    """The words of a batch, which came from that process of a member.
+def decode_messages(batch: pb.Batch, member: str, identity: str) -> list[IncomingMessage]:
+    """Decode the messages of a batch from the process ``identity`` of a member.
 
     Raises:
-        WordsError: one of them can't be.
+        PeerMessageError: one of them has an invalid value.
     """
     try:
         return [
@@ -218,10 +227,10 @@
                     one.number,
                     identity,
                     Step(one.step),
-                    _key_of(one.key),
-                    _ballot_of(one.ballot),
+                    _get_key(one.key),
+                    _get_ballot(one.ballot),
                     tuple(one.stores),
-                    _value_of(one.value) if one.HasField("value") else None,
+                    _get_value(one.value) if one.HasField("value") else None,
                     one.watch,
                 )
                 for one in batch.asks
@@ -230,32 +239,32 @@
                 Vote(
                     one.number,
                     Verdict(one.verdict),
-                    _ballot_of(one.promised),
-                    _ballot_of(one.ballot),
-                    _value_of(one.value) if one.HasField("value") else None,
+                    _get_ballot(one.promised),
+                    _get_ballot(one.ballot),
+                    _get_value(one.value) if one.HasField("value") else None,
                     tuple(one.stores),
                 )
                 for one in batch.votes
             ),
-            *(Ended(_key_of(one)) for one in batch.ended),
-            *(FillAsk(one.store, _key_of(one.after) if one.HasField("after") else None) for one in batch.fills),
+            *(Ended(_get_key(one)) for one in batch.ended),
+            *(FillAsk(one.store, _get_key(one.after) if one.HasField("after") else None) for one in batch.fills),
             *(
                 Page(
-                    tuple(map(_entry_of, one.entries)),
-                    _key_of(one.after) if one.HasField("after") else None,
+                    tuple(map(_get_entry, one.entries)),
+                    _get_key(one.after) if one.HasField("after") else None,
                     one.done,
                     one.counts,
                     one.known_store,
                 )
                 for one in batch.pages
             ),
-            *(word for one in batch.logs for word in _log_words_of(one)),
+            *(message for one in batch.logs for message in _get_log_messages(one)),
             *(
                 logs.ReplicaStatus(
                     (one.log.member, one.log.life),
                     logs.ReplicaVerdict(one.word),
                     one.epoch,
-                    _place_of(one.last),
+                    _get_position(one.last),
                     one.part,
                 )
                 for one in batch.log_places
@@ -264,24 +273,24 @@
             *(Permit(one.number, one.granted) for one in batch.permits),
         ]
     except (ValueError, IndexError) as error:
-        raise PeerMessageError(f"a word that can't be: {error}") from error
+        raise PeerMessageError(f"invalid message: {error}") from error
 
 
 def encode_entry(entry: Entry, at_ms: float) -> bytes:
-    """A register for the disk."""
-    made = pb.Entry(at_ms=at_ms)
-    _entry(made, entry)
-    return bytes(made.SerializeToString())
+    """Encode a register for the disk."""
+    encoded = pb.Entry(at_ms=at_ms)
+    _set_entry(encoded, entry)
+    return bytes(encoded.SerializeToString())
 
 
 def decode_entry(data: bytes) -> tuple[Entry, float]:
-    """A register from the disk, and when it was written.
+    """Decode a register from the disk, and when it was written.
 
     Raises:
-        WordsError: it is none.
+        PeerMessageError: it is not a valid register.
     """
     try:
-        told = pb.Entry.FromString(data)
-        return _entry_of(told), told.at_ms
+        encoded = pb.Entry.FromString(data)
+        return _get_entry(encoded), encoded.at_ms
     except Exception as error:
-        raise PeerMessageError(f"no register: {error}") from error
+        raise PeerMessageError(f"not a register: {error}") from error
--- a/flintshift/wire/peer_link.py
+++ b/flintshift/wire/peer_link.py
@@ -1,10 +1,10 @@
-"""The links between members: one that this process opens to each other member, on which it asks; and the listener at
-which the others ask it. A frame is a length and a batch of `proto/peers.proto`. No rule stands here.
+"""The links between members: a link that this process opens to each other member for its requests, and the listener
+for the requests of the others. A frame is a length and a batch of `proto/peers.proto`. This module makes no decisions.
 
-A keyed write crosses some twenty of these sockets' turns, so they are asyncio protocols and no anyio streams:
-what comes is handled in the turn in which it comes, without a task between. What is to be sent in one turn of the
-loop shares a frame and a call of the system. What waits is bounded; a full box, a silence after a question and
-junk end the link: what was asked counts as not asked.
+A keyed write takes some 20 turns of the event loop on these sockets, so they are asyncio protocols, not anyio streams:
+received data is handled in the same turn, without another task. The messages sent in one turn share a frame and a
+system call. The queue of messages is bounded. A full queue, a missing reply and malformed data end the link, and the
+pending requests count as not sent.
 """
 
 from __future__ import annotations
@@ -25,29 +25,30 @@
 from flintshift.startup.backoff import Backoff
 from flintshift.wire.link import BROKEN, JunkError
 from flintshift.wire.peer_codec import (
-    PEER_FRAME_MOST,
+    MAX_PEER_FRAME_BYTES,
+    OutgoingMessage,
     PeerMessageError,
-    Word,
     decode_messages,
     encode_batch,
     parse_batch,
 )
 
-SCHEMA = 1  # of `proto/peers.proto`; with a member of the schema before or after, what the lower of both has
-HEAD = 4
-WORDS_MOST = 512  # of a frame
+SCHEMA = 1  # of `proto/peers.proto`; members one schema apart use what the lower of both has
+LENGTH_PREFIX_BYTES = 4  # the length in front of a frame's content
+MAX_MESSAGES_PER_FRAME = 512
 
 
 @dataclass(slots=True)
 class Handshake:
-    """What this process says of itself."""
+    """Builds the hello of this process and checks that of a peer."""
 
     member: str
     identity: str
     epoch: int
-    members: bytes  # a digest of the list
+    members: bytes  # a digest of the list of members
 
     def hello(self, store: int, known_store: int, refused: str = "") -> pb.Batch:
+        """The first batch on a link. ``refused``: why the peer's own hello was rejected."""
         return pb.Batch(
             hello=pb.Hello(
                 schema=SCHEMA,
@@ -61,56 +62,56 @@
             )
         )
 
-    def rejection_reason(self, told: pb.Hello, known: Sequence[str]) -> str:
-        """Why a process that says this of itself is no member of this fleet; empty: it is one."""
-        if told.refused:
-            return f"it refuses this member: {told.refused}"
-        if abs(told.schema - SCHEMA) > 1:
-            return f"it speaks schema {told.schema}, this process schema {SCHEMA}: one release of difference is spoken"
-        if told.member not in known:
-            return f"{told.member or 'a nameless member'} is not in this member's list"
-        if (told.epoch, told.members) != (self.epoch, self.members):
+    def rejection_reason(self, hello: pb.Hello, member_names: Sequence[str]) -> str:
+        """Why a process with this hello is not accepted as a member of the fleet; empty if it is."""
+        if hello.refused:
+            return f"it rejects this member: {hello.refused}"
+        if abs(hello.schema - SCHEMA) > 1:
+            return f"it uses schema {hello.schema}, this process schema {SCHEMA}: they may differ by one release only"
+        if hello.member not in member_names:
+            return f"{hello.member or 'a member without a name'} is not in this member's list"
+        if (hello.epoch, hello.members) != (self.epoch, self.members):
             return (
-                f"it goes by the list of epoch {told.epoch} ({told.members.hex()}), this member by epoch "
+                f"it uses the list of epoch {hello.epoch} ({hello.members.hex()}), this member by epoch "
                 f"{self.epoch} ({self.members.hex()})"
             )
         return ""
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection. ``got`` is told each batch, in the turn in which it comes."""
+    """A connection between two members. ``on_batch`` is called with each batch, in the turn in which it is received."""
 
-    def __init__(self, limits: Limits, got: Callable[[PeerConnection, pb.Batch], None]) -> None:
-        self.limits, self.got = limits, got
-        self.data = bytearray()
-        self.words: list[Word] = []
-        self.beats = self.paused = self.flushing = False
+    def __init__(self, limits: Limits, on_batch: Callable[[PeerConnection, pb.Batch], None]) -> None:
+        self.limits, self.on_batch = limits, on_batch
+        self.received = bytearray()
+        self.queued_messages: list[OutgoingMessage] = []
+        self.heartbeat_due = self.paused = self.flush_scheduled = False
         self.transport: asyncio.Transport | None = None
-        self.cause = ""  # why it ended
+        self.cause = ""  # why the connection ended
         self.ended = anyio.Event()
-        self.greeted: pb.Hello | None = None
-        self.met = anyio.Event()  # the other end said hello
-        self.frames_out = self.words_out = 0
+        self.peer_hello: pb.Hello | None = None
+        self.hello_received = anyio.Event()  # set once the hello of the peer is received, or the connection has ended
+        self.frames_sent = self.messages_sent = 0
 
-    # The loop tells.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own are no subclass of it
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass of it
 
     def data_received(self, data: bytes) -> None:
-        self.data += data
+        self.received += data
         try:
-            while len(self.data) >= HEAD:
-                size = int.from_bytes(self.data[:HEAD], "little")
-                if size > PEER_FRAME_MOST:
+            while len(self.received) >= LENGTH_PREFIX_BYTES:
+                size = int.from_bytes(self.received[:LENGTH_PREFIX_BYTES], "little")
+                if size > MAX_PEER_FRAME_BYTES:
                     raise PeerMessageError(f"a frame of {size} bytes")
-                if len(self.data) < HEAD + size:
+                if len(self.received) < LENGTH_PREFIX_BYTES + size:
                     return
-                told = bytes(self.data[HEAD : HEAD + size])
-                del self.data[: HEAD + size]
-                self.got(self, parse_batch(told))
+                frame = bytes(self.received[LENGTH_PREFIX_BYTES : LENGTH_PREFIX_BYTES + size])
+                del self.received[: LENGTH_PREFIX_BYTES + size]
+                self.on_batch(self, parse_batch(frame))
         except (JunkError, UnicodeError) as error:
-            self.end(f"{type(error).__name__} {error}")
+            self.abort(f"{type(error).__name__} {error}")
 
     def pause_writing(self) -> None:
         self.paused = True
@@ -120,224 +121,244 @@
         self._flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.cause = self.cause or (f"{type(exc).__name__} {exc}" if exc is not None else "the other end closed it")
+        self.cause = self.cause or (
+            f"{type(exc).__name__} {exc}" if exc is not None else "the peer closed the connection"
+        )
         self.transport = None
         self.ended.set()
-        self.met.set()
+        self.hello_received.set()
 
-    # To be sent.
+    # Sending.
 
-    def put(self, word: Word) -> None:
-        if len(self.words) >= self.limits.peer_outbox_size:
-            self.end("the other end does not read")
+    def enqueue(self, message: OutgoingMessage) -> None:
+        """Queue a message. A full queue ends the connection."""
+        if len(self.queued_messages) >= self.limits.peer_outbox_size:
+            self.abort("the peer does not read")
             return
-        self.words.append(word)
-        self._soon()
+        self.queued_messages.append(message)
+        self._schedule_flush()
 
     def send_heartbeat(self) -> None:
-        self.beats = True
-        self._soon()
+        self.heartbeat_due = True
+        self._schedule_flush()
 
     def send(self, batch: pb.Batch) -> None:
+        """Send a batch at once, as one frame."""
         if self.transport is not None:
             data = batch.SerializeToString()
-            self.frames_out += 1
-            self.transport.write(len(data).to_bytes(HEAD, "little") + data)
+            self.frames_sent += 1
+            self.transport.write(len(data).to_bytes(LENGTH_PREFIX_BYTES, "little") + data)
 
-    def _soon(self) -> None:
-        if not self.flushing and not self.paused:
-            self.flushing = True
+    def _schedule_flush(self) -> None:
+        if not self.flush_scheduled and not self.paused:
+            self.flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        self.flushing = False
-        while (self.words or self.beats) and not self.paused and self.transport is not None:
-            words, self.words = self.words[:WORDS_MOST], self.words[WORDS_MOST:]
-            heartbeat, self.beats = self.beats, False
-            self.words_out += len(words)
-            self.send(encode_batch(words, heartbeat))
-
-    def end(self, cause: str) -> None:
+        self.flush_scheduled = False
+        while (self.queued_messages or self.heartbeat_due) and not self.paused and self.transport is not None:
+            messages, self.queued_messages = (
+                self.queued_messages[:MAX_MESSAGES_PER_FRAME],
+                self.queued_messages[MAX_MESSAGES_PER_FRAME:],
+            )
+            heartbeat, self.heartbeat_due = self.heartbeat_due, False
+            self.messages_sent += len(messages)
+            self.send(encode_batch(messages, heartbeat))
+
+    def abort(self, cause: str) -> None:
+        """Close the connection at once; the first cause given is kept."""
         self.cause = self.cause or cause
         if self.transport is not None:
             self.transport.abort()
 
 
-Heard = Callable[[str, str, list[Any]], None]  # member, identity, words
+MessageHandler = Callable[[str, str, list[Any]], None]  # member, identity, messages
 
 
 class OutgoingLink:
-    """To one member: opened by this process, again and again. ``up`` and ``down`` are told as it comes and goes."""
+    """The link to one member, which this process opens and reopens. ``on_up`` and ``on_down`` are called as it opens
+    and closes."""
 
     def __init__(
         self,
         member: str,
-        to: tuple[str, int],
+        address: tuple[str, int],
         limits: Limits,
         counters: Counters,
-        greeting: Handshake,
+        handshake: Handshake,
         stores: Callable[[str], tuple[int, int]],
-        heard: Heard,
-        up: Callable[[str, pb.Hello], None],
-        down: Callable[[str, str], None],
-        draw: random.Random,
+        on_messages: MessageHandler,
+        on_up: Callable[[str, pb.Hello], None],
+        on_down: Callable[[str, str], None],
+        rng: random.Random,
     ) -> None:
-        self.member, self.to, self.limits, self.counters = member, to, limits, counters
-        self.greeting, self.stores, self.heard, self.up, self.down, self.draw = (
-            greeting,
+        self.member, self.address, self.limits, self.counters = member, address, limits, counters
+        self.handshake, self.stores, self.on_messages, self.on_up, self.on_down, self.rng = (
+            handshake,
             stores,
-            heard,
-            up,
-            down,
-            draw,
+            on_messages,
+            on_up,
+            on_down,
+            rng,
         )
-        self.connection: PeerConnection | None = None  # while the other end is met
-        self.asked_ms = math.inf  # since when an answer is owed
-        self.wanted = anyio.Event()  # the next try is made at once
+        self.connection: PeerConnection | None = None  # while the peer is accepted
+        self.pending_since_ms = math.inf  # since when a reply is pending
+        self.retry_requested = anyio.Event()  # the next try is made at once
 
     def retry_now(self) -> None:
-        """The other end is there again: it has just opened a link of its own."""
+        """Reconnect now: the member is reachable again, as it has just opened a link to this process."""
         if self.connection is None:
-            self.wanted.set()
+            self.retry_requested.set()
 
-    def send(self, word: Word, now_ms: float, answered: bool) -> None:
+    def send(self, message: OutgoingMessage, now_ms: float, expects_reply: bool) -> None:
         if self.connection is not None:
-            self.connection.put(word)
-            if answered:
-                self.asked_ms = min(self.asked_ms, now_ms)
+            self.connection.enqueue(message)
+            if expects_reply:
+                self.pending_since_ms = min(self.pending_since_ms, now_ms)
 
     def send_heartbeat(self) -> None:
         if self.connection is not None:
             self.connection.send_heartbeat()
 
     def check_timeout(self, now_ms: float) -> None:
-        """Break it off where an answer is owed for too long: what breaks is found at once, what hangs is not."""
-        if self.connection is not None and now_ms - self.asked_ms > self.limits.peer_timeout_ms:
+        """Close the link if a reply is pending for too long: a broken link is noticed at once, a hanging one is not."""
+        if self.connection is not None and now_ms - self.pending_since_ms > self.limits.peer_timeout_ms:
             self.counters.add("peers.links_silent")
-            self.connection.end("an answer was owed for too long")
+            self.connection.abort("a reply was pending for too long")
 
     async def run(self) -> None:
-        waits = Backoff(self.limits.backoff_ms, self.limits.max_peer_backoff_ms, self.draw.uniform)
+        """Keep the link open, until cancelled."""
+        backoff = Backoff(self.limits.backoff_ms, self.limits.max_peer_backoff_ms, self.rng.uniform)
         while True:
-            wire = PeerConnection(self.limits, self._got)
-            refused = ""
+            connection = PeerConnection(self.limits, self._on_batch)
+            rejection = ""
             try:
                 with anyio.fail_after(self.limits.connect_timeout_ms / 1000):
-                    await asyncio.get_running_loop().create_connection(lambda wire=wire: wire, *self.to)  # type: ignore[misc]
-                    wire.send(self.greeting.hello(*self.stores(self.member)))
-                    await wire.met.wait()
-                if wire.greeted is not None:
-                    refused = self.greeting.rejection_reason(wire.greeted, [self.member])
-                if wire.greeted is not None and not refused:
-                    waits.reset()
-                    self.connection, self.asked_ms = wire, math.inf
-                    self.up(self.member, wire.greeted)
-                    await wire.ended.wait()
+                    await asyncio.get_running_loop().create_connection(
+                        lambda connection=connection: connection,  # type: ignore[misc]
+                        *self.address,
+                    )
+                    connection.send(self.handshake.hello(*self.stores(self.member)))
+                    await connection.hello_received.wait()
+                if connection.peer_hello is not None:
+                    rejection = self.handshake.rejection_reason(connection.peer_hello, [self.member])
+                if connection.peer_hello is not None and not rejection:
+                    backoff.reset()
+                    self.connection, self.pending_since_ms = connection, math.inf
+                    self.on_up(self.member, connection.peer_hello)
+                    await connection.ended.wait()
             except BROKEN as error:
-                wire.cause = f"{type(error).__name__} {error}".strip()
+                connection.cause = f"{type(error).__name__} {error}".strip()
             finally:
-                wire.end("this end closed it")
+                connection.abort("this process closed the connection")
             self.connection = None
-            if refused or "Error" in wire.cause:
+            if rejection or "Error" in connection.cause:
                 self.counters.add("peers.links_failed")
-            self.down(self.member, refused or wire.cause)
-            # Many that lost one member at once do not come back to it at once.
-            wait_ms = self.draw.uniform(0.5, 1.0) * self.limits.max_backoff_ms if refused else waits.next_ms()
-            self.wanted = anyio.Event()
+            self.on_down(self.member, rejection or connection.cause)
+            # Random waits: many members that lost one member together must not reconnect together.
+            wait_ms = self.rng.uniform(0.5, 1.0) * self.limits.max_backoff_ms if rejection else backoff.next_ms()
+            self.retry_requested = anyio.Event()
             with anyio.move_on_after(wait_ms / 1000):
-                await self.wanted.wait()
-
-    def _got(self, wire: PeerConnection, batch: pb.Batch) -> None:
-        if wire.greeted is None:
-            wire.greeted = batch.hello
-            wire.met.set()
-        elif wire is self.connection:
-            self.asked_ms = math.inf
-            self.heard(self.member, wire.greeted.identity, decode_messages(batch, self.member, wire.greeted.identity))
+                await self.retry_requested.wait()
+
+    def _on_batch(self, connection: PeerConnection, batch: pb.Batch) -> None:
+        if connection.peer_hello is None:
+            connection.peer_hello = batch.hello
+            connection.hello_received.set()
+        elif connection is self.connection:
+            self.pending_since_ms = math.inf
+            self.on_messages(
+                self.member,
+                connection.peer_hello.identity,
+                decode_messages(batch, self.member, connection.peer_hello.identity),
+            )
 
 
 class PeerListener:
-    """Where other members ask this process. Each link is known by the identity at its other end."""
+    """Accepts the links of other members, on which they send requests. A link is identified by its peer's identity."""
 
     def __init__(
         self,
         limits: Limits,
         counters: Counters,
-        greeting: Handshake,
+        handshake: Handshake,
         members: Sequence[str],
         stores: Callable[[str], tuple[int, int]],
-        heard: Heard,
-        met: Callable[[str, pb.Hello], None],
-        refused: Callable[[str], None],
+        on_messages: MessageHandler,
+        on_hello: Callable[[str, pb.Hello], None],
+        on_rejected: Callable[[str], None],
     ) -> None:
-        self.limits, self.counters, self.greeting, self.members = limits, counters, greeting, members
-        self.stores, self.heard, self.met, self.refused = stores, heard, met, refused
-        self.wires: dict[str, PeerConnection] = {}
-        self.open: dict[PeerConnection, float] = {}  # when it came
+        self.limits, self.counters, self.handshake, self.members = limits, counters, handshake, members
+        self.stores, self.on_messages, self.on_hello, self.on_rejected = stores, on_messages, on_hello, on_rejected
+        self.connections: dict[str, PeerConnection] = {}
+        self.accepted_s: dict[PeerConnection, float] = {}  # when each was accepted
 
-    def send(self, identity: str, word: Word) -> None:
-        wire = self.wires.get(identity)
-        if wire is not None:
-            wire.put(word)
+    def send(self, identity: str, message: OutgoingMessage) -> None:
+        connection = self.connections.get(identity)
+        if connection is not None:
+            connection.enqueue(message)
 
     async def serve(self, raw: socket.socket) -> None:
-        """Until cancelled."""
-        server = await asyncio.get_running_loop().create_server(self._new, sock=raw)
+        """Accept connections until cancelled."""
+        server = await asyncio.get_running_loop().create_server(self._accept, sock=raw)
         try:
             while True:
                 await anyio.sleep(self.limits.connect_timeout_ms / 1000)
-                self._sweep()
+                self._abort_silent_connections()
         finally:
             server.close()
-            for wire in list(self.open):
-                wire.end("this member leaves")
+            for connection in list(self.accepted_s):
+                connection.abort("this member shuts down")
 
-    def _new(self) -> PeerConnection:
-        wire = Accepted(self.limits, self._got, self)
-        self.open[wire] = asyncio.get_running_loop().time()
-        if len(self.open) > self.limits.max_peer_links:
+    def _accept(self) -> PeerConnection:
+        connection = AcceptedConnection(self.limits, self._on_batch, self)
+        self.accepted_s[connection] = asyncio.get_running_loop().time()
+        if len(self.accepted_s) > self.limits.max_peer_links:
             self.counters.add("peers.links_refused")
-            asyncio.get_running_loop().call_soon(wire.end, "too many links")
-        return wire
-
-    def _sweep(self) -> None:
-        """Whoever connects and never says who it is makes room."""
-        now = asyncio.get_running_loop().time()
-        for wire, since in list(self.open.items()):
-            if wire.greeted is None and now - since > self.limits.connect_timeout_ms / 1000:
-                wire.end("it did not say who it is")
-
-    def _got(self, wire: PeerConnection, batch: pb.Batch) -> None:
-        if wire.greeted is not None:
-            told = wire.greeted
-            self.heard(told.member, told.identity, decode_messages(batch, told.member, told.identity))
+            asyncio.get_running_loop().call_soon(connection.abort, "too many links")
+        return connection
+
+    def _abort_silent_connections(self) -> None:
+        """Close connections whose peer never sent its hello."""
+        now_s = asyncio.get_running_loop().time()
+        for connection, since_s in list(self.accepted_s.items()):
+            if connection.peer_hello is None and now_s - since_s > self.limits.connect_timeout_ms / 1000:
+                connection.abort("it did not send its hello")
+
+    def _on_batch(self, connection: PeerConnection, batch: pb.Batch) -> None:
+        if connection.peer_hello is not None:
+            hello = connection.peer_hello
+            self.on_messages(hello.member, hello.identity, decode_messages(batch, hello.member, hello.identity))
             return
-        told = batch.hello
-        refused = self.greeting.rejection_reason(told, self.members)
-        if told.member:
-            wire.send(self.greeting.hello(*self.stores(told.member), refused=refused))
-        if refused:
-            raise JunkError(refused)
-        wire.greeted = told
-        self.wires[told.identity] = wire
-        self.met(told.member, told)
-
-    def gone(self, wire: PeerConnection) -> None:
-        self.open.pop(wire, None)
-        if "Error" in wire.cause and wire.greeted is None:
+        hello = batch.hello
+        rejection = self.handshake.rejection_reason(hello, self.members)
+        if hello.member:
+            connection.send(self.handshake.hello(*self.stores(hello.member), refused=rejection))
+        if rejection:
+            raise JunkError(rejection)
+        connection.peer_hello = hello
+        self.connections[hello.identity] = connection
+        self.on_hello(hello.member, hello)
+
+    def on_connection_lost(self, connection: PeerConnection) -> None:
+        """Forget a connection that has ended."""
+        self.accepted_s.pop(connection, None)
+        if "Error" in connection.cause and connection.peer_hello is None:
             self.counters.add("peers.junk")
-            self.refused(wire.cause)
-        if wire.greeted is not None and self.wires.get(wire.greeted.identity) is wire:
-            del self.wires[wire.greeted.identity]
+            self.on_rejected(connection.cause)
+        if connection.peer_hello is not None and self.connections.get(connection.peer_hello.identity) is connection:
+            del self.connections[connection.peer_hello.identity]
 
 
-class Accepted(PeerConnection):
-    """One that another process opened."""
+class AcceptedConnection(PeerConnection):
+    """A connection that another process opened."""
 
-    def __init__(self, limits: Limits, got: Callable[[PeerConnection, pb.Batch], None], front: PeerListener) -> None:
-        super().__init__(limits, got)
-        self.front = front
+    def __init__(
+        self, limits: Limits, on_batch: Callable[[PeerConnection, pb.Batch], None], listener: PeerListener
+    ) -> None:
+        super().__init__(limits, on_batch)
+        self.listener = listener
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        self.front.gone(self)
+        self.listener.on_connection_lost(self)
