--- a/flintshift/handover/__init__.py
+++ b/flintshift/handover/__init__.py
@@ -1,1 +1,1 @@
-"""What two processes of one node agree on during an upgrade."""
+"""The upgrade of a running node: a successor process takes over from the one that serves."""
--- a/flintshift/handover/claims.py
+++ b/flintshift/handover/claims.py
@@ -1,7 +1,7 @@
-"""The agreement on keys, without I/O: a keyed run begins once both processes hold its claim.
+"""The agreement on keys between the two processes, without I/O: a keyed run begins once both have recorded its claim.
 
-Of two claims that cross, the senior process's stands: it refuses the other's with what it claimed itself, and the
-junior takes the senior's claim although its own is on the way.
+If two claims for a key cross, that of the senior process wins: the senior rejects the other claim and sends its own,
+and the junior adopts the senior's claim although its own is on the way.
 """
 
 from __future__ import annotations
@@ -12,23 +12,25 @@
 
 
 @dataclass(slots=True)
-class Pending:
-    """A claim of this process that is not answered yet."""
+class PendingClaim:
+    """A claim of this process that the other has not answered yet."""
 
     owner: str
     live_until_ms: float
     fingerprint: bytes
-    waiting: dict[str, float] = field(default_factory=dict)  # attempts that wait for the word, and until when
+    waiting: dict[str, float] = field(default_factory=dict)  # attempts that wait for the answer, and their deadlines
 
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    word: Message
+    """Send a message to the other process."""
+
+    message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class ResumeAttempt:
-    """Take the attempt up again: under its granted claim, or by what the table now holds."""
+    """Resume an attempt: under its granted claim, or by the entry that the key table now has."""
 
     request: str
     granted: bool
@@ -36,80 +38,86 @@
 
 @dataclass(frozen=True, slots=True)
 class AbandonAttempt:
-    """The word did not come in time: the attempt may have run at the other process."""
+    """Fail an attempt whose claim was not answered in time: it may have run in the other process."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
-class Adopt:
-    """The other process holds this key from now on."""
+class AdoptEntry:
+    """Record in the key table that the other process owns this key."""
 
     entry: Known
 
 
-Step = SendToPeer | ResumeAttempt | AbandonAttempt | Adopt
+Step = SendToPeer | ResumeAttempt | AbandonAttempt | AdoptEntry
 
 
 class Agreement:
-    def __init__(self, most: int) -> None:
-        """``most``: claims under way at once; what comes past that is given up, for its key may be the other's."""
-        self.most = most
-        self.pending: dict[Key, Pending] = {}
-
-    def ask(self, claim: Claimed, until_ms: float) -> list[Step]:
-        """An attempt wants to run under a key that this process's table does not hold; it waits until then."""
-        known = self.pending.get(claim.key)
-        if known is not None:
-            known.waiting[claim.owner] = until_ms
+    """The claims of this process that are pending, and the answers to those of the other."""
+
+    def __init__(self, max_claims: int) -> None:
+        """``max_claims``: the claims pending at once. Further attempts are abandoned: the other may own their keys."""
+        self.max_claims = max_claims
+        self.pending: dict[Key, PendingClaim] = {}
+
+    def request_claim(self, claim: Claimed, deadline_ms: float) -> list[Step]:
+        """Claim a key that this process's table does not have. The attempt waits for the answer until the deadline."""
+        pending = self.pending.get(claim.key)
+        if pending is not None:
+            pending.waiting[claim.owner] = deadline_ms
             return []
-        if len(self.pending) >= self.most:
+        if len(self.pending) >= self.max_claims:
             return [AbandonAttempt(claim.owner)]
-        self.pending[claim.key] = Pending(claim.owner, claim.live_until_ms, claim.fingerprint, {claim.owner: until_ms})
+        self.pending[claim.key] = PendingClaim(
+            claim.owner, claim.live_until_ms, claim.fingerprint, {claim.owner: deadline_ms}
+        )
         return [SendToPeer(claim)]
 
-    def claimed(self, word: Claimed, senior: bool, held: Known | None) -> list[Step]:
-        """The other wants to run; ``held``: what this process itself holds under the key, live when the other's
-        attempt came."""
-        if held is not None:
-            return [SendToPeer(held), SendToPeer(Answered(word.key, word.owner, False))]
-        mine = self.pending.get(word.key)
-        if mine is not None and senior:
-            claimed = Known(word.key, mine.owner, mine.live_until_ms, mine.fingerprint, None, b"")
-            return [SendToPeer(claimed), SendToPeer(Answered(word.key, word.owner, False))]
-        entry = Known(word.key, word.owner, word.live_until_ms, word.fingerprint, None, b"")
-        return [Adopt(entry), SendToPeer(Answered(word.key, word.owner, True))]
-
-    def answered(self, word: Answered) -> list[Step]:
-        mine = self.pending.get(word.key)
-        if mine is None or mine.owner != word.owner:
-            return []  # of a claim before the link broke
-        del self.pending[word.key]
-        if not word.granted:
-            return [ResumeAttempt(request, False) for request in mine.waiting]
-        if mine.owner not in mine.waiting:  # given up, or its caller went: it did not run
+    def on_claim(self, message: Claimed, senior: bool, own_entry: Known | None) -> list[Step]:
+        """Answer a claim of the other process. ``own_entry``: this process's own entry of the key, if it was live when
+        the other's attempt arrived."""
+        if own_entry is not None:
+            return [SendToPeer(own_entry), SendToPeer(Answered(message.key, message.owner, False))]
+        pending = self.pending.get(message.key)
+        if pending is not None and senior:
+            own_claim = Known(message.key, pending.owner, pending.live_until_ms, pending.fingerprint, None, b"")
+            return [SendToPeer(own_claim), SendToPeer(Answered(message.key, message.owner, False))]
+        entry = Known(message.key, message.owner, message.live_until_ms, message.fingerprint, None, b"")
+        return [AdoptEntry(entry), SendToPeer(Answered(message.key, message.owner, True))]
+
+    def on_answer(self, message: Answered) -> list[Step]:
+        """Resume the attempts that wait for this answer."""
+        pending = self.pending.get(message.key)
+        if pending is None or pending.owner != message.owner:
+            return []  # the answer to a claim from before the link broke
+        del self.pending[message.key]
+        if not message.granted:
+            return [ResumeAttempt(request, False) for request in pending.waiting]
+        if pending.owner not in pending.waiting:  # abandoned, or its caller disconnected: it did not run
             return [
-                SendToPeer(Freed(word.key, mine.owner)),
-                *(ResumeAttempt(request, False) for request in mine.waiting),
+                SendToPeer(Freed(message.key, pending.owner)),
+                *(ResumeAttempt(request, False) for request in pending.waiting),
             ]
-        return [ResumeAttempt(request, request == mine.owner) for request in mine.waiting]
+        return [ResumeAttempt(request, request == pending.owner) for request in pending.waiting]
 
     def cancel_wait(self, request: str) -> None:
-        for mine in self.pending.values():
-            mine.waiting.pop(request, None)
+        """An attempt no longer waits for an answer, as its caller disconnected."""
+        for pending in self.pending.values():
+            pending.waiting.pop(request, None)
 
     def expire(self, now_ms: float) -> list[Step]:
-        """Give up what has waited long enough; the claim itself stays, so that a word that comes late frees it."""
-        given: list[Step] = []
-        for mine in self.pending.values():
-            past = [request for request, until_ms in mine.waiting.items() if until_ms <= now_ms]
-            for request in past:
-                del mine.waiting[request]
-                given.append(AbandonAttempt(request))
-        return given
-
-    def alone(self) -> list[Step]:
-        """There is no other any more: each waits for nobody's word."""
-        waiting = [request for mine in self.pending.values() for request in mine.waiting]
+        """Abandon the attempts whose deadline is over. The claims stay pending, so that a late answer frees keys."""
+        steps: list[Step] = []
+        for pending in self.pending.values():
+            expired = [request for request, deadline_ms in pending.waiting.items() if deadline_ms <= now_ms]
+            for request in expired:
+                del pending.waiting[request]
+                steps.append(AbandonAttempt(request))
+        return steps
+
+    def on_peer_exit(self) -> list[Step]:
+        """The other process has ended: resume all waiting attempts."""
+        waiting = [request for pending in self.pending.values() for request in pending.waiting]
         self.pending.clear()
         return [ResumeAttempt(request, False) for request in waiting]
--- a/flintshift/handover/messages.py
+++ b/flintshift/handover/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the two processes of an upgrade, and events and actions of their phase machine.
+"""The messages between the two processes of an upgrade, and the events and actions of their phase machine.
 
-A key is scoped by its class. Times are milliseconds of the node's clock: the welcome tells the successor how far that
-is ahead of the machine's monotonic clock, so that both processes go by one, whatever steps the wall clock made.
+A key is scoped by its class. Times are milliseconds of the node's clock. The welcome tells the successor how far that
+is ahead of the machine's monotonic clock, so that both processes use one clock, however the wall clock was adjusted.
 """
 
 from __future__ import annotations
@@ -15,21 +15,23 @@
 
 VERSION = 1
 
-Key = tuple[str, str]  # the class and the caller's word
+Key = tuple[str, str]  # the name of the class, and the key that the caller gave
 
 
 class Phase(Enum):
-    ALONE = "alone"
-    GIVING = "giving"  # a successor copies the keys
-    SHEDDING = "shedding"  # the successor takes the clients
-    ASKING = "asking"
-    COPYING = "copying"
-    COPIED = "copied"  # the own worker pool is not up yet
+    """The phase of one process. A predecessor passes GIVING and SHEDDING, a successor ASKING to SERVING."""
+
+    ALONE = "alone"  # there is no other process
+    GIVING = "giving"  # the successor copies the key table
+    SHEDDING = "shedding"  # the successor accepts the clients
+    ASKING = "asking"  # hello is sent, and the welcome not received
+    COPYING = "copying"  # the entries of the key table are received
+    COPIED = "copied"  # this process's worker pool is not up yet
     WAITING = "waiting"  # for the predecessor to stop accepting
-    SERVING = "serving"  # beside a predecessor that sheds
+    SERVING = "serving"  # accepts the clients while the predecessor finishes its own
 
 
-# Words on the link. A reader takes nothing that is not of these types.
+# Messages on the link. A reader rejects everything else.
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -37,15 +39,17 @@
 
 
 class Hello(_Message, frozen=True):
+    """The first message of a successor."""
+
     version: int
 
 
 class Welcome(_Message, frozen=True):
-    """With the listening sockets, in the order of the fronts."""
+    """The reply to the hello; it carries the listening sockets, in the order of the fronts."""
 
     version: int
-    out_of_service: bool  # of service
-    clock_ahead_ms: float | None = None  # the node's clock, of the monotonic one; None: an older version does not tell
+    out_of_service: bool
+    clock_ahead_ms: float | None = None  # of the node's clock over the monotonic one; None from older versions
 
 
 class Known(_Message, frozen=True):
@@ -55,34 +59,34 @@
     owner: str
     live_until_ms: float
     fingerprint: bytes
-    outcome: Outcome | None  # of its run; None: it is not over
+    outcome: Outcome | None  # of the run; None while it runs
     result: bytes
 
 
 class Copied(_Message, frozen=True):
-    """All entries have been told."""
+    """All entries have been sent."""
 
 
 class Ready(_Message, frozen=True):
-    """The successor can take the clients."""
+    """The successor can accept the clients."""
 
 
 class Yours(_Message, frozen=True):
-    """The predecessor accepts no more."""
+    """The predecessor accepts no more clients: the successor does from now on."""
 
 
 class Claimed(_Message, frozen=True):
-    """May this attempt run under this key?"""
+    """Asks whether this attempt may run under this key."""
 
     key: Key
     owner: str
-    arrival_ms: float  # when it came to the machine
+    arrival_ms: float  # when it arrived at the machine
     live_until_ms: float
     fingerprint: bytes
 
 
 class Answered(_Message, frozen=True):
-    """Whether it may; if not, what holds the key was told before."""
+    """Whether the claim is granted. If not, the entry of the key was sent before."""
 
     key: Key
     owner: str
@@ -90,7 +94,7 @@
 
 
 class Over(_Message, frozen=True):
-    """A run that was claimed is over."""
+    """A run whose key was claimed has ended."""
 
     key: Key
     owner: str
@@ -100,14 +104,14 @@
 
 
 class Freed(_Message, frozen=True):
-    """What was claimed never ran."""
+    """The attempt that claimed the key never ran."""
 
     key: Key
     owner: str
 
 
 class Load(_Message, frozen=True):
-    """The parts of the node's limits that the predecessor keeps, from 0 to 1, and its open connections."""
+    """The shares of the node's limits that the predecessor keeps, from 0 to 1, and its open connections."""
 
     concurrency: float
     memory: float
@@ -116,20 +120,20 @@
 
 
 class Learned(_Message, frozen=True):
-    """What the predecessor's decisions have learned of the machine, as ``interface.LearnedEstimates`` has it."""
+    """The estimates that the predecessor's controller has learned, as in ``interface.LearnedEstimates``."""
 
     run_limit: float
     run_ms: dict[str, float]
 
 
 class Service(_Message, frozen=True):
-    """An operator's word came to the older's door."""
+    """An operator took the node in or out of service at the predecessor's control address."""
 
     out_of_service: bool
 
 
 class Left(_Message, frozen=True):
-    """This process ends in good order: all that it ran has been told."""
+    """This process shuts down regularly: the ends of all its runs have been sent."""
 
 
 Message = (
@@ -150,7 +154,7 @@
 )
 
 
-# What the phase machine is told, beside words.
+# Events of the phase machine, beside the messages.
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,21 +169,21 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkEnded:
-    """The link broke; the other process may live."""
+    """The link broke; the other process may still live."""
 
     cause: str
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorCommand:
-    """An operator's word at this process's door."""
+    """An operator took the node in or out of service at this process's control address."""
 
     out_of_service: bool
 
 
 @dataclass(frozen=True, slots=True)
 class UsageUpdate:
-    """What this process uses now, and has learned; told again and again."""
+    """What this process uses now and has learned. It is sent periodically."""
 
     load: Load
     learned: Learned
@@ -188,12 +192,14 @@
 Event = Message | PoolUp | PeerExited | LinkEnded | OperatorCommand | UsageUpdate
 
 
-# What it answers.
+# Actions that the phase machine returns.
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    word: Message
+    """Send a message to the other process."""
+
+    message: Message
 
 
 @dataclass(frozen=True, slots=True)
@@ -203,17 +209,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAccepting:
-    """Accept, report to the name service, be ready."""
+    """Accept clients, report to the name service, answer that this process is ready."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopAccepting:
-    """Accept no more, say nothing to the name service, close connections with their next answer."""
+    """Accept no more clients, stop reports to the name service, close connections after their next answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetLimitShare:
-    """The parts of the node's limits that are this process's, and how many connections the other holds."""
+    """Set this process's shares of the node's limits, and the number of the other's open connections."""
 
     concurrency: float
     memory: float
@@ -223,35 +229,35 @@
 
 @dataclass(frozen=True, slots=True)
 class FailPeerRuns:
-    """The other is gone: its unended runs are lost. ``partial``: keys may be unknown here."""
+    """Fail the unfinished runs of the other process, which has ended. ``partial``: some of its keys may be unknown."""
 
     partial: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SetServiceState:
-    """Be in or out of service, as the operators last said."""
+    """Take the node in or out of service, as the operators last asked."""
 
     out_of_service: bool
 
 
 @dataclass(frozen=True, slots=True)
 class AbortStart:
-    """This process can't take over, and has taken no client yet: it ends."""
+    """End this process: it can't take over, and has accepted no client yet."""
 
     cause: str
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyEstimates:
-    """Begin with what the predecessor has learned."""
+    """Start with the estimates of the predecessor."""
 
     learned: Learned
 
 
 @dataclass(frozen=True, slots=True)
 class ListenForSuccessor:
-    """A successor may come from now on."""
+    """Listen for a successor from now on."""
 
 
 Action = (
--- a/flintshift/handover/phases.py
+++ b/flintshift/handover/phases.py
@@ -1,4 +1,5 @@
-"""The phases of an upgrade as a machine without I/O: who takes the clients, and which part of the limits is whose."""
+"""The phases of an upgrade as a state machine without I/O: which process accepts clients, and with what share of the
+node's limits."""
 
 from __future__ import annotations
 
@@ -33,185 +34,210 @@
     Yours,
 )
 
-FIRST, LEAST = 0.5, 0.2  # of each limit, kept by a predecessor for what its open connections bring: at first, at last
-CUT_MS = 500.0  # from the end of the link to the word that its process has ended
-CALLS_SUM = 0.95  # of the vault's share, by both: the rest is for the told figure's rounding
-WHOLE = Load(1.0, 1.0, 1.0, 0)
+# The minimum share of each limit that a predecessor keeps for requests on its open connections: the first when the
+# successor starts to accept clients. It falls with the number of connections, to the second at the lowest.
+INITIAL_MIN_SHARE, LOWEST_MIN_SHARE = 0.5, 0.2
+EXIT_REPORT_TIMEOUT_MS = 500.0  # from the end of the link to the report that its process has ended
+TOTAL_CALL_SHARE = 0.95  # of the calls to the vault, for both; the rest allows for rounding of the reported share
+WHOLE_LIMITS = Load(1.0, 1.0, 1.0, 0)
 
 
 class UnexpectedMessageError(Exception):
-    """The other process said what does not fit the phase."""
+    """The other process sent a message that is not valid in this phase."""
 
 
 class PhaseMachine:
-    """One process's side. It starts alone, or asks the process that serves."""
-
-    def __init__(self, asks: bool, runs_ms: float, calls_ms: float) -> None:
-        """``runs_ms``: for so long after a sudden end, runs of the other process may be on the cores and in the memory;
-        ``calls_ms``: for so long after any end, its calls count."""
-        self.cut: tuple[float, str] | None = None  # the link broke before this process took clients: when, and how
-        self.phase = Phase.ASKING if asks else Phase.ALONE
-        self.runs_ms, self.calls_ms = runs_ms, calls_ms
-        self.freed: list[tuple[float, SetLimitShare]] = []  # what is this process's again, and when
-        self.pool_up = False  # the own worker pool
-        self.out = False  # of service; handed on
-        self.left = False  # the predecessor has told all
-        self.kept = WHOLE  # the predecessor's parts, at either side
-        self.used = WHOLE  # what this process used when it was last asked
-        self.learned: Learned | None = None  # and had learned
-        self.connections = 0  # the most that it held since a successor takes the clients
+    """The state machine of one of the two processes, which starts alone or as a successor."""
+
+    def __init__(self, has_predecessor: bool, run_lifetime_ms: float, call_lifetime_ms: float) -> None:
+        """``run_lifetime_ms``: for so long after a crash of the other process, its runs may still use cores and memory.
+        ``call_lifetime_ms``: for so long after it ended in any way, its calls to the vault count."""
+        # When and why the link broke, if this process accepted no clients yet.
+        self.link_loss: tuple[float, str] | None = None
+        self.phase = Phase.ASKING if has_predecessor else Phase.ALONE
+        self.run_lifetime_ms, self.call_lifetime_ms = run_lifetime_ms, call_lifetime_ms
+        self.scheduled_shares: list[tuple[float, SetLimitShare]] = []  # what this process gets back, and when
+        self.pool_up = False  # whether this process's worker pool is up
+        self.out_of_service = False  # passed on to a successor
+        self.peer_left = False  # the predecessor sent all ends of its runs
+        self.predecessor_share = WHOLE_LIMITS  # what the predecessor keeps, in both processes
+        self.last_usage = WHOLE_LIMITS  # what this process used at the last update
+        self.learned: Learned | None = None  # and what it had learned
+        self.connections = 0  # the highest number since a successor accepts the clients
 
     @property
     def alone(self) -> bool:
-        """There is no other process, and this one took over from none."""
+        """There is no other process."""
         return self.phase is Phase.ALONE
 
     @property
     def accepts_clients(self) -> bool:
+        """Whether this process accepts clients."""
         return self.pool_up and self.phase in (Phase.ALONE, Phase.GIVING, Phase.SERVING)
 
     @property
     def claims_required(self) -> bool:
-        """A keyed run begins on the other's word alone."""
+        """Whether a keyed run needs a claim that the other process granted."""
         return self.phase in (Phase.SHEDDING, Phase.SERVING)
 
     @property
     def accepts_successor(self) -> bool:
-        """A successor may come: one at a time."""
+        """Whether a successor may connect; there is one at a time."""
         return self.phase is Phase.ALONE
 
     @property
     def reports_entries(self) -> bool:
-        """The other copies the keys, so it hears of each new one; later each is claimed."""
+        """Whether new entries are sent to the other process: while it copies the key table. Later, keys are claimed."""
         return self.phase is Phase.GIVING
 
     @property
     def reports_ends(self) -> bool:
-        """The other holds keys whose runs may end here."""
+        """Whether ends of runs are sent to the other process, whose key table may have their keys."""
         return self.phase is not Phase.ALONE
 
     @property
     def senior(self) -> bool:
-        """Of two claims at once, this process's wins."""
+        """Whether this process's claim wins if two claims for a key cross."""
         return self.phase is Phase.SHEDDING
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """
+        """Handle an event and return the actions to take, in order.
+
         Raises:
-            WordError: the other must not be listened to any more.
+            UnexpectedMessageError: the message is not valid in this phase, and the link must be ended.
         """
         phase = self.phase
         match event:
             case Hello(version) if phase is Phase.ALONE:
-                if version != VERSION:  # the successor reads it, says so and ends
-                    return [Send(Welcome(VERSION, self.out))]
+                if version != VERSION:  # the successor reads the version, reports it and ends
+                    return [Send(Welcome(VERSION, self.out_of_service))]
                 self.phase = Phase.GIVING
-                return [Send(Welcome(VERSION, self.out)), SendEntries()]
-            case Service(out):
-                self.out = out
-                return [SetServiceState(out)]
-            case OperatorCommand(out):
-                self.out = out
-                return [Send(Service(out))] if phase in (Phase.GIVING, Phase.SHEDDING) else []
-            case Welcome(version, out) if phase is Phase.ASKING:
+                return [Send(Welcome(VERSION, self.out_of_service)), SendEntries()]
+            case Service(out_of_service):
+                self.out_of_service = out_of_service
+                return [SetServiceState(out_of_service)]
+            case OperatorCommand(out_of_service):
+                self.out_of_service = out_of_service
+                return [Send(Service(out_of_service))] if phase in (Phase.GIVING, Phase.SHEDDING) else []
+            case Welcome(version, out_of_service) if phase is Phase.ASKING:
                 if version != VERSION:
                     return [
                         AbortStart(
-                            f"the process that serves speaks version {version} of the handover, this one "
+                            f"the process that serves uses version {version} of the handover, this one "
                             f"{VERSION}: drain it, stop it, then start this one"
                         )
                     ]
-                self.phase, self.out = Phase.COPYING, out
+                self.phase, self.out_of_service = Phase.COPYING, out_of_service
                 return []
             case Copied() if phase is Phase.COPYING:
                 self.phase = Phase.COPIED
-                return self._ready()
+                return self._become_ready()
             case PoolUp():
                 self.pool_up = True
-                return self._ready() if phase is Phase.COPIED else ([StartAccepting()] if phase is Phase.ALONE else [])
+                return (
+                    self._become_ready()
+                    if phase is Phase.COPIED
+                    else ([StartAccepting()] if phase is Phase.ALONE else [])
+                )
             case Ready() if phase is Phase.GIVING:
-                self.freed = []
-                self.phase, self.kept, self.connections = Phase.SHEDDING, WHOLE, 0
-                taught = [Send(self.learned)] if self.learned is not None else []
-                return [StopAccepting(), *taught, *self._shed(self.used), Send(Yours())]
+                self.scheduled_shares = []
+                self.phase, self.predecessor_share, self.connections = Phase.SHEDDING, WHOLE_LIMITS, 0
+                learned_messages = [Send(self.learned)] if self.learned is not None else []
+                return [StopAccepting(), *learned_messages, *self._shrink_share(self.last_usage), Send(Yours())]
             case Yours() if phase is Phase.WAITING:
                 self.phase = Phase.SERVING
-                return [self._rest(), SetServiceState(self.out), StartAccepting()]
+                return [self._remaining_share(), SetServiceState(self.out_of_service), StartAccepting()]
             case Load() if phase in (Phase.WAITING, Phase.SERVING):
-                self.kept = event
-                return [self._rest()] if phase is Phase.SERVING else []
+                self.predecessor_share = event
+                return [self._remaining_share()] if phase is Phase.SERVING else []
             case Learned() if phase is Phase.WAITING:
                 return [ApplyEstimates(event)]
             case UsageUpdate(load, _) if phase is Phase.SHEDDING:
-                return self._shed(load)
+                return self._shrink_share(load)
             case UsageUpdate(load, learned):
-                self.used, self.learned = load, learned
-                if self.cut is not None and now_ms >= self.cut[0] + CUT_MS:
-                    return [AbortStart(f"the link to the process that serves ended ({self.cut[1]}), and it lives")]
-                return self._past(now_ms)
+                self.last_usage, self.learned = load, learned
+                if self.link_loss is not None and now_ms >= self.link_loss[0] + EXIT_REPORT_TIMEOUT_MS:
+                    return [
+                        AbortStart(f"the link to the process that serves ended ({self.link_loss[1]}), and it lives")
+                    ]
+                return self._release_due_shares(now_ms)
             case LinkEnded(cause):
-                if phase is Phase.GIVING:  # a successor that did not get all takes no clients
-                    return self._alone(now_ms)
+                if phase is Phase.GIVING:  # a successor without the whole key table accepts no clients
+                    return self._on_peer_exit(now_ms)
                 if phase in (Phase.ALONE, Phase.SHEDDING, Phase.SERVING):
-                    return []  # till the other has ended, no key is claimed, and clients stay where they are
-                self.cut = now_ms, cause  # if it has ended, that is told soon
+                    return []  # until the other has ended, claims get no answer, and clients stay where they are
+                self.link_loss = now_ms, cause  # if the process has ended, that is reported soon
                 return []
             case Left():
-                self.left = phase not in (Phase.ASKING, Phase.COPYING)
+                self.peer_left = phase not in (Phase.ASKING, Phase.COPYING)
                 return []
             case PeerExited():
-                return self._alone(now_ms)
+                return self._on_peer_exit(now_ms)
             case _:
-                raise UnexpectedMessageError(f"{type(event).__name__} does not fit the phase {phase.value}")
+                raise UnexpectedMessageError(f"{type(event).__name__} is not valid in the phase {phase.value}")
 
-    def _ready(self) -> list[Action]:
+    def _become_ready(self) -> list[Action]:
         if not self.pool_up:
             return []
         self.phase = Phase.WAITING
         return [Send(Ready())]
 
-    def _shed(self, used: Load) -> list[Action]:
-        """Keep what is used, and never more than before: so the sum of both never passes the whole. What is given
-        up is given up here before the other hears of it."""
-        kept = self.kept
+    def _shrink_share(self, used: Load) -> list[Action]:
+        """Keep what is in use, and never more than before, so that both processes together never exceed the limits.
+        This process releases a share before the other is informed."""
+        share = self.predecessor_share
         self.connections = max(self.connections, used.connections)
-        least = max(LEAST, FIRST * used.connections / self.connections) if used.connections else 0.0
-        self.kept = Load(
-            min(kept.concurrency, max(used.concurrency, least)),
-            min(kept.memory, max(used.memory, least)),
-            min(kept.calls, max(used.calls, least)),
+        min_share = (
+            max(LOWEST_MIN_SHARE, INITIAL_MIN_SHARE * used.connections / self.connections) if used.connections else 0.0
+        )
+        self.predecessor_share = Load(
+            min(share.concurrency, max(used.concurrency, min_share)),
+            min(share.memory, max(used.memory, min_share)),
+            min(share.calls, max(used.calls, min_share)),
             used.connections,
         )
-        return [SetLimitShare(self.kept.concurrency, self.kept.memory, self.kept.calls), Send(self.kept)]
+        return [
+            SetLimitShare(
+                self.predecessor_share.concurrency, self.predecessor_share.memory, self.predecessor_share.calls
+            ),
+            Send(self.predecessor_share),
+        ]
 
-    def _rest(self) -> SetLimitShare:
-        """The successor's parts: what its predecessor does not keep."""
-        kept = self.kept
+    def _remaining_share(self) -> SetLimitShare:
+        """The successor's shares: what its predecessor does not keep."""
+        share = self.predecessor_share
         return SetLimitShare(
-            1.0 - kept.concurrency, 1.0 - kept.memory, max(0.0, CALLS_SUM - kept.calls), kept.connections
+            1.0 - share.concurrency, 1.0 - share.memory, max(0.0, TOTAL_CALL_SHARE - share.calls), share.connections
         )
 
-    def _alone(self, now_ms: float) -> list[Action]:
-        before, self.phase = self.phase, Phase.ALONE
-        if before is Phase.ALONE:
+    def _on_peer_exit(self, now_ms: float) -> list[Action]:
+        """Go on alone, as the other process has ended."""
+        previous_phase, self.phase = self.phase, Phase.ALONE
+        if previous_phase is Phase.ALONE:
             return []
-        calls = self._rest().calls if before is Phase.SERVING else self.kept.calls
-        self.freed = [
-            (now_ms + (0.0 if self.left else self.runs_ms), SetLimitShare(1.0, 1.0, calls)),
-            (now_ms + self.calls_ms, SetLimitShare(1.0, 1.0, 1.0)),
+        calls = self._remaining_share().calls if previous_phase is Phase.SERVING else self.predecessor_share.calls
+        self.scheduled_shares = [
+            (now_ms + (0.0 if self.peer_left else self.run_lifetime_ms), SetLimitShare(1.0, 1.0, calls)),
+            (now_ms + self.call_lifetime_ms, SetLimitShare(1.0, 1.0, 1.0)),
         ]
-        self.cut = None
-        was_successor = before not in (Phase.GIVING, Phase.SHEDDING)
-        partial = was_successor and before is not Phase.SERVING and not self.left
+        self.link_loss = None
+        was_successor = previous_phase not in (Phase.GIVING, Phase.SHEDDING)
+        partial = was_successor and previous_phase is not Phase.SERVING and not self.peer_left
         actions: list[Action] = [FailPeerRuns(partial)]
         if was_successor:
             actions.append(ListenForSuccessor())
-        if self.pool_up and before in (Phase.WAITING, Phase.COPIED, Phase.COPYING, Phase.ASKING, Phase.SHEDDING):
+        if self.pool_up and previous_phase in (
+            Phase.WAITING,
+            Phase.COPIED,
+            Phase.COPYING,
+            Phase.ASKING,
+            Phase.SHEDDING,
+        ):
             actions.append(StartAccepting())
-        return [*actions, *self._past(now_ms)]
+        return [*actions, *self._release_due_shares(now_ms)]
 
-    def _past(self, now_ms: float) -> list[Action]:
-        """What the other left behind is past: the parts that are this process's again."""
-        due = [keep for at_ms, keep in self.freed if at_ms <= now_ms]
-        self.freed = self.freed[len(due) :]
-        return [*due[-1:]]
+    def _release_due_shares(self, now_ms: float) -> list[Action]:
+        """Take back the shares whose time has come: nothing of the other process uses them any more."""
+        due_shares = [share for at_ms, share in self.scheduled_shares if at_ms <= now_ms]
+        self.scheduled_shares = self.scheduled_shares[len(due_shares) :]
+        return [*due_shares[-1:]]
--- a/flintshift/wire/handover.py
+++ b/flintshift/wire/handover.py
@@ -1,5 +1,5 @@
-"""The Unix socket in ``$TMPDIR`` over which a successor finds the process that serves: path, frames, and the watch on
-the other's life. No rule stands here.
+"""The Unix socket in ``$TMPDIR`` over which a successor reaches the process that serves: its path, its frames, and the
+detection of the other process's exit. The rules of the handover are in ``flintshift.handover``.
 """
 
 from __future__ import annotations
@@ -18,152 +18,157 @@
 from flintshift.core.limits import Limits
 from flintshift.core.mailbox import Mailbox
 from flintshift.handover.messages import VERSION, Copied, Hello, Known, Left, Message, Welcome
-from flintshift.wire.handover_codec import FrameError, Unpacker, packed
+from flintshift.wire.handover_codec import FrameDecoder, FrameError, encode_frame
 from flintshift.wire.link import BROKEN
 from flintshift.wire.unix import short
 
 CREDENTIALS = struct.Struct("3i")
-SOCKETS_MOST = 4
+MAX_SOCKETS = 4
 
 
 class UpgradeError(OSError):
-    """This process can't take over; the text says why."""
+    """This process can't take over from the one that serves."""
 
 
 def handover_socket_path(name: str, listen: tuple[str, int]) -> Path:
-    """Where the processes of this node meet; the name is short, as a path of a socket may be."""
-    mark = hashlib.blake2b(f"{name}\n{listen[0]}:{listen[1]}".encode(), digest_size=6).hexdigest()
-    return Path(os.environ.get("TMPDIR") or "/tmp") / f"flintshift-{mark}"
+    """The path of the socket that the processes of this node share. A digest keeps it short, as such paths must be."""
+    digest = hashlib.blake2b(f"{name}\n{listen[0]}:{listen[1]}".encode(), digest_size=6).hexdigest()
+    return Path(os.environ.get("TMPDIR") or "/tmp") / f"flintshift-{digest}"
 
 
-def _watch(raw: socket.socket) -> int:
-    """A descriptor that becomes readable at the other process's end.
+def _open_exit_descriptor(raw: socket.socket) -> int:
+    """Open a descriptor that becomes readable when the other process ends.
 
     Raises:
-        UpgradeError: there is none: a link that breaks could not be told from a death, and a key might run twice.
+        UpgradeError: that fails. A broken link would then look like the process's end, and a key might run twice.
     """
     pid, uid, _ = CREDENTIALS.unpack(raw.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size))
     if uid not in (os.getuid(), 0):
-        raise UpgradeError(f"the process at the meeting path is of user {uid}, not of this one")
+        raise UpgradeError(f"the process at the handover socket belongs to another user ({uid})")
     try:
         return os.pidfd_open(pid)
     except (OSError, ValueError) as error:
-        raise UpgradeError(f"the end of process {pid} at the meeting path can't be watched: {error}") from error
+        raise UpgradeError(f"the end of process {pid} at the handover socket can't be watched: {error}") from error
 
 
 class HandoverLink:
-    """One meeting of two processes."""
+    """The link between the two processes of an upgrade."""
 
     def __init__(self, stream: UNIXSocketStream, limits: Limits) -> None:
         self.stream, self.limits = stream, limits
         self.outbox: Mailbox[Message | bytes] = Mailbox(limits.outbox_size)
-        self.copy: Iterator[Known] | None = None
-        self.unpacker, self.early_messages = Unpacker(), list[Message]()
-        self.watched = _watch(stream.extra(anyio.abc.SocketAttribute.raw_socket))
-        self.sockets: list[socket.socket] = []  # that go with the welcome
-        self.broken, self.over = False, anyio.Event()  # nothing is read any more
-        self.left = anyio.Event()  # the last word has gone
-
-    def send(self, word: Message) -> None:
-        """Without waiting; an outbox that is full says that the other does not read. Where nothing else waits, it is in
-        the socket when this returns: the end of a run is there before its caller is answered, and a death between
-        takes nothing from the other."""
-        if self.broken:
+        self.entries: Iterator[Known] | None = None
+        self.decoder, self.early_messages = FrameDecoder(), list[Message]()
+        self.exit_descriptor = _open_exit_descriptor(stream.extra(anyio.abc.SocketAttribute.raw_socket))
+        self.sockets: list[socket.socket] = []  # the listening sockets that are passed with the welcome
+        self.disconnected, self.reading_ended = False, anyio.Event()  # nothing more is sent; nothing more is read
+        self.left_sent = anyio.Event()  # the message `Left` is sent
+
+    def send(self, message: Message) -> None:
+        """Send a message without waiting. A full outbox means that the other process does not read, and ends the link.
+
+        If nothing else is queued, the message is in the socket when this returns: the other process gets the end of a
+        run before the caller is answered, even if this process dies in between."""
+        if self.disconnected:
             return
-        told: Message | bytes = word
-        if self.outbox.idle and not isinstance(word, Welcome | Left):
-            told = packed(word)
+        unsent: Message | bytes = message
+        if self.outbox.idle and not isinstance(message, Welcome | Left):
+            unsent = encode_frame(message)
             try:
-                told = told[self.stream.extra(anyio.abc.SocketAttribute.raw_socket).send(told) :]
-            except BlockingIOError:  # the other is slow: it waits as the rest does
+                unsent = unsent[self.stream.extra(anyio.abc.SocketAttribute.raw_socket).send(unsent) :]
+            except BlockingIOError:  # the other process is slow: the rest is queued
                 pass
             except BROKEN:
                 self.abort()
                 return
-        if told != b"" and not self.outbox.offer(told):
+        if unsent != b"" and not self.outbox.offer(unsent):
             self.abort()
 
     def send_entries(self, entries: Iterator[Known]) -> None:
-        self.copy = entries
-        self.outbox.offer(Copied())  # wakes the writer, which tells the entries first
+        """Send these entries of the key table, then `Copied`."""
+        self.entries = entries
+        self.outbox.offer(Copied())  # wakes the writer, which sends the entries first
 
     async def close(self) -> None:
-        """Say what is left to say, then end the link: the other hears it now and not in the middle of a read."""
+        """Send what is queued and `Left`, then end the link, so that the other process reads no partial message."""
         self.send(Left())
         with anyio.move_on_after(self.limits.final_send_timeout_ms / 1000):
-            await self.left.wait()
+            await self.left_sent.wait()
         self.abort()
         with anyio.move_on_after(self.limits.last_read_timeout_ms / 1000):
-            await self.over.wait()
+            await self.reading_ended.wait()
 
     def abort(self) -> None:
-        self.broken = True
+        """End the link at once."""
+        self.disconnected = True
         raw = self.stream.extra(anyio.abc.SocketAttribute.raw_socket)
         with contextlib.suppress(OSError):
             raw.shutdown(socket.SHUT_RDWR)
 
     async def run(
         self,
-        heard: Callable[[Message], Awaitable[None]],
-        gone: Callable[[], Awaitable[None]],
-        ended: Callable[[str], Awaitable[None]],
+        on_message: Callable[[Message], Awaitable[None]],
+        on_exit: Callable[[], Awaitable[None]],
+        on_link_end: Callable[[str], Awaitable[None]],
     ) -> None:
-        """Until the other process has ended, which is told last; the link itself may end before."""
+        """Serve the link until the other process has ended, which is reported last; the link itself may end before."""
         try:
-            cause = await self._talk(heard)
-            self.over.set()
-            await ended(cause)
-            await anyio.wait_readable(self.watched)
+            cause = await self._read(on_message)
+            self.reading_ended.set()
+            await on_link_end(cause)
+            await anyio.wait_readable(self.exit_descriptor)
         finally:
-            os.close(self.watched)
-        await gone()
+            os.close(self.exit_descriptor)
+        await on_exit()
 
-    async def _talk(self, heard: Callable[[Message], Awaitable[None]]) -> str:
-        """Read until the link ends; returns why it did."""
+    async def _read(self, on_message: Callable[[Message], Awaitable[None]]) -> str:
+        """Read until the link ends, and return why it ended."""
         cause = ""
         try:
             async with self.stream, anyio.create_task_group() as tasks:
                 tasks.start_soon(self._write)
                 try:
-                    for word in self.early_messages:
-                        await heard(word)
+                    for message in self.early_messages:
+                        await on_message(message)
                     while True:
-                        for word in self.unpacker.feed(await self.stream.receive(self.limits.read_chunk_bytes)):
-                            await heard(word)
+                        for message in self.decoder.feed(await self.stream.receive(self.limits.read_chunk_bytes)):
+                            await on_message(message)
                 except (FrameError, *BROKEN) as error:
-                    self.broken, cause = True, f"{type(error).__name__} {error}".strip()
+                    self.disconnected, cause = True, f"{type(error).__name__} {error}".strip()
                 tasks.cancel_scope.cancel()
         finally:
-            self.broken = True
+            self.disconnected = True
         return cause
 
     async def _write(self) -> None:
         try:
             while True:
-                word = await self.outbox.take()
-                if isinstance(word, Welcome):
-                    await self.stream.send_fds(packed(word), [one.fileno() for one in self.sockets])
+                message = await self.outbox.take()
+                if isinstance(message, Welcome):
+                    await self.stream.send_fds(
+                        encode_frame(message), [raw_socket.fileno() for raw_socket in self.sockets]
+                    )
                     continue
-                if isinstance(word, Left):
-                    await self.stream.send(packed(word))
-                    self.left.set()
+                if isinstance(message, Left):
+                    await self.stream.send(encode_frame(message))
+                    self.left_sent.set()
                     return
-                if isinstance(word, Copied):
+                if isinstance(message, Copied):
                     batch = bytearray()
-                    for entry in self.copy or ():
-                        batch += packed(entry)
+                    for entry in self.entries or ():
+                        batch += encode_frame(entry)
                         if len(batch) >= self.limits.read_chunk_bytes:
                             await self.stream.send(bytes(batch))
                             batch.clear()
-                    await self.stream.send(bytes(batch) + packed(word))
+                    await self.stream.send(bytes(batch) + encode_frame(message))
                     continue
-                batch = bytearray(word if isinstance(word, bytes) else packed(word))
+                batch = bytearray(message if isinstance(message, bytes) else encode_frame(message))
                 while (
                     len(batch) < self.limits.read_chunk_bytes
                     and self.outbox.items
                     and not isinstance(more := self.outbox.items[0], Copied | Welcome | Left)
                 ):
-                    batch += more if isinstance(more, bytes) else packed(more)
+                    batch += more if isinstance(more, bytes) else encode_frame(more)
                     self.outbox.take_now()
                 await self.stream.send(bytes(batch))
         except BROKEN:
@@ -171,8 +176,8 @@
 
 
 async def join_predecessor(path: Path, limits: Limits) -> HandoverLink | None:
-    """Meet the process that serves: a link whose first word is its welcome; None where there is no such process, or
-    one that leaves or hands over to another.
+    """Connect to the process that serves. The first message on the link is its welcome. None if there is no such
+    process, or it is shutting down or hands over to another.
 
     Raises:
         UpgradeError: there is one, and it does not hand over.
@@ -181,29 +186,30 @@
         with anyio.fail_after(limits.welcome_timeout_ms / 1000), short(path) as name:
             stream = await anyio.connect_unix(name)
     except TimeoutError as error:
-        raise mute(limits) from error
-    except (OSError, RuntimeError):  # no such path, or one of a process that has ended
+        raise no_reply_error(limits) from error
+    except (OSError, RuntimeError):  # no such path, or its process has ended
         return None
     link = HandoverLink(stream, limits)
     try:
         with anyio.fail_after(limits.welcome_timeout_ms / 1000):
-            await stream.send(packed(Hello(VERSION)))
+            await stream.send(encode_frame(Hello(VERSION)))
             while not link.early_messages:
-                data, found = await stream.receive_fds(limits.read_chunk_bytes, SOCKETS_MOST)
-                link.sockets += [socket.socket(fileno=one) for one in found]
-                link.early_messages += link.unpacker.feed(data)
+                data, descriptors = await stream.receive_fds(limits.read_chunk_bytes, MAX_SOCKETS)
+                link.sockets += [socket.socket(fileno=descriptor) for descriptor in descriptors]
+                link.early_messages += link.decoder.feed(data)
     except TimeoutError as error:
-        raise mute(limits) from error
+        raise no_reply_error(limits) from error
     except BROKEN:
         await stream.aclose()
         return None
     except FrameError as error:
-        raise UpgradeError(f"the process that serves speaks no handover: {error}") from error
+        raise UpgradeError(f"the process that serves does not use the handover protocol: {error}") from error
     return link
 
 
-def mute(limits: Limits) -> UpgradeError:
+def no_reply_error(limits: Limits) -> UpgradeError:
+    """The error where the process that serves accepts the connection and never answers."""
     return UpgradeError(
-        f"the process that serves took the call and said nothing for {limits.welcome_timeout_ms:g} ms; "
-        "it lives, so its address can't be shared: look at it, and end it if it hangs"
+        f"the process that serves accepted the connection and sent nothing for {limits.welcome_timeout_ms:g} ms; "
+        "it lives, so its address can't be shared: examine it, and end it if it hangs"
     )
--- a/flintshift/wire/handover_codec.py
+++ b/flintshift/wire/handover_codec.py
@@ -1,4 +1,4 @@
-"""Words of the handover as frames: a size, then MessagePack. What is not of a word's types is refused as it is read."""
+"""The codec of handover messages: a frame is a size and a MessagePack body, whose types are checked on decoding."""
 
 from __future__ import annotations
 
@@ -9,43 +9,45 @@
 from flintshift.handover.messages import Message
 
 SIZE = struct.Struct("!I")
-MOST = 65_536  # bytes of a frame: a result has 4 KiB at most
+MAX_FRAME_BYTES = 65_536  # a result has at most 4 KiB
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Message).decode
 
 
 class FrameError(Exception):
-    """What was read is no word."""
+    """The received data is not a valid message."""
 
 
-def packed(word: Message) -> bytes:
-    body = _encode(word)
+def encode_frame(message: Message) -> bytes:
+    """Encode a message with its size in front."""
+    body = _encode(message)
     return SIZE.pack(len(body)) + body
 
 
-class Unpacker:
-    """Takes bytes in pieces of any size and gives the words that are whole."""
+class FrameDecoder:
+    """Decodes messages from a stream of bytes that arrives in pieces of any size."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """
+        """Add received bytes and return the messages that are complete.
+
         Raises:
-            FrameError: this is none of ours; nothing after it can be read.
+            FrameError: the data is invalid, and nothing after it can be read.
         """
         self.buffer += data
-        found: list[Message] = []
+        messages: list[Message] = []
         while len(self.buffer) >= SIZE.size:
             (size,) = SIZE.unpack_from(self.buffer)
-            if size > MOST:
-                raise FrameError(f"a word of {size} bytes")
+            if size > MAX_FRAME_BYTES:
+                raise FrameError(f"a message of {size} bytes")
             if len(self.buffer) < SIZE.size + size:
                 break
             body = bytes(self.buffer[SIZE.size : SIZE.size + size])
             del self.buffer[: SIZE.size + size]
             try:
-                found.append(_decode(body))
+                messages.append(_decode(body))
             except msgspec.DecodeError as error:
                 raise FrameError(str(error)) from error
-        return found
+        return messages
--- a/tests/handover/site.py
+++ b/tests/handover/site.py
@@ -1,4 +1,4 @@
-"""Two processes of one node among their stand-ins."""
+"""A test cluster for upgrades: several processes of one node, with stand-ins for their peers."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class Process:
-    """One of them, with a pool and a control address of its own."""
+    """A process of the node, with its own worker pool and control address."""
 
-    def __init__(self, site, number):
-        self.site, self.number, self.pool = site, number, scripted_pool()
+    def __init__(self, site, index):
+        self.site, self.index, self.pool = site, index, scripted_pool()
         self.pool.plan = dict.fromkeys(("race-results", "submit-time"), 0)
-        self.config = site.folder / f"config{number}.json"
+        self.config = site.folder / f"config{index}.json"
 
     async def start(self, ready=True, tmpdir=None):
         await self.pool.start()
@@ -45,8 +45,8 @@
             await self.until_ready()
         return self
 
-    async def until_ready(self, within=10):
-        async with asyncio.timeout(within):
+    async def until_ready(self, timeout_s=10):
+        async with asyncio.timeout(timeout_s):
             while (await self.call())[0] != 200:
                 await asyncio.sleep(0.01)
 
@@ -62,15 +62,15 @@
             pass
         return Counter(json.loads(line)["counters"])
 
-    async def until(self, name, least=1):
-        while (await self.counters())[name] < least:
+    async def until(self, name, min_count=1):
+        while (await self.counters())[name] < min_count:
             pass
 
-    async def leave(self):
+    async def terminate(self):
         self.process.send_signal(signal.SIGTERM)
-        return await self.ended()
+        return await self.wait_exit()
 
-    async def ended(self):
+    async def wait_exit(self):
         return await asyncio.wait_for(self.process.wait(), 10)
 
     def kill(self):
@@ -78,9 +78,11 @@
 
 
 class Site:
+    """The processes of one node, which share the vault, the name service and the callers' address."""
+
     def __init__(self, folder: Path):
         self.folder, self.settings = folder, copy.deepcopy(SETTINGS)
-        self.settings["familyInfo"]["nCores"] = 8  # so that one run without an end is no sign of a sick machine
+        self.settings["familyInfo"]["nCores"] = 8  # so that one endless run doesn't make the machine count as unhealthy
         self.vault, self.names, self.processes = Vault(tells=True), Names(tells=True), []
 
     async def __aenter__(self):
@@ -90,41 +92,41 @@
         return self
 
     async def __aexit__(self, *_):
-        for one in self.processes:
-            if one.process.returncode is None:
-                one.kill()
-                await one.process.wait()
-            await one.pool.stop()
+        for process in self.processes:
+            if process.process.returncode is None:
+                process.kill()
+                await process.process.wait()
+            await process.pool.stop()
         await self.vault.stop()
         await self.names.stop()
 
-    async def start(self, **more):
-        one = Process(self, len(self.processes))
-        self.processes.append(one)
-        return await one.start(**more)
+    async def start(self, **options):
+        process = Process(self, len(self.processes))
+        self.processes.append(process)
+        return await process.start(**options)
 
-    async def connect(self, spoken=True):
-        """A caller's connection, which has brought a request already: so it is accepted, and may rest."""
+    async def connect(self, send_ping=True):
+        """Open a caller's connection. After the ping it is certainly accepted, and may stay idle."""
         caller = Caller(*await asyncio.open_connection("127.0.0.1", self.port))
-        if spoken:
+        if send_ping:
             caller.send(BYTES["http"]("", b"", {}, method="GET", path="/ping"))
             assert (await caller.reply()).status == 200
         return caller
 
-    async def ask(self, unique, **more):
-        """A request on a connection of its own."""
-        return await ask(await self.connect(), unique, **more)
+    async def ask(self, key, **options):
+        """Send a request on a new connection."""
+        return await ask(await self.connect(), key, **options)
 
     def runs(self):
-        return [run["rid"] for one in self.processes for run in one.pool.spawns()]
+        return [run["rid"] for process in self.processes for run in process.pool.spawns()]
 
 
-def submit(caller, unique, body=b"12:01.5", class_name="submit-time", **changes):
-    fields = job(class_name, **({"X-Unique": unique} if unique else {}), **changes)
+def submit(caller, key, body=b"12:01.5", class_name="submit-time", **changed_fields):
+    fields = job(class_name, **({"X-Unique": key} if key else {}), **changed_fields)
     caller.send(BYTES["http"](class_name, body, fields))
     return fields["X-Job-Id"]
 
 
-async def ask(caller, unique, **more):
-    submit(caller, unique, **more)
+async def ask(caller, key, **options):
+    submit(caller, key, **options)
     return await caller.reply()
--- a/tests/handover/test_codec.py
+++ b/tests/handover/test_codec.py
@@ -1,4 +1,4 @@
-"""The words of the handover on their link, and what a peer that lies or never answers costs."""
+"""The messages of the handover on their link, and the protection against a faulty or silent peer."""
 
 from __future__ import annotations
 
@@ -10,55 +10,59 @@
 from anyio.abc import UNIXSocketStream
 
 from flintshift.core.limits import Limits
-from flintshift.handover import messages as say
+from flintshift.handover import messages
 from flintshift.handover.claims import AbandonAttempt, Agreement, SendToPeer
 from flintshift.handover.phases import PhaseMachine, UnexpectedMessageError
 from flintshift.interface import Outcome
 from flintshift.wire.handover import HandoverLink
-from flintshift.wire.handover_codec import FrameError, Unpacker, packed
-
-WORDS = [
-    say.Hello(1),
-    say.Known(("pay", "k"), "r1", 9e12, b"\x00\xff", Outcome.OK, bytes(range(256))),
-    say.Known(("pay", "k"), "r1", 9e12, b"", None, b""),
-    say.Claimed(("pay", "ü"), "r2", 1.0, 2.0, b"p"),
-    say.Copied(),
-    say.Load(0.5, 0.25, 0.0, 7),
+from flintshift.wire.handover_codec import FrameDecoder, FrameError, encode_frame
+
+MESSAGES = [
+    messages.Hello(1),
+    messages.Known(("pay", "k"), "r1", 9e12, b"\x00\xff", Outcome.OK, bytes(range(256))),
+    messages.Known(("pay", "k"), "r1", 9e12, b"", None, b""),
+    messages.Claimed(("pay", "ü"), "r2", 1.0, 2.0, b"p"),
+    messages.Copied(),
+    messages.Load(0.5, 0.25, 0.0, 7),
 ]
 
 
 @pytest.mark.parametrize("size", [1, 3, 7, 64, 100_000])
-def test_words_in_pieces_of_any_size_are_what_was_sent(size):
-    data, reader = b"".join(map(packed, WORDS)), Unpacker()
-    assert [word for at in range(0, len(data), size) for word in reader.feed(data[at : at + size])] == WORDS
+def test_messages_in_pieces_of_any_size_are_decoded_as_sent(size):
+    data, decoder = b"".join(map(encode_frame, MESSAGES)), FrameDecoder()
+    assert [
+        message for position in range(0, len(data), size) for message in decoder.feed(data[position : position + size])
+    ] == MESSAGES
 
 
 @pytest.mark.anyio
-async def test_what_is_said_is_in_the_socket_at_once_and_in_order_past_a_peer_that_reads_late():
-    near, far = socket.socketpair()
-    far.setblocking(False)
-    near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+async def test_a_message_is_in_the_socket_at_once_and_in_order_if_the_peer_reads_late():
+    near_end, far_end = socket.socketpair()
+    far_end.setblocking(False)
+    near_end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
-    async def nothing(*_: object) -> None:
+    async def ignore(*_: object) -> None:
         pass
 
-    said = [say.Known(("pay", f"k{number}"), f"r{number}", 9e12, b"", None, bytes(1000)) for number in range(100)]
+    expected = [
+        messages.Known(("pay", f"k{number}"), f"r{number}", 9e12, b"", None, bytes(1000)) for number in range(100)
+    ]
     async with anyio.create_task_group() as tasks:
-        link = HandoverLink(await UNIXSocketStream.from_socket(near), Limits())
-        tasks.start_soon(functools.partial(link.run, nothing, nothing, nothing))
+        link = HandoverLink(await UNIXSocketStream.from_socket(near_end), Limits())
+        tasks.start_soon(functools.partial(link.run, ignore, ignore, ignore))
         await anyio.wait_all_tasks_blocked()
-        link.send(WORDS[1])  # as the end of a run: no turn of the loop lies between it and the caller's answer
-        assert Unpacker().feed(far.recv(65_536)) == [WORDS[1]]
-        for word in said:
-            link.send(word)
-        reader, heard = Unpacker(), []
+        link.send(MESSAGES[1])  # like the end of a run, it must be in the socket without a further turn of the loop
+        assert FrameDecoder().feed(far_end.recv(65_536)) == [MESSAGES[1]]
+        for message in expected:
+            link.send(message)
+        decoder, received = FrameDecoder(), []
         with anyio.fail_after(10):
-            while len(heard) < len(said):
-                await anyio.wait_readable(far)
-                heard += reader.feed(far.recv(777))
-        assert heard == said and not link.broken
+            while len(received) < len(expected):
+                await anyio.wait_readable(far_end)
+                received += decoder.feed(far_end.recv(777))
+        assert received == expected and not link.disconnected
         tasks.cancel_scope.cancel()
-    far.close()
+    far_end.close()
 
 
 @pytest.mark.parametrize(
@@ -69,79 +73,95 @@
         b"\xff\xff\xff\xff",
         b"\x00\x00\x00\x00",
         *(
-            packed(WORDS[1]).replace(was, lie)
-            for was, lie in ((b"Known", b"Knows"), (b"\xa2ok", b"\xa2no"), (b"\xa2r1", b"\x07\x07\x07"))
+            encode_frame(MESSAGES[1]).replace(original, replacement)
+            for original, replacement in ((b"Known", b"Knows"), (b"\xa2ok", b"\xa2no"), (b"\xa2r1", b"\x07\x07\x07"))
         ),
     ],
 )
-def test_what_is_no_word_or_not_of_its_types_is_refused_as_it_is_read(data):
+def test_invalid_messages_and_wrong_types_are_rejected_on_decoding(data):
     with pytest.raises(FrameError):
-        Unpacker().feed(data)
+        FrameDecoder().feed(data)
 
 
 @pytest.mark.parametrize(
-    ("phase", "word"),
+    ("phase", "message"),
     [
-        ("alone", say.Yours()),
-        ("alone", say.Ready()),
-        ("giving", say.Yours()),
-        ("serving", say.Hello(say.VERSION)),
-        ("asking", say.Copied()),
-        ("shedding", say.Load(0.0, 0.0, 0.0, 0)),
-        ("copying", say.Yours()),
+        ("alone", messages.Yours()),
+        ("alone", messages.Ready()),
+        ("giving", messages.Yours()),
+        ("serving", messages.Hello(messages.VERSION)),
+        ("asking", messages.Copied()),
+        ("shedding", messages.Load(0.0, 0.0, 0.0, 0)),
+        ("copying", messages.Yours()),
     ],
 )
-def test_a_word_out_of_its_phase_changes_nothing_and_ends_the_link(phase, word):
+def test_a_message_that_is_invalid_in_the_phase_is_rejected_and_changes_nothing(phase, message):
     phases = PhaseMachine(False, 0.0, 0.0)
-    phases.phase = say.Phase(phase)
+    phases.phase = messages.Phase(phase)
     with pytest.raises(UnexpectedMessageError):
-        phases.handle(0.0, word)
+        phases.handle(0.0, message)
     assert phases.phase.value == phase
 
 
-def test_another_version_is_told_by_both_sides_and_the_older_serves_on():
-    older, younger = PhaseMachine(False, 0.0, 0.0), PhaseMachine(True, 0.0, 0.0)
-    (answer,) = older.handle(0.0, say.Hello(say.VERSION + 1))
-    assert isinstance(answer, say.Send) and isinstance(answer.word, say.Welcome) and older.phase is say.Phase.ALONE
-    (end,) = younger.handle(0.0, say.Welcome(say.VERSION + 1, False))
-    assert isinstance(end, say.AbortStart) and f"version {say.VERSION + 1}" in end.cause
-
-
-def beside(left):
-    """A successor whose predecessor kept 0.6 of the crowd, 0.5 of the memory and 0.4 of the calls, and ended at 0."""
-    phases = PhaseMachine(True, runs_ms=900.0, calls_ms=5000.0)
-    for event in (say.Welcome(say.VERSION, False), say.Copied(), say.PoolUp(), say.Load(0.6, 0.5, 0.4, 7), say.Yours()):
+def test_another_version_is_reported_by_both_sides_and_the_predecessor_serves_on():
+    predecessor, successor = PhaseMachine(False, 0.0, 0.0), PhaseMachine(True, 0.0, 0.0)
+    (reply,) = predecessor.handle(0.0, messages.Hello(messages.VERSION + 1))
+    assert (
+        isinstance(reply, messages.Send)
+        and isinstance(reply.message, messages.Welcome)
+        and predecessor.phase is messages.Phase.ALONE
+    )
+    (action,) = successor.handle(0.0, messages.Welcome(messages.VERSION + 1, False))
+    assert isinstance(action, messages.AbortStart) and f"version {messages.VERSION + 1}" in action.cause
+
+
+def successor_after_exit(regular_exit):
+    """A successor whose predecessor kept 0.6 of the concurrency, 0.5 of the memory, 0.4 of the calls and ended at 0."""
+    phases = PhaseMachine(True, run_lifetime_ms=900.0, call_lifetime_ms=5000.0)
+    for event in (
+        messages.Welcome(messages.VERSION, False),
+        messages.Copied(),
+        messages.PoolUp(),
+        messages.Load(0.6, 0.5, 0.4, 7),
+        messages.Yours(),
+    ):
         actions = phases.handle(0.0, event)
-    assert [action for action in actions if isinstance(action, say.SetLimitShare)] == [
-        say.SetLimitShare(0.4, 0.5, 0.95 - 0.4, 7)
+    assert [action for action in actions if isinstance(action, messages.SetLimitShare)] == [
+        messages.SetLimitShare(0.4, 0.5, 0.95 - 0.4, 7)
     ]
-    if left:
-        phases.handle(0.0, say.Left())
-    return phases, phases.handle(0.0, say.PeerExited())
+    if regular_exit:
+        phases.handle(0.0, messages.Left())
+    return phases, phases.handle(0.0, messages.PeerExited())
 
 
-def kept(phases, now_ms):
-    return phases.handle(now_ms, say.UsageUpdate(say.Load(0.0, 0.0, 0.0, 0), say.Learned(2.0, {})))
+def share_changes(phases, now_ms):
+    return phases.handle(now_ms, messages.UsageUpdate(messages.Load(0.0, 0.0, 0.0, 0), messages.Learned(2.0, {})))
 
 
-def test_the_parts_of_a_process_that_left_are_free_at_once_but_for_its_calls():
-    phases, actions = beside(left=True)
-    assert actions[-1] == say.SetLimitShare(1.0, 1.0, 0.95 - 0.4) and say.FailPeerRuns(False) in actions
-    assert kept(phases, 4999.0) == [] and kept(phases, 5000.0) == [say.SetLimitShare(1.0, 1.0, 1.0)]
+def test_the_shares_of_a_process_that_shut_down_are_released_at_once_except_its_calls():
+    phases, actions = successor_after_exit(regular_exit=True)
+    assert actions[-1] == messages.SetLimitShare(1.0, 1.0, 0.95 - 0.4) and messages.FailPeerRuns(False) in actions
+    assert share_changes(phases, 4999.0) == [] and share_changes(phases, 5000.0) == [
+        messages.SetLimitShare(1.0, 1.0, 1.0)
+    ]
 
 
-def test_the_runs_of_a_process_that_died_may_go_on_for_their_aim_and_its_calls_for_the_window():
-    phases, actions = beside(left=False)
-    assert not any(isinstance(action, say.SetLimitShare) for action in actions)
-    assert kept(phases, 899.0) == [] and kept(phases, 900.0) == [say.SetLimitShare(1.0, 1.0, 0.95 - 0.4)]
-    assert kept(phases, 4999.0) == [] and kept(phases, 5000.0) == [say.SetLimitShare(1.0, 1.0, 1.0)]
-    assert kept(phases, 9000.0) == []
+def test_the_shares_of_a_crashed_process_are_released_after_the_lifetimes_of_its_runs_and_calls():
+    phases, actions = successor_after_exit(regular_exit=False)
+    assert not any(isinstance(action, messages.SetLimitShare) for action in actions)
+    assert share_changes(phases, 899.0) == [] and share_changes(phases, 900.0) == [
+        messages.SetLimitShare(1.0, 1.0, 0.95 - 0.4)
+    ]
+    assert share_changes(phases, 4999.0) == [] and share_changes(phases, 5000.0) == [
+        messages.SetLimitShare(1.0, 1.0, 1.0)
+    ]
+    assert share_changes(phases, 9000.0) == []
 
 
-def test_claims_that_are_never_answered_are_bounded_and_past_that_an_attempt_is_given_up_at_once():
+def test_pending_claims_are_bounded_and_further_attempts_are_abandoned_at_once():
     agreement = Agreement(2)
-    claims = [say.Claimed(("pay", f"k{number}"), f"r{number}", 0.0, 1e6, b"") for number in range(3)]
-    assert [agreement.ask(claim, 1000.0) for claim in claims] == [
+    claims = [messages.Claimed(("pay", f"k{number}"), f"r{number}", 0.0, 1e6, b"") for number in range(3)]
+    assert [agreement.request_claim(claim, 1000.0) for claim in claims] == [
         [SendToPeer(claims[0])],
         [SendToPeer(claims[1])],
         [AbandonAttempt("r2")],
--- a/tests/handover/test_model.py
+++ b/tests/handover/test_model.py
@@ -1,6 +1,7 @@
-"""All interleavings of a small model: two processes, a link each way, claims, repeats, ends and a kill at every step.
+"""All interleavings of a small model: two processes, a link in each direction, claims, repeats, ends, and a kill at any
+step.
 
-The parts under test are the real ones (phases, agreement, key table); only planner and network are the model's.
+The phase machine, the agreement and the key table are the real ones; planner and network are simulated.
 """
 
 from __future__ import annotations
@@ -13,55 +14,55 @@
 from flintshift.core.attempts import Attempt
 from flintshift.core.keys import KeyTable
 from flintshift.core.limits import Limits
-from flintshift.handover import messages as say
+from flintshift.handover import messages as messages
 from flintshift.handover.claims import AbandonAttempt, ResumeAttempt, SendToPeer
 from flintshift.handover.phases import PhaseMachine
 from flintshift.handover.shared_keys import FollowerEnded, SharedKeys, key_of
 from flintshift.interface import Effect, Outcome, RequestClass
 
-LIMITS, KIND = Limits(), RequestClass("pay", 500.0, 900.0, 1.0, Effect.KEYED, repeat_window_ms=1e6)
+LIMITS, REQUEST_CLASS = Limits(), RequestClass("pay", 500.0, 900.0, 1.0, Effect.KEYED, repeat_window_ms=1e6)
 
 
 class Process:
-    """A planner in few lines: `refuses` are attempts that the module turns away once they may run."""
+    """A process with a minimal planner. `rejected_ids`: the attempts that the controller rejects once they may run."""
 
-    now = 1e6
+    now_ms = 1e6
 
-    def __init__(self, asks, refuses, everywhere):
-        self.phases, self.keys = PhaseMachine(asks, 0.0, 0.0), KeyTable(LIMITS)
-        self.shared, self.refuses = SharedKeys(self.keys, LIMITS), set(refuses)
-        self.out, self.clients = deque(), not asks
-        self.attempts, self.running, self.ran, self.told = {}, set(), [], {}
-        self.alive, self.everywhere = True, everywhere  # what ran, at both
+    def __init__(self, has_predecessor, rejected_ids, all_runs):
+        self.phases, self.keys = PhaseMachine(has_predecessor, 0.0, 0.0), KeyTable(LIMITS)
+        self.shared, self.rejected_ids = SharedKeys(self.keys, LIMITS), set(rejected_ids)
+        self.outbox, self.accepts_clients = deque(), not has_predecessor
+        self.attempts, self.running, self.started, self.answers = {}, set(), [], {}
+        self.alive, self.all_runs = True, all_runs  # the runs of both processes
 
     def submit(self, attempt):
         self.attempts[attempt.id] = attempt
-        self.take(attempt, False)
+        self.decide(attempt, False)
 
-    def take(self, attempt, agreed):
+    def decide(self, attempt, granted):
         entry = self.keys.find(attempt)
         if entry is not None:
             if entry.outcome is None:
                 entry.followers.append(attempt.id)
             else:
-                self.end(attempt.id, entry.outcome)
+                self.answer(attempt.id, entry.outcome)
             return
-        if not agreed:
-            if self.shared.in_doubt(self.now, attempt):
-                return self.end(attempt.id, Outcome.ERROR)
+        if not granted:
+            if self.shared.in_doubt(self.now_ms, attempt):
+                return self.answer(attempt.id, Outcome.ERROR)
             if self.phases.claims_required:
-                return self.do(self.shared.request_claim(self.now, attempt))
-        if attempt.id in self.refuses:
-            self.end(attempt.id, Outcome.REJECTED)
-            if agreed:
-                self.do([SendToPeer(say.Freed(key_of(attempt), attempt.id))])
+                return self.perform(self.shared.request_claim(self.now_ms, attempt))
+        if attempt.id in self.rejected_ids:
+            self.answer(attempt.id, Outcome.REJECTED)
+            if granted:
+                self.perform([SendToPeer(messages.Freed(key_of(attempt), attempt.id))])
             return
-        self.keys.claim(attempt, self.now + 1e6)
+        self.keys.claim(attempt, self.now_ms + 1e6)
         if self.phases.reports_entries:
-            self.do(self.shared.report_entry(attempt))
-        self.ran.append(attempt.id)
-        self.everywhere.append(attempt.id)
-        assert len(self.everywhere) == 1, f"run twice: {self.everywhere}"
+            self.perform(self.shared.report_entry(attempt))
+        self.started.append(attempt.id)
+        self.all_runs.append(attempt.id)
+        assert len(self.all_runs) == 1, f"run twice: {self.all_runs}"
         self.running.add(attempt.id)
 
     def finish(self, request):
@@ -69,101 +70,109 @@
         attempt = self.attempts[request]
         entry = self.keys.owned_entry(attempt)
         for follower in self.keys.record_outcome(entry, Outcome.OK, b"r"):
-            self.end(follower, Outcome.OK)
+            self.answer(follower, Outcome.OK)
         if self.phases.reports_ends:
-            self.do(self.shared.report_end(attempt))
-        self.told.setdefault(request, "served")
+            self.perform(self.shared.report_end(attempt))
+        self.answers.setdefault(request, "served")
 
-    def end(self, request, outcome):
-        assert outcome is not Outcome.REJECTED or not self.everywhere, f"{request} refused though {self.everywhere} ran"
-        self.told.setdefault(request, {Outcome.OK: "served", Outcome.REJECTED: "refused"}.get(outcome, "failed"))
+    def answer(self, request, outcome):
+        assert outcome is not Outcome.REJECTED or not self.all_runs, f"{request} rejected though {self.all_runs} ran"
+        self.answers.setdefault(request, {Outcome.OK: "served", Outcome.REJECTED: "refused"}.get(outcome, "failed"))
 
-    def do(self, steps):
+    def perform(self, steps):
         for step in steps:
             match step:
-                case SendToPeer(word):
-                    self.out.append(word)
+                case SendToPeer(message):
+                    self.outbox.append(message)
                 case ResumeAttempt(request, granted):
-                    self.take(self.attempts[request], granted)
+                    self.decide(self.attempts[request], granted)
                 case AbandonAttempt(request):
-                    self.told[request] = "failed"
+                    self.answers[request] = "failed"
                 case FollowerEnded(request, outcome):
-                    self.end(request, outcome)
+                    self.answer(request, outcome)
 
-    def hear(self, word):
-        if isinstance(word, say.Claimed | say.Answered | say.Known | say.Over | say.Freed):
-            return self.do(self.shared.on_message(self.now, word, self.phases.senior))
-        for action in self.phases.handle(self.now, word):
+    def receive(self, message):
+        if isinstance(message, messages.Claimed | messages.Answered | messages.Known | messages.Over | messages.Freed):
+            return self.perform(self.shared.on_message(self.now_ms, message, self.phases.senior))
+        for action in self.phases.handle(self.now_ms, message):
             match action:
-                case say.Send(said):
-                    self.out.append(said)
-                case say.SendEntries():
-                    self.out.extend([*self.shared.owned_entries(), say.Copied()])
-                case say.StartAccepting():
-                    self.clients = True
-                case say.StopAccepting():
-                    self.clients = False
-                case say.FailPeerRuns(partial):
-                    self.do(self.shared.on_peer_exit(self.now, partial, 1e6, True))
+                case messages.Send(reply):
+                    self.outbox.append(reply)
+                case messages.SendEntries():
+                    self.outbox.extend([*self.shared.owned_entries(), messages.Copied()])
+                case messages.StartAccepting():
+                    self.accepts_clients = True
+                case messages.StopAccepting():
+                    self.accepts_clients = False
+                case messages.FailPeerRuns(partial):
+                    self.perform(self.shared.on_peer_exit(self.now_ms, partial, 1e6, True))
 
 
 class World:
-    """`left`: what may still happen, each once: tries (process, request), a give-up of waits, one kill."""
+    """Both processes, and what may still happen once: each submission (process, request), an expiry, a kill."""
 
-    def __init__(self, tries, refuses=(), kills=(0, 1), expires=True):
-        ran = []
-        self.sides = [Process(False, refuses, ran), Process(True, refuses, ran)]
-        self.tries, self.kills, self.expires, self.log = list(tries), tuple(kills), expires, []
+    def __init__(self, submissions, rejected_ids=(), killable=(0, 1), may_expire=True):
+        all_runs = []
+        self.sides = [Process(False, rejected_ids, all_runs), Process(True, rejected_ids, all_runs)]
+        self.submissions, self.killable, self.may_expire, self.log = list(submissions), tuple(killable), may_expire, []
         self.notified = False
 
     def attempt(self, request):
-        again = any(side.attempts for side in self.sides)  # the first to come is not marked
+        marked_repeat = any(side.attempts for side in self.sides)  # the first attempt is not marked
         return Attempt(
-            request, "pay", self.sides[0].now, 1.0, 1, b"b", marked_repeat=again, request_key="k", request_class=KIND
+            request,
+            "pay",
+            self.sides[0].now_ms,
+            1.0,
+            1,
+            b"b",
+            marked_repeat=marked_repeat,
+            request_key="k",
+            request_class=REQUEST_CLASS,
         )
 
     def moves(self):
         for number, side in enumerate(self.sides):
             if not side.alive:
                 continue
-            other = self.sides[1 - number]
-            if other.out:
+            peer = self.sides[1 - number]
+            if peer.outbox:
                 yield "deliver", number
-            elif not other.alive and not self.notified:
-                yield "gone", number
+            elif not peer.alive and not self.notified:
+                yield "exited", number
             for request in sorted(side.running):
                 yield "finish", number, request
-            for at, request in self.tries:
-                if at == number and self.reaches(number):
-                    yield "try", number, request
-            if self.expires and side.shared.agreement.pending:
+            for side_number, request in self.submissions:
+                if side_number == number and self.is_reachable(number):
+                    yield "submit", number, request
+            if self.may_expire and side.shared.agreement.pending:
                 yield "expire", number
-            if number in self.kills and all(one.alive for one in self.sides):
+            if number in self.killable and all(one.alive for one in self.sides):
                 yield "kill", number
 
-    def reaches(self, number):
-        """Callers reach who accepts; who accepted before is reached on connections that are still open."""
-        return self.sides[number].clients or number == 0
+    def is_reachable(self, number):
+        """Callers reach a process that accepts clients, and the predecessor on connections that are still open."""
+        return self.sides[number].accepts_clients or number == 0
 
-    def do(self, move):
-        name, number, *more = move
+    def perform(self, move):
+        name, number, *arguments = move
         for one in self.sides:
-            one.now += 300  # more than the slack that times on sockets get
-        side, other = self.sides[number], self.sides[1 - number]
+            one.now_ms += 300  # more than the margin for times on sockets (`key_margin_ms`)
+        side, peer = self.sides[number], self.sides[1 - number]
         match name:
             case "deliver":
-                side.hear(other.out.popleft())
-            case "gone":
+                side.receive(peer.outbox.popleft())
+            case "exited":
                 self.notified = True
-                side.hear(say.PeerExited())
+                side.receive(messages.PeerExited())
             case "finish":
-                side.finish(more[0])
-            case "try":
-                self.tries.remove((number, more[0]))
-                side.submit(self.attempt(more[0]))
+                side.finish(arguments[0])
+            case "submit":
+                self.submissions.remove((number, arguments[0]))
+                side.submit(self.attempt(arguments[0]))
             case "expire":
-                side.do(side.shared.expire(1e9))
-                self.expires = False
+                side.perform(side.shared.expire(1e9))
+                self.may_expire = False
             case "kill":
                 side.alive = False
                 side.running.clear()
@@ -175,63 +184,64 @@
                 (key, entry.owner, entry.outcome, entry.foreign, tuple(entry.followers))
                 for key, entry in side.keys.entries.items()
             )
-            pending = [(key, mine.owner, tuple(mine.waiting)) for key, mine in side.shared.agreement.pending.items()]
+            pending = [(key, claim.owner, tuple(claim.waiting)) for key, claim in side.shared.agreement.pending.items()]
             sides.append(
                 (
                     side.phases.phase,
                     side.phases.pool_up,
-                    side.clients,
-                    tuple(side.out),
+                    side.accepts_clients,
+                    tuple(side.outbox),
                     tuple(entries),
                     tuple(pending),
                     tuple(sorted(side.running)),
-                    tuple(sorted(side.ran)),
-                    tuple(sorted(side.told.items())),
+                    tuple(sorted(side.started)),
+                    tuple(sorted(side.answers.items())),
                     side.alive,
                     side.shared.in_doubt_until_ms > 0,
                 )
             )
-        return tuple(sides), tuple(self.tries), self.expires, self.notified
+        return tuple(sides), tuple(self.submissions), self.may_expire, self.notified
 
-    def settled(self):
-        """Nothing can happen any more: each attempt at a living process has its answer, and somebody takes clients."""
+    def check_final_state(self):
+        """Check a state in which nothing can happen any more: each attempt at a living process has its answer, and a
+        living process accepts clients."""
         for side in self.sides:
             if side.alive:
-                assert side.told.keys() == side.attempts.keys(), f"an attempt has no answer: {self.log}"
+                assert side.answers.keys() == side.attempts.keys(), f"an attempt has no answer: {self.log}"
         alive = [side for side in self.sides if side.alive]
-        assert not alive or any(side.clients for side in alive), f"nobody takes clients: {self.log}"
+        assert not alive or any(side.accepts_clients for side in alive), f"no process accepts clients: {self.log}"
 
 
-def explore(tries, refuses=(), **more):
-    """All reachable states; returns how many there are."""
-    first = World(tries, refuses, **more)
-    first.sides[1].out.append(say.Hello(1))
-    for side in first.sides:
-        side.hear(say.PoolUp())
-    seen, stack, ends = {first.state()}, [first], 0
+def explore(submissions, rejected_ids=(), **arguments):
+    """Visit all reachable states and return how many there are."""
+    initial = World(submissions, rejected_ids, **arguments)
+    initial.sides[1].outbox.append(messages.Hello(1))
+    for side in initial.sides:
+        side.receive(messages.PoolUp())
+    seen, stack, final_states = {initial.state()}, [initial], 0
     while stack:
         world = stack.pop()
         moves = list(world.moves())
         if all(move[0] in ("kill", "expire") for move in moves):
-            world.settled()
-            ends += 1
+            world.check_final_state()
+            final_states += 1
         for move in moves:
-            following = copy.deepcopy(world)
-            following.log.append(move)
+            successor = copy.deepcopy(world)
+            successor.log.append(move)
             try:
-                following.do(move)
+                successor.perform(move)
             except Exception as error:
-                raise AssertionError(f"{error}: {following.log}") from error
-            state = following.state()
+                raise AssertionError(f"{error}: {successor.log}") from error
+            state = successor.state()
             if state not in seen:
                 seen.add(state)
-                stack.append(following)
-    assert ends
+                stack.append(successor)
+    assert final_states
     return len(seen)
 
 
 @pytest.mark.parametrize(
-    ("tries", "refuses"),
+    ("submissions", "rejected_ids"),
     [
         ([(0, "a"), (1, "b")], ()),
         ([(0, "a"), (1, "b")], ("a",)),
@@ -240,8 +250,8 @@
         ([(1, "a"), (1, "b"), (0, "c")], ("b",)),
     ],
 )
-def test_no_key_runs_twice_none_that_ran_is_refused_and_none_is_left_waiting(tries, refuses):
-    assert explore(tries, refuses) > 100
+def test_no_key_runs_twice_none_that_ran_is_rejected_and_every_attempt_is_answered(submissions, rejected_ids):
+    assert explore(submissions, rejected_ids) > 100
 
 
 def test_the_model_finds_a_second_run_where_claims_are_not_agreed(monkeypatch):
@@ -250,8 +260,8 @@
         explore([(0, "a"), (1, "b")])
 
 
-@pytest.mark.parametrize(("senior", "found"), [(False, "has no answer"), (True, "has no answer|run twice")])
-def test_the_model_finds_what_goes_wrong_where_no_claim_comes_first(monkeypatch, senior, found):
+@pytest.mark.parametrize(("senior", "message_pattern"), [(False, "has no answer"), (True, "has no answer|run twice")])
+def test_the_model_finds_the_errors_if_neither_or_both_claims_win(monkeypatch, senior, message_pattern):
     monkeypatch.setattr(PhaseMachine, "senior", property(lambda self: senior))
-    with pytest.raises(AssertionError, match=found):
+    with pytest.raises(AssertionError, match=message_pattern):
         explore([(0, "a"), (1, "b")])
