--- a/flintshift/handover/messages.py
+++ b/flintshift/handover/messages.py
@@ -24,9 +24,9 @@
     ALONE = "alone"  # there is no other process
     GIVING = "giving"  # the successor copies the key table
     SHEDDING = "shedding"  # the successor accepts the clients
-    ASKING = "asking"  # hello is sent, and the welcome not received
-    COPYING = "copying"  # the entries of the key table are received
-    COPIED = "copied"  # this process's worker pool is not up yet
+    ASKING = "asking"  # the hello is sent; the welcome is awaited
+    COPYING = "copying"  # the entries of the key table are being received
+    COPIED = "copied"  # all entries are received, and this process's worker pool is not up yet
     WAITING = "waiting"  # for the predecessor to stop accepting
     SERVING = "serving"  # accepts the clients while the predecessor finishes its own
 
--- a/flintshift/handover/phases.py
+++ b/flintshift/handover/phases.py
@@ -165,7 +165,7 @@
                 if phase is Phase.GIVING:  # a successor without the whole key table accepts no clients
                     return self._on_peer_exit(now_ms)
                 if phase in (Phase.ALONE, Phase.SHEDDING, Phase.SERVING):
-                    return []  # until the other has ended, claims get no answer, and clients stay where they are
+                    return []  # until the other has ended, no key can be claimed, and clients stay where they are
                 self.link_loss = now_ms, cause  # if the process has ended, that is reported soon
                 return []
             case Left():
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -67,19 +67,21 @@
     result = (await ask(first, "done-before")).body
     predecessor.pool.plan = {}
     running = await site.connect()
-    rid = submit(running, "runs-at-the-older")
+    rid = submit(running, "runs-at-the-predecessor")
     await predecessor.pool.log.until(lambda entry: entry["rid"] == rid if "rid" in entry else False)
     successor = await site.start()
     new_connections = [await site.connect() for _ in range(6)]
     assert (await ask(new_connections[0], "done-before", **{"X-Again": "1"})).body == result
-    submit(new_connections[1], "runs-at-the-older", **{"X-Again": "1"})  # it waits for the run in the other process
+    submit(
+        new_connections[1], "runs-at-the-predecessor", **{"X-Again": "1"}
+    )  # it waits for the run in the other process
     await successor.until("repeats", 2)
     predecessor.pool.finish(rid)
     assert (await new_connections[1].reply()).body == (await running.reply()).body == f"result of {rid}\n".encode()
     successor.pool.plan = {}
-    rid = submit(new_connections[2], "runs-at-the-new")
+    rid = submit(new_connections[2], "runs-at-the-successor")
     await successor.pool.log.until(lambda entry: entry.get("rid") == rid)
-    submit(idle[0], "runs-at-the-new", **{"X-Again": "1"})
+    submit(idle[0], "runs-at-the-successor", **{"X-Again": "1"})
     await predecessor.until("repeats")
     successor.pool.finish(rid)
     assert (await new_connections[2].reply()).body == (await idle[0].reply()).body == f"result of {rid}\n".encode()
@@ -90,7 +92,7 @@
         submit(new_caller, f"both-{number}", **{"X-Again": "1"})
         replies = [await old_caller.reply(), await new_caller.reply()]
         assert [reply.status for reply in replies] == [200, 200] and replies[0].body == replies[1].body
-    assert (await ask(idle[4], "runs-at-the-new", body=b"another")).status == 409
+    assert (await ask(idle[4], "runs-at-the-successor", body=b"another")).status == 409
     assert len(site.runs()) == len(set(site.runs())) == 6
 
 
