--- a/flintshift/handover/messages.py
+++ b/flintshift/handover/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the two processes of an upgrade, and events and actions of their phase machine.
+"""The messages between the two processes of an upgrade, and the events and actions of their phase machine.
 
-A key is scoped by its class. Times are milliseconds of the node's clock: the welcome tells the successor how far that
-is ahead of the machine's monotonic clock, so that both processes go by one, whatever steps the wall clock made.
+A key is scoped by its class. Times are milliseconds of the node's clock. The welcome tells the successor how far that
+is ahead of the machine's monotonic clock, so that both processes use one clock, however the wall clock was adjusted.
 """
 
 from __future__ import annotations
@@ -15,82 +15,86 @@
 
 VERSION = 1
 
-Key = tuple[str, str]  # the class and the caller's word
+Key = tuple[str, str]  # the name of the class, and the key that the caller gave
 
 
 class Phase(Enum):
-    ALONE = "alone"
-    GIVING = "giving"  # a successor copies the keys
-    SHEDDING = "shedding"  # the successor takes the clients
-    ASKING = "asking"
-    COPYING = "copying"
-    COPIED = "copied"  # the own worker pool is not up yet
+    """The phase of one process. A predecessor passes GIVING and SHEDDING, a successor ASKING to SERVING."""
+
+    ALONE = "alone"  # there is no other process
+    GIVING = "giving"  # the successor copies the key table
+    SHEDDING = "shedding"  # the successor accepts the clients
+    ASKING = "asking"  # the hello is sent; the welcome is awaited
+    COPYING = "copying"  # the entries of the key table are being received
+    COPIED = "copied"  # all entries are received, and this process's worker pool is not up yet
     WAITING = "waiting"  # for the predecessor to stop accepting
-    SERVING = "serving"  # beside a predecessor that sheds
+    SERVING = "serving"  # accepts the clients while the predecessor finishes its own
 
 
-# Words on the link. A reader takes nothing that is not of these types.
+# Messages on the link. A reader rejects everything else.
 
 
-class _Word(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
     pass
 
 
-class Hello(_Word, frozen=True):
+class Hello(_Message, frozen=True):
+    """The first message of a successor."""
+
     version: int
 
 
-class Welcome(_Word, frozen=True):
-    """With the listening sockets, in the order of the fronts."""
+class Welcome(_Message, frozen=True):
+    """The reply to the hello; it carries the listening sockets, in the order of the fronts."""
 
     version: int
-    out: bool  # of service
-    ahead_ms: float | None = None  # the node's clock, of the monotonic one; None: an older version does not tell
+    out_of_service: bool
+    clock_ahead_ms: float | None = None  # of the node's clock over the monotonic one; None from older versions
 
 
-class Known(_Word, frozen=True):
+class Known(_Message, frozen=True):
     """An entry of the key table."""
 
     key: Key
     owner: str
     live_until_ms: float
-    print: bytes
-    outcome: Outcome | None  # of its run; None: it is not over
+    fingerprint: bytes
+    outcome: Outcome | None  # of the run; None while it runs
     result: bytes
 
 
-class Copied(_Word, frozen=True):
-    """All entries have been told."""
+class Copied(_Message, frozen=True):
+    """All entries have been sent."""
 
 
-class Ready(_Word, frozen=True):
-    """The successor can take the clients."""
+class Ready(_Message, frozen=True):
+    """The successor can accept the clients."""
 
 
-class Yours(_Word, frozen=True):
-    """The predecessor accepts no more."""
+class Yours(_Message, frozen=True):
+    """The predecessor accepts no more clients: the successor does from now on."""
 
 
-class Claimed(_Word, frozen=True):
-    """May this attempt run under this key?"""
+class Claimed(_Message, frozen=True):
+    """Asks whether this attempt may run under this key."""
 
     key: Key
     owner: str
-    door_ms: float  # when it came to the machine
+    arrival_ms: float  # when it arrived at the machine
     live_until_ms: float
-    print: bytes
+    fingerprint: bytes
 
 
-class Answered(_Word, frozen=True):
-    """Whether it may; if not, what holds the key was told before."""
+class Answered(_Message, frozen=True):
+    """Whether the claim is granted. If not, the entry of the key was sent before."""
 
     key: Key
     owner: str
     granted: bool
 
 
-class Over(_Word, frozen=True):
-    """A run that was claimed is over."""
+class Over(_Message, frozen=True):
+    """A run whose key was claimed has ended."""
 
     key: Key
     owner: str
@@ -99,40 +103,40 @@
     result: bytes
 
 
-class Freed(_Word, frozen=True):
-    """What was claimed never ran."""
+class Freed(_Message, frozen=True):
+    """The attempt that claimed the key never ran."""
 
     key: Key
     owner: str
 
 
-class Load(_Word, frozen=True):
-    """The parts of the node's limits that the predecessor keeps, from 0 to 1, and its open connections."""
+class Load(_Message, frozen=True):
+    """The shares of the node's limits that the predecessor keeps, from 0 to 1, and its open connections."""
 
-    crowd: float
+    concurrency: float
     memory: float
     calls: float
     connections: int
 
 
-class Learned(_Word, frozen=True):
-    """What the predecessor's decisions have learned of the machine, as ``interface.LearnedEstimates`` has it."""
+class Learned(_Message, frozen=True):
+    """The estimates that the predecessor's controller has learned, as in ``interface.LearnedEstimates``."""
 
-    limit: float
+    run_limit: float
     run_ms: dict[str, float]
 
 
-class Service(_Word, frozen=True):
-    """An operator's word came to the older's door."""
+class Service(_Message, frozen=True):
+    """An operator took the node in or out of service at the predecessor's control address."""
 
-    out: bool
+    out_of_service: bool
 
 
-class Left(_Word, frozen=True):
-    """This process ends in good order: all that it ran has been told."""
+class Left(_Message, frozen=True):
+    """This process shuts down regularly: the ends of all its runs have been sent."""
 
 
-Word = (
+Message = (
     Hello
     | Welcome
     | Known
@@ -150,7 +154,7 @@
 )
 
 
-# What the phase machine is told, beside words.
+# Events of the phase machine, beside the messages.
 
 
 @dataclass(frozen=True, slots=True)
@@ -159,99 +163,112 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerGone:
+class PeerExited:
     """The other process has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkEnded:
-    """The link broke; the other process may live."""
+    """The link broke; the other process may still live."""
 
     cause: str
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
-    """An operator's word at this process's door."""
+class OperatorCommand:
+    """An operator took the node in or out of service at this process's control address."""
 
-    out: bool
+    out_of_service: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Used:
-    """What this process uses now, and has learned; told again and again."""
+class UsageUpdate:
+    """What this process uses now and has learned. It is sent periodically."""
 
     load: Load
     learned: Learned
 
 
-Event = Word | PoolUp | PeerGone | LinkEnded | Operator | Used
+Event = Message | PoolUp | PeerExited | LinkEnded | OperatorCommand | UsageUpdate
 
 
-# What it answers.
+# Actions that the phase machine returns.
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    word: Word
+    """Send a message to the other process."""
+
+    message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class SendCopy:
+class SendEntries:
     """Send every live entry of the key table, then `Copied`."""
 
 
 @dataclass(frozen=True, slots=True)
-class TakeClients:
-    """Accept, report to the name service, be ready."""
+class StartAccepting:
+    """Accept clients, report to the name service, answer that this process is ready."""
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveClients:
-    """Accept no more, say nothing to the name service, close connections with their next answer."""
+class StopAccepting:
+    """Accept no more clients, stop reports to the name service, close connections after their next answer."""
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """The parts of the node's limits that are this process's, and how many connections the other holds."""
+class SetLimitShare:
+    """Set this process's shares of the node's limits, and the number of the other's open connections."""
 
-    crowd: float
+    concurrency: float
     memory: float
     calls: float
-    others: int = 0
+    peer_connections: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class LosePeer:
-    """The other is gone: its unended runs are lost. ``partial``: keys may be unknown here."""
+class FailPeerRuns:
+    """Fail the unfinished runs of the other process, which has ended. ``partial``: some of its keys may be unknown."""
 
     partial: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Serve:
-    """Be in or out of service, as the operators last said."""
+class SetServiceState:
+    """Take the node in or out of service, as the operators last asked."""
 
-    out: bool
+    out_of_service: bool
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUpStart:
-    """This process can't take over, and has taken no client yet: it ends."""
+class AbortStart:
+    """End this process: it can't take over, and has accepted no client yet."""
 
     cause: str
 
 
 @dataclass(frozen=True, slots=True)
-class Learn:
-    """Begin with what the predecessor has learned."""
+class ApplyEstimates:
+    """Start with the estimates of the predecessor."""
 
     learned: Learned
 
 
 @dataclass(frozen=True, slots=True)
-class OpenPath:
-    """A successor may come from now on."""
-
-
-Action = Send | SendCopy | TakeClients | LeaveClients | Keep | LosePeer | Serve | GiveUpStart | Learn | OpenPath
+class ListenForSuccessor:
+    """Listen for a successor from now on."""
+
+
+Action = (
+    Send
+    | SendEntries
+    | StartAccepting
+    | StopAccepting
+    | SetLimitShare
+    | FailPeerRuns
+    | SetServiceState
+    | AbortStart
+    | ApplyEstimates
+    | ListenForSuccessor
+)
--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -26,7 +26,7 @@
 from flintshift.settings.options import CopiesOptions
 from flintshift.storage.files import Files
 from flintshift.storage.log import BrokenLogError
-from flintshift.wire.peer_codec import entry_bytes, entry_from
+from flintshift.wire.peer_codec import decode_entry, encode_entry
 
 PURGE_INTERVAL_MS = 1000.0
 MAX_SEGMENT_AGE_MS = 30_000.0  # after this time a new segment of the log is begun, whatever its size
@@ -107,8 +107,8 @@
             time.time() * 1000,
             boot_id(),
             self.options.durability == "power-cut",
-            entry_bytes,
-            entry_from,
+            encode_entry,
+            decode_entry,
         )
         recovered, state, now = self.folder.recovered, self.folder.state, self.now_ms()
         known_stores = self.registers.stores
--- a/flintshift/lifecycle/replication.py
+++ b/flintshift/lifecycle/replication.py
@@ -54,7 +54,7 @@
 from flintshift.storage.files import DiskFiles, Files, LockedError
 from flintshift.wire.acceptor import open_listener
 from flintshift.wire.failures import is_transient
-from flintshift.wire.peer_link import Greeting, OutLink, PeerFront
+from flintshift.wire.peer_link import Handshake, OutgoingLink, PeerListener
 
 if TYPE_CHECKING:
     from flintshift.lifecycle.ledger_replication import LedgerReplication
@@ -110,9 +110,9 @@
             self.identity, halls, membership.HeartbeatTiming(peers.beat_ms, peers.lease_ms), self.now_ms()
         )
         self.proposals = Proposals(self.identity, self.placement, self._is_alive, self.rng)
-        greeting = self.greeting = Greeting(name, self.identity, peers.epoch, members_digest(peers))
+        greeting = self.greeting = Handshake(name, self.identity, peers.epoch, members_digest(peers))
         self.links = {
-            member: OutLink(
+            member: OutgoingLink(
                 member,
                 address,
                 limits,
@@ -126,7 +126,7 @@
             )
             for member, (_, address) in {**peers.members, name: (halls[name], peers.listen)}.items()
         }
-        self.front = PeerFront(
+        self.front = PeerListener(
             limits,
             counters,
             greeting,
@@ -292,7 +292,7 @@
         for action in self.members.handle(self.now_ms(), event):
             match action:
                 case membership.SendHeartbeat(to):
-                    self.links[to].beat()
+                    self.links[to].send_heartbeat()
                 case membership.Accuse():
                     for link in self.links.values():
                         link.send(action, self.now_ms(), False)
@@ -315,7 +315,7 @@
         """Handle the hello of the process at the other end of a link, whichever end opened it."""
         self.store.on_hello(member, hello.store, hello.known_store)
         self._handle_membership_event(membership.MessageReceived(hello.identity))
-        self.links[member].hurry()
+        self.links[member].retry_now()
 
     def _on_link_refused(self, cause: str) -> None:
         self.log("warning", "peers.link_refused", cause=cause)
@@ -436,7 +436,7 @@
                     except OSError as error:
                         self.log("error", "copies.not_taken_over", cause=str(error))
             tasks.cancel_scope.cancel()
-        self.links[self.name].wire = None
+        self.links[self.name].connection = None
         self.reached.discard(self.name)
         self.log("info", "copies.taken_over", cause="the process that owned the store has ended")
 
@@ -452,7 +452,7 @@
         """Check links, membership, ledgers, start permits and the store."""
         now = self.now_ms()
         for link in self.links.values():
-            link.watch(now)
+            link.check_timeout(now)
         self._handle_membership_event(membership.Tick())
         if self.ledger_replication is not None:
             self.ledger_replication.tick()
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -18,45 +18,45 @@
 from flintshift.core.limit_share import LimitShare
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log
-from flintshift.handover.claims import GiveUp, GoOn, Say
+from flintshift.handover.claims import AbandonAttempt, ResumeAttempt, SendToPeer
 from flintshift.handover.messages import (
+    AbortStart,
     Action,
     Answered,
+    ApplyEstimates,
     Claimed,
     Event,
+    FailPeerRuns,
     Freed,
-    GiveUpStart,
-    Keep,
     Known,
-    Learn,
     Learned,
-    LeaveClients,
     LinkEnded,
+    ListenForSuccessor,
     Load,
-    LosePeer,
-    OpenPath,
-    Operator,
+    Message,
+    OperatorCommand,
     Over,
-    PeerGone,
+    PeerExited,
     Phase,
     PoolUp,
     Send,
-    SendCopy,
-    Serve,
-    TakeClients,
-    Used,
+    SendEntries,
+    SetLimitShare,
+    SetServiceState,
+    StartAccepting,
+    StopAccepting,
+    UsageUpdate,
     Welcome,
-    Word,
 )
-from flintshift.handover.phases import Phases, WordError
-from flintshift.handover.shared_keys import End, SharedKeys, Step, key_of
+from flintshift.handover.phases import PhaseMachine, UnexpectedMessageError
+from flintshift.handover.shared_keys import FollowerEnded, SharedKeys, Step, key_of
 from flintshift.interface import Outcome
 from flintshift.lifecycle.clock import Clock
 from flintshift.lifecycle.config import Config
 from flintshift.lifecycle.start_retry import StartRetry
 from flintshift.wire.acceptor import open_listener
 from flintshift.wire.front import Front
-from flintshift.wire.handover import Link, UpgradeError, join, meeting_path
+from flintshift.wire.handover import HandoverLink, UpgradeError, handover_socket_path, join_predecessor
 from flintshift.wire.link import CONNECTION_ERRORS
 from flintshift.wire.unix import open_unix_listener
 
@@ -88,9 +88,9 @@
         self.node, self.limits, self.log = node, node.limits, node.log
         self.decisions, self.now_ms = node.decisions, node.now_ms
         self.shared = SharedKeys(node.decisions.keys, node.limits)
-        self.path = meeting_path(node.config.name, node.config.listen)
-        self.link: Link | None = None
-        self.phases = Phases(False, 0.0, 0.0)
+        self.path = handover_socket_path(node.config.name, node.config.listen)
+        self.link: HandoverLink | None = None
+        self.phases = PhaseMachine(False, 0.0, 0.0)
         self.used_ms = 0.0
         self.meeting = anyio.CancelScope()
         self.keys_elsewhere = False  # keys are agreed with the whole fleet: nothing of them is told here
@@ -109,9 +109,9 @@
         runs_ms = max(kind.aim_ms for kind in settings.classes)  # what runs longer is rare, and answered by then
         calls_ms = settings.call_window_ms + settings.linger_ms
         while not self.sockets:
-            self.link = await join(self.path, self.limits)
+            self.link = await join_predecessor(self.path, self.limits)
             if self.link is not None:
-                self.phases = Phases(True, runs_ms, calls_ms)
+                self.phases = PhaseMachine(True, runs_ms, calls_ms)
                 self.sockets = self.link.sockets
                 self._join_clock(self.link)
                 if len(self.sockets) != len(self.node.fronts):
@@ -120,7 +120,7 @@
                         f"{len(self.node.fronts)}: change them at a restart"
                     )
                 break
-            self.phases = Phases(False, runs_ms, calls_ms)
+            self.phases = PhaseMachine(False, runs_ms, calls_ms)
             try:
                 self.sockets = [open_listener(at_, self.limits.listen_backlog) for _, at_ in self.node.fronts]
             except OSError as error:  # held by one that leaves and gives no word any more, or refused for a moment
@@ -133,11 +133,11 @@
                 front.resume_accepting()
         self.log("info", "upgrade.began", phase=self.phases.phase.value, path=str(self.path))
 
-    def _join_clock(self, link: Link) -> None:
+    def _join_clock(self, link: HandoverLink) -> None:
         """Go by the clock of the process that serves: windows are told by it."""
-        for word in link.early:
-            if isinstance(word, Welcome) and word.ahead_ms is not None:
-                self.now_ms.join(word.ahead_ms)
+        for word in link.early_messages:
+            if isinstance(word, Welcome) and word.clock_ahead_ms is not None:
+                self.now_ms.join(word.clock_ahead_ms)
 
     async def run(self) -> None:
         async with anyio.create_task_group() as links:
@@ -172,11 +172,11 @@
             await anyio.sleep(self.limits.backoff_ms / 1000)
             return
         assert isinstance(stream, UNIXSocketStream)
-        if not self.phases.welcomes or self.decisions.serving_status.draining:
+        if not self.phases.accepts_successor or self.decisions.serving_status.draining:
             await stream.aclose()
             return
         try:
-            link = Link(stream, self.limits)
+            link = HandoverLink(stream, self.limits)
         except CONNECTION_ERRORS:
             self.node.counters.add("upgrade.not_watched")
             await stream.aclose()
@@ -191,12 +191,12 @@
         if self.link is not None:
             await self.link.close()
 
-    async def _meet(self, link: Link) -> None:
-        async def heard(word: Word) -> None:
+    async def _meet(self, link: HandoverLink) -> None:
+        async def heard(word: Message) -> None:
             await self.decisions.report(at.MessageReceived((link, word)))
 
         async def gone() -> None:
-            await self.decisions.report(at.MessageReceived((link, PeerGone())))
+            await self.decisions.report(at.MessageReceived((link, PeerExited())))
 
         async def ended(cause: str) -> None:
             self.log("info", "upgrade.link_ended", phase=self.phases.phase.value, cause=cause)
@@ -207,12 +207,12 @@
 
     # The planner's port. All of it happens in a turn of the planner.
 
-    def on_message(self, told: tuple[Link | None, Event]) -> None:
+    def on_message(self, told: tuple[HandoverLink | None, Event]) -> None:
         link, word = told
         if link is not None and link is not self.link:
             return  # of a meeting that is over
         if isinstance(word, Claimed | Answered | Known | Over | Freed):
-            self._do(self.shared.heard(self.now_ms(), word, self.phases.senior))
+            self._do(self.shared.on_message(self.now_ms(), word, self.phases.senior))
         else:
             self._step(word)
 
@@ -223,30 +223,30 @@
 
     @property
     def required(self) -> bool:
-        return self.phases.agreeing
+        return self.phases.claims_required
 
     def in_doubt(self, attempt: Attempt) -> bool:
-        return self.shared.unsure(self.now_ms(), attempt)
+        return self.shared.in_doubt(self.now_ms(), attempt)
 
     def request_claim(self, attempt: Attempt) -> None:
-        self._do(self.shared.ask(self.now_ms(), attempt))
+        self._do(self.shared.request_claim(self.now_ms(), attempt))
 
     def cancel_claim(self, request: str) -> None:
-        self.shared.agreement.departed(request)
+        self.shared.agreement.cancel_wait(request)
 
     def on_key_claimed(self, attempt: Attempt) -> None:
-        if self.phases.tells_entries:
-            self._do(self.shared.told_entry(attempt))
+        if self.phases.reports_entries:
+            self._do(self.shared.report_entry(attempt))
 
     def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
         return False  # the other is told of the end as the caller is answered
 
     def on_run_ended(self, attempt: Attempt) -> None:
-        if self.phases.tells_ends:
-            self._do(self.shared.told_end(attempt))
+        if self.phases.reports_ends:
+            self._do(self.shared.report_end(attempt))
 
     def on_key_freed(self, attempt: Attempt) -> None:
-        if self.phases.tells_ends:
+        if self.phases.reports_ends:
             self._send(Freed(key_of(attempt), attempt.id))
 
     def tick(self) -> None:
@@ -258,7 +258,7 @@
             connections = sum(len(front.connections) for front, _ in self.node.fronts)
             learned = self.decisions.controller.learned_estimates()
             self._step(
-                Used(
+                UsageUpdate(
                     Load(used.concurrency, used.memory, used.calls, connections),
                     Learned(learned.run_limit, learned.run_ms),
                 )
@@ -271,7 +271,7 @@
 
     def serve(self, out: bool) -> None:
         """An operator's word at this process's door."""
-        self._step(Operator(out))
+        self._step(OperatorCommand(out))
 
     # What is answered.
 
@@ -279,10 +279,10 @@
         before = self.phases.phase
         try:
             actions = self.phases.handle(self.now_ms(), event)
-        except WordError as error:
+        except UnexpectedMessageError as error:
             self.log("error", "upgrade.word_refused", cause=str(error))
             if self.link is not None:
-                self.link.break_off()
+                self.link.abort()
             return
         for action in actions:
             self._act(action)
@@ -296,29 +296,29 @@
                 self._send(Welcome(version, out, -self.now_ms.steady_ms(0.0)))
             case Send(word):
                 self._send(word)
-            case SendCopy():
+            case SendEntries():
                 if self.link is not None:
-                    self.link.send_copy(iter(()) if self.keys_elsewhere else self.shared.copy())
-            case TakeClients():
+                    self.link.send_entries(iter(()) if self.keys_elsewhere else self.shared.owned_entries())
+            case StartAccepting():
                 self.node.take_clients()
-            case LeaveClients():
+            case StopAccepting():
                 self.node.leave_clients()
-            case Keep(crowd, memory, calls, others):
+            case SetLimitShare(crowd, memory, calls, others):
                 self.decisions.set_limit_share(LimitShare(crowd, memory, calls))
                 for front, _ in self.node.fronts:
                     front.other_process_open_count = others
-            case Learn(learned):
+            case ApplyEstimates(learned):
                 self.decisions.pending.append(
-                    at.LearnedStateReceived(api.LearnedEstimates(learned.limit, learned.run_ms))
+                    at.LearnedStateReceived(api.LearnedEstimates(learned.run_limit, learned.run_ms))
                 )
-            case LosePeer(partial):
+            case FailPeerRuns(partial):
                 self._lose(partial)
-            case Serve(out):
+            case SetServiceState(out):
                 self.node.decisions.serving_status.out_of_service = out
                 self.node.tell_lists()
-            case GiveUpStart(cause):
+            case AbortStart(cause):
                 self.node.give_up(UpgradeError(cause))
-            case OpenPath():
+            case ListenForSuccessor():
                 self.opened.set()
 
     def _lose(self, partial: bool) -> None:
@@ -328,20 +328,20 @@
         for front, _ in self.node.fronts:
             front.other_process_open_count = 0
         if not self.keys_elsewhere:
-            self._do(self.shared.alone(self.now_ms(), partial, window, settings.marks_repeats))
+            self._do(self.shared.on_peer_exit(self.now_ms(), partial, window, settings.marks_repeats))
 
     def _do(self, steps: list[Step]) -> None:
         for step in steps:
             match step:
-                case Say(word):
+                case SendToPeer(word):
                     self._send(word)
-                case GoOn(request, granted):
+                case ResumeAttempt(request, granted):
                     self.decisions.pending.append(at.ClaimAnswered(request, granted))
-                case GiveUp(request):
+                case AbandonAttempt(request):
                     self.decisions.pending.append(at.ClaimAnswered(request, None))
-                case End(request, outcome, result):
+                case FollowerEnded(request, outcome, result):
                     self.decisions.pending.append(at.RunFinished(request, outcome, 0.0, result))
 
-    def _send(self, word: Word) -> None:
+    def _send(self, word: Message) -> None:
         if self.link is not None:
             self.link.send(word)
--- a/tests/core/test_waiting_claims.py
+++ b/tests/core/test_waiting_claims.py
@@ -133,6 +133,6 @@
     shared, now_ms = SharedKeys(KeyTable(limits), limits), 1e6
     attempt = at.Attempt("a", "pay", now_ms, 10.0, 1, b"", request_key="k", caller_timeout_ms=caller_timeout_ms)
     attempt.request_class = RequestClass("pay", 500.0, 900.0, 1.0, Effect.KEYED, repeat_window_ms=1e6)
-    shared.ask(now_ms, attempt)
+    shared.request_claim(now_ms, attempt)
     (claim,) = shared.agreement.pending.values()
     assert claim.waiting == {"a": now_ms + waits_ms}
