--- a/tests/control/test_admission.py
+++ b/tests/control/test_admission.py
@@ -214,7 +214,9 @@
 
 
 @pytest.mark.parametrize("valuable_per_turn", [1, 2])
-def test_a_class_of_low_worth_is_not_starved_by_one_of_high_worth_that_could_fill_the_cores(make_server, valuable_per_turn):
+def test_a_class_of_low_worth_is_not_starved_by_one_of_high_worth_that_could_fill_the_cores(
+    make_server, valuable_per_turn
+):
     server = make_server(cores=1, classes=[SAFE, replace(SAFE, name="dear", worth=5.0)])
     running: list[tuple[str, str]] = []
     started = {"look": 0, "dear": 0}
--- a/tests/control/test_fleet_totals.py
+++ b/tests/control/test_fleet_totals.py
@@ -31,9 +31,7 @@
 
 @pytest.mark.parametrize("nodes", [20, 30])
 @pytest.mark.parametrize("share", [0.4, 1.0, 3.0])
-def test_a_fleet_that_starts_cold_and_is_restarted_keeps_to_the_sum_of_its_call_shares(
-    make_server, nodes, share
-):
+def test_a_fleet_that_starts_cold_and_is_restarted_keeps_to_the_sum_of_its_call_shares(make_server, nodes, share):
     random_source, calls = random.Random(nodes), []
     for _ in range(nodes):
         started_ms = 1000.0
--- a/tests/control/test_health_and_idle_connections.py
+++ b/tests/control/test_health_and_idle_connections.py
@@ -39,7 +39,9 @@
 
 
 def test_health_checks_are_answered_from_store_where_deep_checks_cost_work(make_server):
-    assert of_type(make_server(deep_checks=True).start_actions, api.SetHealth) == [api.SetHealth(healthy=True, from_store=True)]
+    assert of_type(make_server(deep_checks=True).start_actions, api.SetHealth) == [
+        api.SetHealth(healthy=True, from_store=True)
+    ]
     assert not of_type(make_server().start_actions, api.SetHealth)
 
 
