--- a/flintshift/interface.py
+++ b/flintshift/interface.py
@@ -1,6 +1,7 @@
 """The interface of the decision module: settings, events and actions.
 
-Everything the controller is told and everything it may answer is declared here; nothing is decided here.
+Everything that the host reports to the controller, and every action that the controller may ask for, is declared
+here; nothing is decided here.
 All times are milliseconds, all sizes kilobytes. A default states what a setting or field means when the
 host does not give it.
 """
--- a/tests/control/test_admission.py
+++ b/tests/control/test_admission.py
@@ -34,9 +34,9 @@
 def test_the_highest_worth_goes_first(make):
     server = make()
     running = server.fill()
-    dear, actions = server.arrive("buy")
+    valuable, actions = server.arrive("buy")
     assert not of_type(actions, api.Run)
-    assert api.Run(dear) in server.ends(running[0])
+    assert api.Run(valuable) in server.ends(running[0])
 
 
 def test_work_that_can_not_end_in_time_is_rejected_early(make):
