--- a/flintshift/startup/permits.py
+++ b/flintshift/startup/permits.py
@@ -203,8 +203,7 @@
     def _expire(self, now_ms: float) -> None:
         for by in [by for by, until_ms in self.granted_until_ms.items() if until_ms <= now_ms or not self.is_alive(by)]:
             del self.granted_until_ms[by]
-        expired_ms = (
-            now_ms - 4 * self.timing.retry_ms
-        )  # without a request since then it asks another member, or is dead
+        # A process that has sent no request since then asks another member, or is dead.
+        expired_ms = now_ms - 4 * self.timing.retry_ms
         for by in [by for by, one in self.waiting.items() if one.requested_ms < expired_ms or not self.is_alive(by)]:
             del self.waiting[by]
--- a/flintshift/storage/log.py
+++ b/flintshift/storage/log.py
@@ -134,7 +134,7 @@
 
 
 def _check_order(path: Path, batch: list[Record], position: LogPosition) -> None:
-    """Check that sequences have no gap and epochs don't decrease, and move the position behind the batch."""
+    """Check that sequences have no gap and epochs don't decrease, and advance the position past the batch."""
     expected, last_epoch, size, overhead = position.next_sequence, position.epoch, position.size, frames.OVERHEAD_BYTES
     for sequence, epoch, _, payload in batch:
         if sequence != expected or epoch < last_epoch:
@@ -236,7 +236,7 @@
             return self.append(items)
 
     def repair(self) -> None:
-        """Remove what a failed append may have left, so that the segment can be used again; does nothing if no append
+        """Remove what a failed append may have written, so that the segment is usable again; does nothing if no append
         failed.
 
         Raises:
