--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -72,9 +72,7 @@
     successor = await site.start()
     new_connections = [await site.connect() for _ in range(6)]
     assert (await ask(new_connections[0], "done-before", **{"X-Again": "1"})).body == result
-    submit(
-        new_connections[1], "runs-at-the-predecessor", **{"X-Again": "1"}
-    )  # it waits for the run in the other process
+    submit(new_connections[1], "runs-at-the-predecessor", **{"X-Again": "1"})  # it waits for that run
     await successor.until("repeats", 2)
     predecessor.pool.finish(rid)
     assert (await new_connections[1].reply()).body == (await running.reply()).body == f"result of {rid}\n".encode()
