--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -36,8 +36,8 @@
 )
 from flintshift.startup.registration import ListService, Registration
 from flintshift.wire import standard_error
-from flintshift.wire.acceptor import Acceptor, listening_in_time
-from flintshift.wire.fields import Fields
+from flintshift.wire.acceptor import Acceptor, open_listener_with_retries
+from flintshift.wire.fields import AttemptBuilder
 from flintshift.wire.front import Front
 from flintshift.wire.http_front import HttpFront
 from flintshift.wire.names import NameService
@@ -47,12 +47,12 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from flintshift.lifecycle.books import Books
-    from flintshift.lifecycle.copying import Copying
     from flintshift.lifecycle.fair_door import FairDoor
+    from flintshift.lifecycle.replication import ReplicationService
     from flintshift.lifecycle.start_permits import StartPermits
     from flintshift.lifecycle.starting import Starting
     from flintshift.lifecycle.upgrade import Upgrade
+    from flintshift.lifecycle.usage_recording import LedgerRecorder
     from flintshift.startup.backoff import Uniform
     from flintshift.usage.ledger import Ledger
     from flintshift.wire.control_front import ControlFront
@@ -100,7 +100,7 @@
         self.decisions.runs.workers, self.decisions.runs.vault_calls = {"pool": self.pool}, self.vault
         self.names = NameService(config.naming, config.name, limits, counters)
         self.lists.append(self.names)
-        self.fields = Fields(self.catalogue, limits, now_ms, now_ms.age_ms)
+        self.fields = AttemptBuilder(self.catalogue, limits, now_ms, now_ms.age_ms)
         most = limits.http_connections if config.operators.uwsgi is None else limits.http_connections_beside_uwsgi
         http = HttpFront(self.fields, self.decisions, limits, counters, now_ms, most, self.pool.verify)
         self.fronts.append((http, config.listen))
@@ -109,9 +109,9 @@
     def _wire_operators(self, options: Operators) -> None:
         """The parts that the operators' file switches on; each is imported only then."""
         self.ledger: Ledger | None = None
-        self.books: Books | None = None
+        self.books: LedgerRecorder | None = None
         self.fair: FairDoor | None = None
-        self.copying: Copying | None = None
+        self.copying: ReplicationService | None = None
         self.starting: Starting | None = None
         self.permits: StartPermits | None = None
         self.door: ControlFront | None = None
@@ -192,40 +192,40 @@
         self.upgrade = Upgrade(self)
         self.decisions.waiting_claims.claims = self.upgrade
         if self.copying is not None:
-            from flintshift.lifecycle.agreeing import Agreeing
+            from flintshift.lifecycle.consensus_in_upgrade import ConsensusInUpgrade
 
-            self.decisions.waiting_claims.claims = Agreeing(self.upgrade, self.copying.claims)
+            self.decisions.waiting_claims.claims = ConsensusInUpgrade(self.upgrade, self.copying.claims)
         for front, _ in self.fronts:
-            front.leave()  # until it is known that this process takes the clients
+            front.pause_accepting()  # until it is known that this process takes the clients
 
     def _keep_books(self, options: UsageOptions) -> None:
-        from flintshift.lifecycle.books import Books
-        from flintshift.lifecycle.durable_parts import open_ledger
+        from flintshift.lifecycle.durable_state import open_ledger
+        from flintshift.lifecycle.usage_recording import LedgerRecorder
 
         self.ledger = open_ledger(self.config, options, self.log, self.retry)
-        books = self.books = Books(self.ledger, self.config.settings, self.now_ms.steady_ms)
+        books = self.books = LedgerRecorder(self.ledger, self.config.settings, self.now_ms.steady_ms)
         self.decisions.runs.usage_recorder = books
         for front, _ in self.fronts:
-            front.books = books
+            front.usage_recorder = books
         self.actors.append(self.ledger.run)
         if options.export is not None:
-            from flintshift.lifecycle.exports import open_export
+            from flintshift.lifecycle.exports import create_export_actor
 
-            self.actors.append(open_export(self.ledger, options, self.log))
+            self.actors.append(create_export_actor(self.ledger, options, self.log))
 
     def _keep_copies(self, peers: PeersOptions, options: CopiesOptions) -> None:
-        from flintshift.lifecycle.durable_parts import copy_ledger, open_copies
+        from flintshift.lifecycle.durable_state import open_replication, replicate_ledger
         from flintshift.replication.store import STATUS_SOCKET
 
-        copying = open_copies(
+        copying = open_replication(
             self.config, peers, options, self.decisions, self.counters, self.now_ms, self.log, self.retry
         )
         if self.ledger is not None and self.config.operators.usage is not None and options.copies > 1:
-            copy_ledger(copying, self.ledger, self.config.operators.usage, self.retry)
+            replicate_ledger(copying, self.ledger, self.config.operators.usage, self.retry)
         self.copying = copying
         self.decisions.waiting_claims.claims, self.decisions.waiting_claims.may_run_elsewhere = copying.claims, True
         self.actors.append(copying.run)
-        self._show(options.folder / STATUS_SOCKET, "copies", copying.shown, "how the copies stand")
+        self._show(options.folder / STATUS_SOCKET, "copies", copying.status, "how the copies stand")
 
     def _watch_start(self, options: StartupOptions) -> None:
         from flintshift.lifecycle.starting import Starting
@@ -233,7 +233,7 @@
 
         settings = self.config.settings
         if options.at_once is not None and self.copying is not None:
-            self.permits = self.copying.start_permits(options.at_once, self.uniform, self.tell_lists)
+            self.permits = self.copying.create_start_permits(options.at_once, self.uniform, self.tell_lists)
         permits = self.permits
         starting = self.starting = Starting(
             options,
@@ -242,9 +242,9 @@
                 self.bound,
                 self.decisions.serving_status.workers_up,
                 self.registration.accepted_reports > 0,
-                permits is None or permits.starter.proceeded,
+                permits is None or permits.requester.proceeded,
             ),
-            permits.done if permits is not None else lambda: None,
+            permits.finish if permits is not None else lambda: None,
             self.uniform,
             self.counters,
             self.log,
@@ -292,7 +292,7 @@
         async def listen() -> None:
             listeners.extend(await self._listeners())
             if self.config.control is not None:
-                doors.append(await listening_in_time(self.config.control, self.limits, self.retry.again))
+                doors.append(await open_listener_with_retries(self.config.control, self.limits, self.retry.again))
 
         await self._unless_told(received, listen)
         if len(listeners) != len(self.fronts) or (self.config.control is not None and not doors):
@@ -364,7 +364,7 @@
 
     @staticmethod
     def warn(text: str) -> None:
-        standard_error.say(f"flintshift: {text}")
+        standard_error.write_line(f"flintshift: {text}")
 
     def alone(self) -> bool:
         """No other process of this node holds its listeners."""
@@ -372,7 +372,7 @@
 
     # What operators ask for at the control door.
 
-    def not_ready(self) -> str | None:
+    def not_ready_reason(self) -> str | None:
         posture = self.decisions.serving_status
         if posture.draining:
             return "the node leaves"
@@ -382,10 +382,10 @@
             return "the node is out of service"
         return None if posture.workers_up else "the worker pool is not linked yet"
 
-    def out_of_service(self) -> str | None:
+    def take_out_of_service(self) -> str | None:
         return self._serve_clients(False)
 
-    def in_service(self) -> str | None:
+    def put_in_service(self) -> str | None:
         return self._serve_clients(True)
 
     def _serve_clients(self, serving: bool) -> str | None:
@@ -416,7 +416,7 @@
             and posture.workers_up
             and not posture.draining
             and self.alone()
-            and not self.permits.may_go()
+            and not self.permits.may_proceed()
         ):
             return  # told again once it may
         if posture.workers_up or posture.draining:
@@ -430,20 +430,22 @@
     def take_clients(self) -> None:
         """This process accepts from now on, and tells where it is listed."""
         for front, _ in self.fronts:
-            front.take()
+            front.resume_accepting()
         self.tell_lists()
 
     def leave_clients(self) -> None:
         """Another process of this node accepts from now on; what is open here goes on to its next answer."""
         for front, _ in self.fronts:
-            front.leave()
+            front.pause_accepting()
         self.registration.announce(None)
 
     async def _listeners(self) -> list[Acceptor]:
         if self.upgrade is None:
-            return [Acceptor(await listening_in_time(at, self.limits, self.retry.again)) for _, at in self.fronts]
+            return [
+                Acceptor(await open_listener_with_retries(at, self.limits, self.retry.again)) for _, at in self.fronts
+            ]
         await self.upgrade.begin()
         return [Acceptor(raw) for raw in self.upgrade.sockets]
 
     def print_counters(self) -> None:
-        standard_error.say(self.counters.to_json_line(self.config.name))
+        standard_error.write_line(self.counters.to_json_line(self.config.name))
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -54,11 +54,11 @@
 from flintshift.lifecycle.clock import Clock
 from flintshift.lifecycle.config import Config
 from flintshift.lifecycle.start_retry import StartRetry
-from flintshift.wire.acceptor import listening
+from flintshift.wire.acceptor import open_listener
 from flintshift.wire.front import Front
 from flintshift.wire.handover import HandoverLink, UpgradeError, handover_socket_path, join_predecessor
-from flintshift.wire.link import BROKEN
-from flintshift.wire.unix import open_path
+from flintshift.wire.link import CONNECTION_ERRORS
+from flintshift.wire.unix import open_unix_listener
 
 
 class Host(Protocol):
@@ -122,7 +122,7 @@
                 break
             self.phases = PhaseMachine(False, runs_ms, calls_ms)
             try:
-                self.sockets = [listening(at_, self.limits.listen_backlog) for _, at_ in self.node.fronts]
+                self.sockets = [open_listener(at_, self.limits.listen_backlog) for _, at_ in self.node.fronts]
             except OSError as error:  # held by one that leaves and gives no word any more, or refused for a moment
                 if not self.node.retry.again(error):
                     raise
@@ -130,7 +130,7 @@
         if self.phases.phase is Phase.ALONE:
             self.opened.set()
             for front, _ in self.node.fronts:
-                front.take()
+                front.resume_accepting()
         self.log("info", "upgrade.began", phase=self.phases.phase.value, path=str(self.path))
 
     def _join_clock(self, link: HandoverLink) -> None:
@@ -156,7 +156,7 @@
         told = ""
         while True:
             try:
-                return await SocketListener.from_socket(open_path(self.path))
+                return await SocketListener.from_socket(open_unix_listener(self.path))
             except (OSError, ValueError) as error:  # ValueError: what the system said of the socket can't be
                 if str(error) != told:
                     told = str(error)
@@ -177,7 +177,7 @@
             return
         try:
             link = HandoverLink(stream, self.limits)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             self.node.counters.add("upgrade.not_watched")
             await stream.aclose()
             return
@@ -306,7 +306,7 @@
             case SetLimitShare(crowd, memory, calls, others):
                 self.decisions.set_limit_share(LimitShare(crowd, memory, calls))
                 for front, _ in self.node.fronts:
-                    front.others = others
+                    front.other_process_open_count = others
             case ApplyEstimates(learned):
                 self.decisions.pending.append(
                     at.LearnedStateReceived(api.LearnedEstimates(learned.run_limit, learned.run_ms))
@@ -326,7 +326,7 @@
         settings = self.decisions.catalogue.effective_settings
         window = max((kind.repeat_window_ms for kind in settings.classes), default=0.0)
         for front, _ in self.node.fronts:
-            front.others = 0
+            front.other_process_open_count = 0
         if not self.keys_elsewhere:
             self._do(self.shared.on_peer_exit(self.now_ms(), partial, window, settings.marks_repeats))
 
--- a/flintshift/wire/dnssd.py
+++ b/flintshift/wire/dnssd.py
@@ -107,7 +107,7 @@
             except DNS_ERRORS:
                 self.counters.add("dns.failed")
             except Exception as error:  # any other error of the event loop fails this poll, not the node
-                faults.met(self.counters, "dns", error)
+                faults.record(self.counters, "dns", error)
             # Known servers are kept, so a resolver that fails is not polled more often. One that lists no servers is.
             if self.known.servers and not self.known.empty_unconfirmed:
                 backoff.reset()
@@ -175,7 +175,7 @@
             self.counters.add("dns.update_failed")
             return False
         except Exception as error:
-            faults.met(self.counters, "dns", error)
+            faults.record(self.counters, "dns", error)
             return False
         self.counters.add("dns.published" if serving else "dns.withdrawn")
         self.refresh_due_ms = self.now_ms() + self.limits.record_ttl_s * 500.0 if serving else 0.0
--- a/flintshift/wire/handover.py
+++ b/flintshift/wire/handover.py
@@ -19,8 +19,8 @@
 from flintshift.core.mailbox import Mailbox
 from flintshift.handover.messages import VERSION, Copied, Hello, Known, Left, Message, Welcome
 from flintshift.wire.handover_codec import FrameDecoder, FrameError, encode_frame
-from flintshift.wire.link import BROKEN
-from flintshift.wire.unix import short
+from flintshift.wire.link import CONNECTION_ERRORS
+from flintshift.wire.unix import short_socket_path
 
 CREDENTIALS = struct.Struct("3i")
 MAX_SOCKETS = 4
@@ -78,7 +78,7 @@
                 unsent = unsent[self.stream.extra(anyio.abc.SocketAttribute.raw_socket).send(unsent) :]
             except BlockingIOError:  # the other process is slow: the rest is queued
                 pass
-            except BROKEN:
+            except CONNECTION_ERRORS:
                 self.abort()
                 return
         if unsent != b"" and not self.outbox.offer(unsent):
@@ -133,7 +133,7 @@
                     while True:
                         for message in self.decoder.feed(await self.stream.receive(self.limits.read_chunk_bytes)):
                             await on_message(message)
-                except (FrameError, *BROKEN) as error:
+                except (FrameError, *CONNECTION_ERRORS) as error:
                     self.disconnected, cause = True, f"{type(error).__name__} {error}".strip()
                 tasks.cancel_scope.cancel()
         finally:
@@ -171,7 +171,7 @@
                     batch += more if isinstance(more, bytes) else encode_frame(more)
                     self.outbox.take_now()
                 await self.stream.send(bytes(batch))
-        except BROKEN:
+        except CONNECTION_ERRORS:
             self.abort()
 
 
@@ -183,7 +183,7 @@
         UpgradeError: there is one, and it does not hand over.
     """
     try:
-        with anyio.fail_after(limits.welcome_timeout_ms / 1000), short(path) as name:
+        with anyio.fail_after(limits.welcome_timeout_ms / 1000), short_socket_path(path) as name:
             stream = await anyio.connect_unix(name)
     except TimeoutError as error:
         raise no_reply_error(limits) from error
@@ -199,7 +199,7 @@
                 link.early_messages += link.decoder.feed(data)
     except TimeoutError as error:
         raise no_reply_error(limits) from error
-    except BROKEN:
+    except CONNECTION_ERRORS:
         await stream.aclose()
         return None
     except FrameError as error:
--- a/flintshift/wire/names.py
+++ b/flintshift/wire/names.py
@@ -12,7 +12,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.wire import faults
-from flintshift.wire.link import BROKEN, connect
+from flintshift.wire.link import CONNECTION_ERRORS, connect
 
 
 class NameService:
@@ -36,10 +36,10 @@
                         status = "taken"
         except TimeoutError:
             status = "unanswered" if request_sent.is_set() else status
-        except (*BROKEN, h11.ProtocolError):
+        except (*CONNECTION_ERRORS, h11.ProtocolError):
             pass
         except Exception as error:  # any other error of the event loop fails this report, not the node
-            faults.met(self.counters, "names", error)
+            faults.record(self.counters, "names", error)
         self.counters.add(f"names.{status}")
         return status != "not_taken"
 
--- a/flintshift/wire/peer_codec.py
+++ b/flintshift/wire/peer_codec.py
@@ -16,7 +16,7 @@
 from flintshift.replication.refill import FillAsk, Page
 from flintshift.replication.registers import Entry
 from flintshift.startup.permits import Permit, PermitRequest
-from flintshift.wire.link import JunkError
+from flintshift.wire.link import MalformedMessageError
 
 OUTCOMES = (
     Outcome.OK,
@@ -35,7 +35,7 @@
 IncomingMessage = Ask | Vote | Ended | FillAsk | Page | Accused | logs.LogMessage | PermitRequest | Permit
 
 
-class PeerMessageError(JunkError, ValueError):
+class PeerMessageError(MalformedMessageError, ValueError):
     """The received data is not a valid batch of messages, or the stored data not a valid entry."""
 
 
--- a/flintshift/wire/peer_link.py
+++ b/flintshift/wire/peer_link.py
@@ -23,7 +23,7 @@
 from flintshift.core.limits import Limits
 from flintshift.proto import peers_pb2 as pb
 from flintshift.startup.backoff import Backoff
-from flintshift.wire.link import BROKEN, JunkError
+from flintshift.wire.link import CONNECTION_ERRORS, MalformedMessageError
 from flintshift.wire.peer_codec import (
     MAX_PEER_FRAME_BYTES,
     OutgoingMessage,
@@ -110,7 +110,7 @@
                 frame = bytes(self.received[LENGTH_PREFIX_BYTES : LENGTH_PREFIX_BYTES + size])
                 del self.received[: LENGTH_PREFIX_BYTES + size]
                 self.on_batch(self, parse_batch(frame))
-        except (JunkError, UnicodeError) as error:
+        except (MalformedMessageError, UnicodeError) as error:
             self.abort(f"{type(error).__name__} {error}")
 
     def pause_writing(self) -> None:
@@ -247,7 +247,7 @@
                     self.connection, self.pending_since_ms = connection, math.inf
                     self.on_up(self.member, connection.peer_hello)
                     await connection.ended.wait()
-            except BROKEN as error:
+            except CONNECTION_ERRORS as error:
                 connection.cause = f"{type(error).__name__} {error}".strip()
             finally:
                 connection.abort("this process closed the connection")
@@ -335,7 +335,7 @@
         if hello.member:
             connection.send(self.handshake.hello(*self.stores(hello.member), refused=rejection))
         if rejection:
-            raise JunkError(rejection)
+            raise MalformedMessageError(rejection)
         connection.peer_hello = hello
         self.connections[hello.identity] = connection
         self.on_hello(hello.member, hello)
--- a/flintshift/wire/pool_codec.py
+++ b/flintshift/wire/pool_codec.py
@@ -11,7 +11,7 @@
 
 from flintshift.core.attempts import Attempt
 from flintshift.interface import Outcome
-from flintshift.wire.link import JunkError
+from flintshift.wire.link import MalformedMessageError
 from flintshift.wire.outcomes import OUTCOMES
 
 NOTICE_NUMBER_LIMIT = 2**53  # notices are numbered from 1; a number from here on is invalid
@@ -96,7 +96,7 @@
 Notice = Bound | NumberedNotice | Polled | Verified | Unknown
 
 
-class NoticeError(JunkError):
+class NoticeError(MalformedMessageError):
     """A line is not a valid notice. ``number`` is its notice number if that could be read, else 0."""
 
     def __init__(self, text: str, number: int = 0) -> None:
--- a/flintshift/wire/uwsgi_apps.py
+++ b/flintshift/wire/uwsgi_apps.py
@@ -15,7 +15,7 @@
 from flintshift.interface import Outcome
 from flintshift.wire import faults
 from flintshift.wire.dnssd import Browser
-from flintshift.wire.link import BROKEN, connect
+from flintshift.wire.link import CONNECTION_ERRORS, connect
 from flintshift.wire.outcomes import OUTCOMES
 
 
@@ -56,7 +56,7 @@
         try:
             outcome, result = await self._on_some_server(attempt)
         except Exception as error:  # any other error of the event loop fails this run, not the node
-            faults.met(self.counters, "apps", error)
+            faults.record(self.counters, "apps", error)
             outcome, result = OUTCOMES["link", "broken"], b""
         finally:
             self.connections.release_on_behalf_of(attempt)
@@ -67,7 +67,7 @@
         for address in self.browser.servers(attempt.class_name):
             try:
                 stream = await connect(address, self.limits)
-            except BROKEN:  # it never ran there: the next server is tried
+            except CONNECTION_ERRORS:  # it never ran there: the next server is tried
                 self.counters.add("apps.not_reached")
                 continue
             try:
@@ -76,7 +76,7 @@
                         return await self._exchange(stream, attempt)
             except TimeoutError:
                 return OUTCOMES["link", "silent"], b""
-            except (*BROKEN, h11.ProtocolError):  # it may have run: no other server is tried
+            except (*CONNECTION_ERRORS, h11.ProtocolError):  # it may have run: no other server is tried
                 return OUTCOMES["link", "broken"], b""
         return OUTCOMES["link", "refused"], b""
 
--- a/flintshift/wire/vault.py
+++ b/flintshift/wire/vault.py
@@ -19,7 +19,7 @@
 from flintshift.core.mailbox import Mailbox
 from flintshift.interface import Outcome
 from flintshift.wire import faults
-from flintshift.wire.link import BROKEN, JunkError, connect
+from flintshift.wire.link import CONNECTION_ERRORS, MalformedMessageError, connect
 from flintshift.wire.outcomes import OUTCOMES
 
 
@@ -115,7 +115,7 @@
             try:
                 end = await self._make_call(call)
             except Exception as error:  # any other error of the event loop fails this call, not the node
-                faults.met(self.counters, "vault", error)
+                faults.record(self.counters, "vault", error)
                 end = BROKEN_OFF
             if self.open_calls.get(call.request) is call:
                 del self.open_calls[call.request]
@@ -142,7 +142,7 @@
             return REFUSED
         try:
             connection = await self._connect(address)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             return REFUSED
         return await self._call_on(connection, call)
 
@@ -153,10 +153,10 @@
                 status, reply = await self._exchange(connection, call, max(1, round(remaining_ms)))
         except TimeoutError:
             return SILENT  # the connection can't be reused
-        except JunkError:
+        except MalformedMessageError:
             self.counters.add("vault.junk")
             return BROKEN_OFF
-        except BROKEN:
+        except CONNECTION_ERRORS:
             self.counters.add("vault.links_lost")
             return BROKEN_OFF
         else:
@@ -203,11 +203,11 @@
                 with anyio.fail_after(self.limits.vault_reply_timeout_ms / 1000):
                     request, status, reply = await self._read_reply(connection.reader)
             except TimeoutError as error:
-                raise JunkError("the reply is incomplete") from error
+                raise MalformedMessageError("the reply is incomplete") from error
             if request == call.request:
                 return status, reply
             self.counters.add("vault.strays")  # a reply that matches no call on this connection
-        raise JunkError("too many unmatched replies")
+        raise MalformedMessageError("too many unmatched replies")
 
     async def _read_reply(self, reader: BufferedByteReceiveStream) -> tuple[str, str, bytes]:
         parts = (await reader.receive_until(b"\r\n", self.limits.max_vault_line_bytes)).decode("latin-1").split(" ")
@@ -222,10 +222,10 @@
         ):
             reply = await reader.receive_exactly(int(parts[2]))
             if await reader.receive_exactly(2) != b"\r\n":
-                raise JunkError("the line end after a reply is missing")
+                raise MalformedMessageError("the line end after a reply is missing")
             return parts[0], status, reply
         if status == "yes" or ("call", status) not in OUTCOMES or len(parts) != 2:
-            raise JunkError(status)
+            raise MalformedMessageError(status)
         return parts[0], status, b""
 
     async def _close_idle_connections(self) -> None:
--- a/tests/control/control_helpers.py
+++ b/tests/control/control_helpers.py
@@ -27,10 +27,10 @@
     """Return how many of three calls a run makes; the others are skipped."""
     made = 0
     for _ in range(3):
-        if of_type(server.needs_call(request), api.SkipCall):
+        if of_type(server.request_call(request), api.SkipCall):
             continue
         made += 1
-        server.call_ends(request)
+        server.end_call(request)
     return made
 
 
@@ -44,5 +44,5 @@
     """Let requests arrive, ten a second: with 500 callers, each comes back after most of a minute."""
     for _ in range(40):
         request, _ = server.arrive("look")
-        server.ends(request)
+        server.end_run(request)
         server.now += 100.0
--- a/tests/control/test_fleet_totals.py
+++ b/tests/control/test_fleet_totals.py
@@ -21,7 +21,7 @@
             request, actions = server.arrive("buy")
             if api.Run(request) not in actions:
                 continue
-            for call in of_type(server.needs_call(request), api.Call):
+            for call in of_type(server.request_call(request), api.Call):
                 calls.append((server.now, server.now + call.limit_ms + LINGER_MS))
         for call in of_type(server.tick(busy=0.3, run_queue=1.0), api.Call):
             calls.append((server.now, server.now + call.limit_ms + LINGER_MS))
@@ -31,12 +31,12 @@
 
 @pytest.mark.parametrize("nodes", [20, 30])
 @pytest.mark.parametrize("share", [0.4, 1.0, 3.0])
-def test_a_fleet_that_starts_cold_and_is_restarted_keeps_to_the_sum_of_its_call_shares(make, nodes, share):
+def test_a_fleet_that_starts_cold_and_is_restarted_keeps_to_the_sum_of_its_call_shares(make_server, nodes, share):
     random_source, calls = random.Random(nodes), []
     for _ in range(nodes):
         started_ms = 1000.0
         for _ in range(2):
-            server = make(
+            server = make_server(
                 cores=6,
                 call_share=share,
                 call_window_ms=WINDOW_MS,
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("nodes", [20, 30])
-def test_a_fleet_that_is_overloaded_while_cold_runs_no_more_than_its_servers_survive(make, nodes):
+def test_a_fleet_that_is_overloaded_while_cold_runs_no_more_than_its_servers_survive(make_server, nodes):
     random_source = random.Random(nodes)
     settings = {
         "cores": CORES,
@@ -75,7 +75,7 @@
         "cold_from": COLD_FROM,
         "cold_ms": COLD_MS,
     }
-    fleet = [make(**settings, memory_kb=1e9, servers=nodes) for _ in range(nodes)]
+    fleet = [make_server(**settings, memory_kb=1e9, servers=nodes) for _ in range(nodes)]
     for server in fleet:  # as after an upgrade: the estimates are those of a warm machine
         server.step(api.LearnedEstimates(100.0, {}))
     started_ms = {id(server): server.now for server in fleet}
@@ -88,7 +88,7 @@
                 if end_ms <= server.now:
                     del end_times[request]
                     end_times.update(
-                        {action.request: server.now + 400.0 for action in of_type(server.ends(request), api.Run)}
+                        {action.request: server.now + 400.0 for action in of_type(server.end_run(request), api.Run)}
                     )
             for _ in range(random_source.randrange(8)):
                 request, actions = server.arrive("look")
--- a/tests/handover/site.py
+++ b/tests/handover/site.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from pathlib import Path
 
-from standins import BYTES, ROOT, SETTINGS, Caller, control_call, job, platform_file, scripted_pool
+from standins import REQUEST_BYTES, ROOT, SETTINGS, Caller, control_call, platform_file, request_fields, scripted_pool
 
 from flintshift.lab.peers import Names, Vault
 from flintshift.lab.ports import free_ports
@@ -109,7 +109,7 @@
         """Open a caller's connection. After the ping it is certainly accepted, and may stay idle."""
         caller = Caller(*await asyncio.open_connection("127.0.0.1", self.port))
         if send_ping:
-            caller.send(BYTES["http"]("", b"", {}, method="GET", path="/ping"))
+            caller.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
             assert (await caller.reply()).status == 200
         return caller
 
@@ -122,8 +122,8 @@
 
 
 def submit(caller, key, body=b"12:01.5", class_name="submit-time", **changed_fields):
-    fields = job(class_name, **({"X-Unique": key} if key else {}), **changed_fields)
-    caller.send(BYTES["http"](class_name, body, fields))
+    fields = request_fields(class_name, **({"X-Unique": key} if key else {}), **changed_fields)
+    caller.send(REQUEST_BYTES["http"](class_name, body, fields))
     return fields["X-Job-Id"]
 
 
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -8,7 +8,7 @@
 
 import pytest
 from handover.site import Site, ask, submit
-from standins import BYTES
+from standins import REQUEST_BYTES
 
 from benchmarks.upgrade import measure
 from flintshift.wire.handover import handover_socket_path
@@ -236,7 +236,7 @@
         while (await successor.call())[1] != "the node is out of service":
             await asyncio.sleep(0.01)
     caller = await site.connect(send_ping=False)
-    caller.send(BYTES["http"]("", b"", {}, method="GET", path="/ping"))
+    caller.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
     assert (await caller.reply()).status == 503
     # The call at the predecessor's control address is passed on.
     assert (await predecessor.call("POST", "/control/in-service"))[0] == 200
--- a/tests/lifecycle/test_descriptors.py
+++ b/tests/lifecycle/test_descriptors.py
@@ -11,7 +11,7 @@
 
 import anyio
 import pytest
-from standins import BYTES, Caller, job
+from standins import REQUEST_BYTES, Caller, request_fields
 from test_signals import site, started  # noqa: F401
 
 from flintshift.core.limits import Limits
@@ -51,7 +51,7 @@
 
     async def most() -> int:
         config = made(configuration(), "FILE", operators(path))
-        return Node(config, lambda: config).fronts[0][0].most
+        return Node(config, lambda: config).fronts[0][0].max_connections
 
     limits = Limits()
     assert anyio.run(most) == (limits.http_connections_beside_uwsgi if uwsgi else limits.http_connections)
@@ -104,7 +104,7 @@
     that refuses, and never by a reset."""
     for _ in range(40):
         caller = Caller(*await asyncio.open_connection(host, port))
-        caller.send(BYTES["http"]("race-results", b"", job("race-results")))
+        caller.send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
         status = (await caller.reply()).status
         caller.writer.close()
         if status not in REFUSED:
--- a/tests/wire/test_pool_links.py
+++ b/tests/wire/test_pool_links.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 import pytest
-from standins import BYTES, job
+from standins import REQUEST_BYTES, request_fields
 
 pytestmark = pytest.mark.anyio
 
@@ -29,8 +29,8 @@
     finish_runs_at_once(rig)
     await rig.ask("http")
     rig.pool.plan = {}
-    fields, caller = job(), await rig.connect("http")
-    caller.send(BYTES["http"]("submit-time", b"1", fields))
+    fields, caller = request_fields(), await rig.connect("http")
+    caller.send(REQUEST_BYTES["http"]("submit-time", b"1", fields))
     await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 2)
     rig.pool.cut()
     rig.pool.finish(fields["X-Job-Id"])  # while no link is open: the notice is sent after the next bind
@@ -42,10 +42,10 @@
 
 async def test_commands_that_may_be_lost_are_sent_again_if_that_is_safe(rig):
     # The pool ignores a spawn of a request that runs and answers `late` if it has run, so both classes are sent again.
-    requests = {"race-results": job("race-results"), "submit-time": job()}
+    requests = {"race-results": request_fields("race-results"), "submit-time": request_fields()}
     callers = [await rig.connect("http") for _ in requests]
     for caller, (class_name, fields) in zip(callers, requests.items(), strict=True):
-        caller.send(BYTES["http"](class_name, b"", fields))
+        caller.send(REQUEST_BYTES["http"](class_name, b"", fields))
     await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 2)
     rig.pool.cut()
     spawns = await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 4)
