--- a/benchmarks/chaos_copies.py
+++ b/benchmarks/chaos_copies.py
@@ -24,7 +24,7 @@
 sys.path.insert(0, str(ROOT))
 
 from flintshift.lab.chaos_copies import DiskRefusal, rounds  # noqa: E402
-from flintshift.lab.ports import PART  # noqa: E402
+from flintshift.lab.ports import PORTS_PART_VARIABLE  # noqa: E402
 
 
 def play(
@@ -32,7 +32,7 @@
 ) -> dict[str, Any]:
     import os
 
-    os.environ[PART] = f"{part}/{parts}"
+    os.environ[PORTS_PART_VARIABLE] = f"{part}/{parts}"
     folder = Path(tempfile.mkdtemp(prefix="flintshift-chaos-"))
     tally = asyncio.run(
         rounds(
--- a/flintshift/lab/ports.py
+++ b/flintshift/lab/ports.py
@@ -14,11 +14,13 @@
 
 PORTS = range(20_000, 32_000)  # below those that systems draw a caller's own port from: no caller takes one of these
 BLOCK = 20  # ports that are locked as one, so that a process holds some hundred locks open and not thousands
-PART = "FLINTSHIFT_LAB_PORTS"  # as "2/8": this process takes the third of eight parts, so that eight can run beside
+PORTS_PART_VARIABLE = (
+    "FLINTSHIFT_LAB_PORTS"  # as "2/8": this process takes the third of eight parts, so that eight can run beside
+)
 
 
 def port_range() -> range:
-    part, _, parts = os.environ.get(PART, "0/1").partition("/")
+    part, _, parts = os.environ.get(PORTS_PART_VARIABLE, "0/1").partition("/")
     share = len(PORTS) // int(parts)
     return PORTS[int(part) * share : (int(part) + 1) * share]
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,10 +12,12 @@
 
 from flintshift import interface as api
 from flintshift.control import Controller
-from flintshift.lab.ports import PART
+from flintshift.lab.ports import PORTS_PART_VARIABLE
 
 if "PYTEST_XDIST_WORKER" in os.environ:  # test workers run in parallel: each starts processes on ports of its own
-    os.environ[PART] = f"{os.environ['PYTEST_XDIST_WORKER'][2:]}/{os.environ['PYTEST_XDIST_WORKER_COUNT']}"
+    os.environ[PORTS_PART_VARIABLE] = (
+        f"{os.environ['PYTEST_XDIST_WORKER'][2:]}/{os.environ['PYTEST_XDIST_WORKER_COUNT']}"
+    )
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
