--- a/flintshift/lab/connection_tasks.py
+++ b/flintshift/lab/connection_tasks.py
@@ -36,12 +36,12 @@
             task.get_loop().call_exception_handler({"message": "a connection failed", "exception": error})
 
     @staticmethod
-    async def opened() -> None:
+    async def wait_until_accepted() -> None:
         """Until what the system has accepted by now is handed over."""
         for _ in range(OPENING_TURNS):
             await asyncio.sleep(0)
 
-    async def ended(self) -> None:
+    async def wait_until_closed(self) -> None:
         """Until the connections, which were cut, are over; that of the task which calls is left out."""
         ending = self.open - {asyncio.current_task()}
         if ending:
--- a/flintshift/lab/faults.py
+++ b/flintshift/lab/faults.py
@@ -48,9 +48,9 @@
 
     async def stop(self) -> None:
         self.server.close()
-        await self.connections.opened()
+        await self.connections.wait_until_accepted()
         self.reset()
-        await self.connections.ended()
+        await self.connections.wait_until_closed()
 
     def reset(self) -> None:
         """Break all connections, as a switch that loses power does."""
--- a/flintshift/lab/peers.py
+++ b/flintshift/lab/peers.py
@@ -103,9 +103,9 @@
     async def stop(self) -> None:
         """End all connections, and return once nothing of them is left for the end of the event loop."""
         self.leave_port()
-        await self.connections.opened()
+        await self.connections.wait_until_accepted()
         self.cut()
-        await self.connections.ended()
+        await self.connections.wait_until_closed()
 
     async def move(self) -> None:
         """Take what is new at another address alone; what is open stays open."""
