--- a/benchmarks/kill_exporter.py
+++ b/benchmarks/kill_exporter.py
@@ -106,9 +106,9 @@
         process = await export(folder, url)
         before = len(list((folder / "acks").glob("http/*.usage")))
         # The start takes most of the time, and nothing can go wrong in it: half of the kills wait for a delivery.
-        began, seen = time.monotonic(), sum(billing.seen.values())
+        began, seen = time.monotonic(), sum(billing.request_counts.values())
         if draw.random() < 0.7:
-            while sum(billing.seen.values()) == seen and process.returncode is None:
+            while sum(billing.request_counts.values()) == seen and process.returncode is None:
                 await asyncio.sleep(0.001)
                 if time.monotonic() - began > 20:
                     break
@@ -122,7 +122,7 @@
         kept = len(list((folder / "acks").glob("http/*.usage")))
         if process.returncode == 0:
             points["had ended"] += 1
-        elif sum(billing.seen.values()) == seen:
+        elif sum(billing.request_counts.values()) == seen:
             points["before a delivery"] += 1
         elif taken > kept:
             points["delivered, not acknowledged"] += 1
--- a/flintshift/lab/billing.py
+++ b/flintshift/lab/billing.py
@@ -43,9 +43,9 @@
 
     def __init__(self, folder: Path, share: float = 0.0, seed: int = 0, late_s: float = 0.3) -> None:
         self.folder, self.share, self.draw, self.late_s = folder, share, random.Random(seed), late_s
-        self.script: list[str] = []
-        self.seen: Counter[str] = Counter()  # requests by document
-        self.met: Counter[str] = Counter()  # faults
+        self.scripted_faults: list[str] = []
+        self.request_counts: Counter[str] = Counter()  # requests by document
+        self.fault_counts: Counter[str] = Counter()  # faults
         self.epochs: dict[str, int] = {}  # by ledger; a caller that names none is one
         self.conflicts = 0
         self.tasks: set[asyncio.Task[None]] = set()
@@ -76,8 +76,8 @@
         return 201, json.dumps({"digest": digest}).encode()
 
     def _fault(self) -> str:
-        if self.script:
-            return self.script.pop(0)
+        if self.scripted_faults:
+            return self.scripted_faults.pop(0)
         return self.draw.choice(FAULTS) if self.draw.random() < self.share else ""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -110,9 +110,9 @@
             return False
         heads = dict(request.headers)
         epoch, ledger = int(heads.get(b"x-export-epoch", b"0")), heads.get(b"x-export-ledger", b"").decode()
-        self.seen[name] += 1
+        self.request_counts[name] += 1
         fault = self._fault()
-        self.met[fault] += 1
+        self.fault_counts[fault] += 1
         if self.down or fault in ("lost-before", "silent"):
             if fault == "silent":
                 await asyncio.sleep(self.late_s * 3)
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -40,4 +40,4 @@
     with anyio.fail_after(5):
         await node.report(True)
     billing.stop()
-    assert list(tmp_path.iterdir()) == [] and not billing.seen
+    assert list(tmp_path.iterdir()) == [] and not billing.request_counts
--- a/tests/usage/test_export.py
+++ b/tests/usage/test_export.py
@@ -208,13 +208,13 @@
 async def test_after_each_fault_of_a_billing_system_it_has_each_document_once(tmp_path, fault):
     data_by_name = folder_with(tmp_path / "u", 3)
     billing = Billing(tmp_path / "billing", late_s=0.05)
-    billing.script = [fault, "", fault, fault]
+    billing.scripted_faults = [fault, "", fault, fault]
     url = f"http://127.0.0.1:{await billing.start()}/usage"
     driver = make_driver(tmp_path / "u", {"http": HttpSink(url, 100.0)})
     with anyio.fail_after(20):
         await driver.run()
     assert {path.name: path.read_bytes() for path in (tmp_path / "billing").iterdir()} == data_by_name
-    assert billing.met[fault] >= 2 and billing.conflicts == 0
+    assert billing.fault_counts[fault] >= 2 and billing.conflicts == 0
     assert unacknowledged(DiskFiles(), tmp_path / "u", ["http"]) == {"http": []}
     billing.stop()
 
