--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -24,7 +24,7 @@
 
 from flintshift.lab.cold_start import play  # noqa: E402
 from flintshift.lab.fleet import Fleet  # noqa: E402
-from flintshift.lab.services import LimitedNames, now_ms  # noqa: E402
+from flintshift.lab.services import RateLimitedNames, now_ms  # noqa: E402
 
 PERIOD_S, CAPACITY = 0.8, 1.3
 OUTAGE_S, AFTER_S = 8.0, 16.0
@@ -33,7 +33,7 @@
 async def real(folder: Path, nodes: int, root: Path | None) -> dict[str, Any]:
     fleet = Fleet(folder, {"ruwi-hall": nodes}, root=root, platform={"groupSize": nodes})
     steady = nodes / PERIOD_S
-    names = fleet.names = LimitedNames(CAPACITY * steady)
+    names = fleet.names = RateLimitedNames(CAPACITY * steady)
     async with fleet:
         await asyncio.sleep(4.0)
         down = now_ms()
--- a/flintshift/lab/services.py
+++ b/flintshift/lab/services.py
@@ -13,21 +13,21 @@
     return time.monotonic() * 1000
 
 
-class LimitedNames(Names):
+class RateLimitedNames(Names):
     """A name service that takes so many reports a second. While `capacity.down`, it resets each connection, so that
     calls can be counted then too."""
 
     def __init__(self, per_s: float, port: int = 0) -> None:
         super().__init__(port)
         self.capacity = Capacity(per_s)
-        self.slow_ms = 0.0  # an answer takes so much longer
+        self.extra_delay_ms = 0.0  # an answer takes so much longer
 
     async def serve(self, reader: HeardReader, writer: asyncio.StreamWriter) -> None:
         verdict = self.capacity.call(now_ms())
         if verdict is Verdict.TURNED_AWAY:
             writer.transport.abort()
             return
-        wait_ms = self.slow_ms + (SLOW_MS if verdict is Verdict.SLOW else 0.0)
+        wait_ms = self.extra_delay_ms + (SLOW_MS if verdict is Verdict.SLOW else 0.0)
         if wait_ms:
             await asyncio.sleep(wait_ms / 1000)
         await super().serve(reader, writer)
--- a/tests/startup/test_storms.py
+++ b/tests/startup/test_storms.py
@@ -7,7 +7,7 @@
 import pytest
 
 from flintshift.lab.fleet import Fleet
-from flintshift.lab.services import LimitedNames, now_ms
+from flintshift.lab.services import RateLimitedNames, now_ms
 from flintshift.startup.permits import granter_order
 
 pytestmark = pytest.mark.anyio
@@ -32,9 +32,9 @@
 
 
 async def late_answers(fleet, names):
-    names.slow_ms = 300.0
+    names.extra_delay_ms = 300.0
     await asyncio.sleep(4.0)
-    names.slow_ms = 0.0
+    names.extra_delay_ms = 0.0
 
 
 async def restart_half_twice(fleet, names):
@@ -61,7 +61,7 @@
     """One fleet, fault after fault; the clocks of some nodes are an hour off. The version without random delays reaches
     eight times the steady rate in an outage, and keeps that up if it makes the service collapse."""
     fleet = Fleet(tmp_path, {"ruwi-hall": NODES}, platform={"groupSize": NODES})
-    names = fleet.names = LimitedNames(1.5 * STEADY_PER_S)  # 1.5: few nodes vary more in a second than hundreds do
+    names = fleet.names = RateLimitedNames(1.5 * STEADY_PER_S)  # 1.5: few nodes vary more in a second than hundreds do
     for name, offset_ms in (("n3", 3_600_000.0), ("n4", -3_600_000.0)):
         fleet.members[name].offset_ms = offset_ms
     async with fleet:
@@ -133,7 +133,7 @@
 
 async def test_a_permit_holder_that_dies_before_it_is_listed_delays_no_other_start(tmp_path):
     fleet = Fleet(tmp_path, {"a": 3, "b": 2}, copies="  copies: 3\n", more="startup: {enabled: true, at-once: 1}\n")
-    names = fleet.names = LimitedNames(1000.0)
+    names = fleet.names = RateLimitedNames(1000.0)
     async with fleet:
         await fleet.until_linked()
         granter, second, holder, waiter, *rest = granter_order(fleet.members)
