--- a/flintshift/lab/model.py
+++ b/flintshift/lab/node_model.py
@@ -3,8 +3,8 @@
 No socket, no process and no waiting: a second of a node takes some milliseconds, and plays the same each time. The
 planner, the module and the fair queues are those of a node; callers, fronts and links are not there.
 
-    node = ModelNode(settings_of({"a": 10.0, "b": 10.0}), fair=True, took_ms={"look": 20.0})
-    asked = [node.arrive("a") for _ in range(5)]
+    node = ModelNode(build_settings({"a": 10.0, "b": 10.0}), fair=True, took_ms={"look": 20.0})
+    asked = [node.submit("a") for _ in range(5)]
     node.advance(1000.0)
     print([one.answer for one in asked])
 """
@@ -27,7 +27,7 @@
 BEGINS_MS = 1000.0  # the clock, at the start
 
 
-def settings_of(clubs: dict[str, float], **more: Any) -> api.Settings:
+def build_settings(clubs: dict[str, float], **more: Any) -> api.Settings:
     """Two classes, a read ``look`` and a keyed write ``pay``, with an aim of 1 s; two cores; clubs by their quota."""
     kinds = [
         api.RequestClass("look", 1000.0, 3000.0, 1.0, api.Effect.SAFE),
@@ -51,7 +51,7 @@
     """``took_ms`` of a class: what a run of it takes on a core; one that is not named runs until ``end``."""
 
     def __init__(self, settings: api.Settings, fair: bool = True, took_ms: dict[str, float] | None = None) -> None:
-        self.settings, self.took_ms, self.now = settings, took_ms or {}, BEGINS_MS
+        self.settings, self.took_ms, self.now_ms = settings, took_ms or {}, BEGINS_MS
         self.counters, self.log = Counters(), list[tuple[str, str, dict[str, Any]]]()
         self.due: list[tuple[float, int, str, bool]] = []  # when, a number, a token or a request, whether it is a run
         self.numbers = itertools.count(1)
@@ -71,7 +71,7 @@
         self.decisions.handle(WorkersUp())
 
     def clock(self) -> float:
-        return self.now
+        return self.now_ms
 
     def _wake_at(self, at_ms: float, token: str) -> None:
         heapq.heappush(self.due, (at_ms, next(self.numbers), token, False))
@@ -95,22 +95,22 @@
         while self.queue and self.busy < self.settings.cores:
             attempt = self.queue.popleft()
             self.busy += 1
-            at_ms = self.now + self.took_ms[attempt.class_name]
+            at_ms = self.now_ms + self.took_ms[attempt.class_name]
             heapq.heappush(self.due, (at_ms, next(self.numbers), attempt.id, True))
 
-    def end(self, attempt: Attempt, took_ms: float = 100.0) -> None:
+    def finish_run(self, attempt: Attempt, took_ms: float = 100.0) -> None:
         """The run of a class that ends by itself never, ends now."""
         self.decisions.handle(RunFinished(attempt.id, api.Outcome.OK, took_ms, b"done"))
 
     # Callers and time.
 
-    def arrive(self, club: str = "a", **more: Any) -> Attempt:
+    def submit(self, club: str = "a", **more: Any) -> Attempt:
         """A request is read now."""
         given: dict[str, Any] = {
             "id": f"{next(self.numbers):016x}",
             "class_name": "look",
             "body": b"",
-            "arrival_ms": self.now,
+            "arrival_ms": self.now_ms,
             "caller": 1,
             "tenant": club,
             "memory_kb": 1.0,
@@ -119,7 +119,7 @@
         self.decisions.handle(Submitted(attempt))
         return attempt
 
-    def change(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """New settings, as on SIGHUP."""
         self.settings = settings
         fault = self.decisions.change(settings)
@@ -129,10 +129,10 @@
 
     def advance(self, by_ms: float) -> None:
         """Let so much time pass, with all that falls due in it."""
-        until = self.now + by_ms
+        until = self.now_ms + by_ms
         while self.due and self.due[0][0] <= until:
             at_ms, _, name, run = heapq.heappop(self.due)
-            self.now = max(self.now, at_ms)
+            self.now_ms = max(self.now_ms, at_ms)
             if run:
                 self.busy -= 1
                 took_ms = self.took_ms[self.decisions.attempts.by_id[name].class_name]
@@ -141,15 +141,15 @@
             else:
                 wanting = self.busy + len(self.queue)
                 self.decisions.handle(Tick(name, api.Gauges(min(1.0, wanting / self.settings.cores), wanting)))
-        self.now = until
+        self.now_ms = until
 
 
-def served(asked: list[Attempt]) -> float:
+def served_share(asked: list[Attempt]) -> float:
     """The share of them that was served."""
     return sum(one.answer is not None and one.answer.verdict is Verdict.SERVED for one in asked) / max(1, len(asked))
 
 
-def waits_ms(asked: list[Attempt]) -> list[float]:
+def retry_delays_ms(asked: list[Attempt]) -> list[float]:
     """What those that were turned away were told."""
     return [
         one.answer.retry_after_ms for one in asked if one.answer is not None and one.answer.verdict is Verdict.REFUSED
--- a/tests/door/test_fair_door.py
+++ b/tests/door/test_fair_door.py
@@ -15,7 +15,7 @@
 from flintshift.cli.main import main
 from flintshift.core.attempts import Answer, Verdict
 from flintshift.lab.callers import fields_of, http_request, reply
-from flintshift.lab.model import ModelNode, served, settings_of, waits_ms
+from flintshift.lab.node_model import ModelNode, build_settings, retry_delays_ms, served_share
 from flintshift.lab.peers import Pool
 from flintshift.lab.rig import Rig
 from flintshift.wire.unix import short_socket_path
@@ -102,11 +102,11 @@
 
 
 def node_of(fair=True, **more):
-    return ModelNode(settings_of({"a": 10.0, "b": 10.0}), fair, **more)
+    return ModelNode(build_settings({"a": 10.0, "b": 10.0}), fair, **more)
 
 
 def flood(node, club, times):
-    return [node.arrive(club) for _ in range(times)]
+    return [node.submit(club) for _ in range(times)]
 
 
 def test_no_time_is_promised_sooner_than_the_decisions_say_or_by_a_node_that_leaves():
@@ -114,15 +114,15 @@
     node.decisions.controller.failure_share = (
         1.0  # each run fails: the decisions want callers elsewhere for the longest time
     )
-    waits = waits_ms(flood(node, "a", 6))
+    waits = retry_delays_ms(flood(node, "a", 6))
     assert len(waits) >= 4 and set(waits) == {1000.0} and not node.counters["door.promised"]
     node.decisions.controller.failure_share = 0.0
-    waits = waits_ms(flood(node, "a", 60))
+    waits = retry_delays_ms(flood(node, "a", 60))
     assert len(waits) >= 10 and min(waits) < 200.0
-    node.now += 5000.0  # no place is given away any more
+    node.now_ms += 5000.0  # no place is given away any more
     node.decisions.serving_status.draining = True  # the decisions have not heard of it yet
     promised = node.counters["door.promised"]
-    assert len(waits_ms(flood(node, "a", 40))) >= 10 and node.counters["door.promised"] == promised > 0
+    assert len(retry_delays_ms(flood(node, "a", 40))) >= 10 and node.counters["door.promised"] == promised > 0
 
 
 @pytest.mark.parametrize("fair", [True, False])
@@ -132,8 +132,8 @@
     other = flood(node, "b", 4)
     begun = len(node.runs)
     for ended in range(begun + 8):
-        node.now += 20.0
-        node.end(node.runs[ended])
+        node.now_ms += 20.0
+        node.finish_run(node.runs[ended])
     taken = sum(one in node.runs[: begun + 8] for one in other)
     assert taken == (3 if fair else 0)  # by turns; without it the oldest go first, which is the flood
     if fair:
@@ -142,10 +142,10 @@
 
 def test_a_repeat_that_waits_for_the_run_of_another_try_waits_for_no_core():
     node = node_of()
-    first = node.arrive(class_name="pay", request_key="k")
-    repeat = node.arrive(class_name="pay", request_key="k", marked_repeat=True)
+    first = node.submit(class_name="pay", request_key="k")
+    repeat = node.submit(class_name="pay", request_key="k", marked_repeat=True)
     assert len(node.runs) == 1 and list(node.fair.shares.open) == [first.id]
-    node.end(first)
+    node.finish_run(first)
     assert repeat.answer == first.answer == Answer(Verdict.SERVED, b"done") and not node.fair.shares.open
 
 
@@ -162,22 +162,22 @@
             asked[club] += flood(node, club, count)
         node.advance(10.0)
     node.advance(6000.0)
-    return {club: served(came) for club, came in asked.items()}
+    return {club: served_share(came) for club, came in asked.items()}
 
 
 RUNS = {"look": 20.0}
-CHANGED = settings_of({"a": 10.0, "b": 10.0, "c": 5.0})
+CHANGED = build_settings({"a": 10.0, "b": 10.0, "c": 5.0})
 
 
 @pytest.mark.parametrize(
     "before",
     [
         lambda node: None,
-        lambda node: node.change(CHANGED),
-        lambda node: node.change(
-            settings_of({"b": 10.0})
+        lambda node: node.apply_settings(CHANGED),
+        lambda node: node.apply_settings(
+            build_settings({"b": 10.0})
         ),  # the club that surges is dropped, and shares the least part
-        lambda node: setattr(node, "now", node.now + 700.0),  # the clock jumps, or the process was paused
+        lambda node: setattr(node, "now_ms", node.now_ms + 700.0),  # the clock jumps, or the process was paused
     ],
     ids=["calm", "new settings", "its club is dropped", "a pause"],
 )
@@ -190,7 +190,7 @@
 
 
 def test_the_other_club_keeps_its_service_in_a_surge_at_a_cold_start():
-    cold = settings_of({"a": 10.0, "b": 10.0}, cold=True, cold_from=0.5, cold_ms=5000.0)
+    cold = build_settings({"a": 10.0, "b": 10.0}, cold=True, cold_from=0.5, cold_ms=5000.0)
     assert surge(ModelNode(cold, took_ms=RUNS), 20)["b"] >= 0.95
 
 
