--- a/benchmarks/control_latency.py
+++ b/benchmarks/control_latency.py
@@ -24,7 +24,7 @@
 
 from flintshift.lab.callers import reply  # noqa: E402
 from flintshift.lab.peers import Pool  # noqa: E402
-from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.single_node_cluster import SingleNodeCluster  # noqa: E402
 
 SECONDS = 12.0  # for the calls of one row
 
@@ -53,7 +53,7 @@
 
 async def measure(callers: int, calls: int, halves: int) -> dict[str, float]:
     with tempfile.TemporaryDirectory(prefix="flintshift-bench-") as name, ProcessPoolExecutor(WORKERS) as executor:
-        async with Rig(Path(name), pool=Pool(cores=64), platform=PLATFORM, control=True) as rig:
+        async with SingleNodeCluster(Path(name), pool=Pool(cores=64), platform=PLATFORM, control=True) as rig:
             assert rig.process is not None
             loop, until, port = asyncio.get_running_loop(), asyncio.Event(), rig.ports["control"]
             before, began = cpu_s(rig.process.pid), time.perf_counter()
--- a/benchmarks/disk_faults.py
+++ b/benchmarks/disk_faults.py
@@ -23,7 +23,7 @@
 
 from flintshift.lab.callers import Tally  # noqa: E402
 from flintshift.lab.peers import Pool  # noqa: E402
-from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.single_node_cluster import SingleNodeCluster  # noqa: E402
 from flintshift.lab.syscall_faults import NO_FAULTS, Rates, SyscallFaults  # noqa: E402
 
 REFUSED = Rates(disk=200)
@@ -37,14 +37,16 @@
     faults = SyscallFaults(folder / "faults", seed=seed)
     pool = Pool(cores=4, took_ms={"race-results": 3.0}, calling=frozenset({"race-results"}))
     settings = SETTINGS.format(("process-death", "power-cut")[seed % 2])
-    async with Rig(folder, settings, uwsgi=True, pool=pool, root=ROOT, environment=faults.environment) as rig:
+    async with SingleNodeCluster(
+        folder, settings, uwsgi=True, pool=pool, root=ROOT, environment=faults.environment
+    ) as rig:
         await load_for(rig, tally, 0.3, seed * 10, kill=False)
         faults.set(REFUSED)
         await load_for(rig, tally, 1.0 + draw.random(), seed * 10 + 1, kill=False)
         if seed % 4 < 2:
             faults.set(NO_FAULTS)
             await anyio.sleep(RECOVERS_S)
-        code = await rig.leave()
+        code = await rig.terminate()
     wrong, _ = findings(folder, tally, pool.spawned)
     return wrong + ([f"exit code {code}"] if code else [])
 
--- a/benchmarks/door_surge.py
+++ b/benchmarks/door_surge.py
@@ -30,7 +30,7 @@
 
 from flintshift.lab.callers import REQUESTS, fields_of, reply_with_head, wait_ms  # noqa: E402
 from flintshift.lab.peers import Pool  # noqa: E402
-from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.single_node_cluster import SingleNodeCluster  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
 RUN_MS, CORES = 20.0, 2
@@ -89,7 +89,7 @@
 
 
 async def play(
-    rigs: dict[str, Rig],
+    rigs: dict[str, SingleNodeCluster],
     times: float,
     one_caller: bool,
     heed: bool,
@@ -114,7 +114,7 @@
             rigs = {}
             for told in ("on", "off"):
                 rigs[told] = await stack.enter_async_context(
-                    Rig(
+                    SingleNodeCluster(
                         Path(name) / told,
                         f"door: {{enabled: {str(told == 'on').lower()}}}\n",
                         uwsgi=True,
--- a/benchmarks/kill_node.py
+++ b/benchmarks/kill_node.py
@@ -26,7 +26,7 @@
 
 from flintshift.lab.callers import Caller, Tally  # noqa: E402
 from flintshift.lab.peers import Pool  # noqa: E402
-from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.single_node_cluster import SingleNodeCluster  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 from flintshift.storage.files import DiskFiles  # noqa: E402
 from flintshift.storage.snapshot import UNFINISHED_SUFFIX  # noqa: E402
@@ -48,7 +48,7 @@
 """
 
 
-async def load_for(rig: Rig, tally: Tally, seconds: float, seed: int, kill: bool) -> None:
+async def load_for(rig: SingleNodeCluster, tally: Tally, seconds: float, seed: int, kill: bool) -> None:
     stop = asyncio.Event()
     callers = [
         Caller(rig.ports[front], front, number, list(CLUBS), tally, seed * 100 + number, 0.001)
@@ -119,7 +119,7 @@
 async def one(seed: int, base: Path, durability: str) -> tuple[list[str], dict[str, int]]:
     draw, folder, tally = random.Random(seed), base / f"{seed}", Tally()
     pool = Pool(cores=4, took_ms={"race-results": 3.0}, calling=frozenset({"race-results"}))
-    async with Rig(folder, SETTINGS.format(durability), uwsgi=True, pool=pool, root=ROOT) as rig:
+    async with SingleNodeCluster(folder, SETTINGS.format(durability), uwsgi=True, pool=pool, root=ROOT) as rig:
         with (folder / "stderr").open("wb") as stderr:
             for life in range(3):
                 if life:
@@ -129,7 +129,7 @@
                         raise RuntimeError(f"{error}: {(folder / 'stderr').read_text()[-2000:]}") from error
                 await load_for(rig, tally, 0.2 + draw.random() * 1.5, seed * 10 + life, life < 2)
             await asyncio.sleep(0.5)
-            code = await rig.leave()
+            code = await rig.terminate()
     wrong, told = findings(folder, tally, pool.spawned)
     said = (folder / "stderr").read_text()
     if "usage.disk_refused" in said:  # killed in it, a node loses what it booked in memory, as its page says
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -30,7 +30,7 @@
 
 from flintshift.lab.callers import Caller, Tally  # noqa: E402
 from flintshift.lab.peers import Pool  # noqa: E402
-from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.single_node_cluster import SingleNodeCluster  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
 WORKERS = 3
@@ -79,7 +79,7 @@
 
 
 async def burst(
-    rig: Rig, front: str, requests: int, callers: int, executor: ProcessPoolExecutor, seed: int
+    rig: SingleNodeCluster, front: str, requests: int, callers: int, executor: ProcessPoolExecutor, seed: int
 ) -> dict[str, float]:
     """Load on one node, which the others leave in peace meanwhile."""
     assert rig.process is not None
@@ -109,12 +109,12 @@
     found: dict[tuple[str, str], list[dict[str, float]]] = {run[:2]: [] for run in runs}
     async with AsyncExitStack() as stack:
         executor = stack.enter_context(ProcessPoolExecutor(WORKERS))
-        rigs: list[list[Rig]] = []
+        rigs: list[list[SingleNodeCluster]] = []
         for number, (front, variant, settings, root) in enumerate(runs):
             rigs.append(
                 [
                     await stack.enter_async_context(
-                        Rig(
+                        SingleNodeCluster(
                             folder / f"{number}-{node}",
                             settings,
                             uwsgi=front == "uwsgi",
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -29,7 +29,7 @@
 
 from flintshift.lab.callers import REQUESTS, fields_of, reply  # noqa: E402
 from flintshift.lab.peers import Pool  # noqa: E402
-from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.single_node_cluster import SingleNodeCluster  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
 STEADY_S = 1.0
@@ -79,7 +79,9 @@
     rows: list[dict[str, float]] = []
     windows: list[tuple[float, float]] = []
     with tempfile.TemporaryDirectory(prefix="flintshift-bench-") as name, ProcessPoolExecutor(WORKERS) as executor:
-        async with Rig(Path(name), pool=Pool(cores=64), platform=PLATFORM, control=True, uwsgi=uwsgi) as rig:
+        async with SingleNodeCluster(
+            Path(name), pool=Pool(cores=64), platform=PLATFORM, control=True, uwsgi=uwsgi
+        ) as rig:
             until = time.time() + 0.5 + upgrades * (steady_s + 0.8)
             ports = {front: rig.ports[front] for front in (("http", "uwsgi") if uwsgi else ("http",))}
             loop = asyncio.get_running_loop()
@@ -91,7 +93,7 @@
             for _ in range(upgrades):
                 await asyncio.sleep(steady_s)
                 began = time.time()
-                older = await rig.beside()
+                older = await rig.start_successor()
                 assert rig.process is not None
                 row = {
                     "ready_ms": (time.time() - began) * 1000,
@@ -105,7 +107,7 @@
                 rows.append(row | {"left_ms": (time.time() - told) * 1000})
                 windows.append((began, time.time()))
             answers = [answer for part in await asyncio.gather(*asked) for answer in part]
-            ran = {rid for pool in (rig.pool, rig.apps, *rig.pools) for rid in pool.spawned}
+            ran = {rid for pool in (rig.pool, rig.apps, *rig.predecessor_pools) for rid in pool.spawned}
     during = [ms for begin, end in windows for at, ms, *_ in answers if begin <= at < end]
     steady = [ms for begin, _ in windows for at, ms, *_ in answers if begin - steady_s <= at < begin] or during
     keys = Counter(key for *_, rid, _, key in answers if key and rid in ran)
--- a/flintshift/lab/demo.py
+++ b/flintshift/lab/demo.py
@@ -12,7 +12,7 @@
 
 from flintshift.lab.callers import Caller, Tally
 from flintshift.lab.peers import Names, Pool, Vault
-from flintshift.lab.rig import Rig
+from flintshift.lab.single_node_cluster import SingleNodeCluster
 from flintshift.settings.embedded import CLUBS, PORTS
 from flintshift.storage.files import DiskFiles
 from flintshift.usage import documents
@@ -45,7 +45,7 @@
 
 async def _play(seconds: float, callers: int, folder: Path, say: Callable[[str], None]) -> dict[str, Any]:
     pool, tally, stop = Pool(cores=2, took_ms=TOOK_MS, calling=frozenset({"race-results"})), Tally(), asyncio.Event()
-    async with Rig(folder, SETTINGS, pool=pool) as rig:
+    async with SingleNodeCluster(folder, SETTINGS, pool=pool) as rig:
         say(f"a node at 127.0.0.1:{rig.ports['http']}; {callers} callers for {seconds:g} s")
         tasks = [
             asyncio.create_task(Caller(rig.ports["http"], "http", number, list(CLUBS), tally, number, 0.02).run(stop))
@@ -58,7 +58,7 @@
             say(f"{done:4.1f} s: {sum(tally.answers.values()):,} answers")
         stop.set()
         await asyncio.gather(*tasks)
-        code = await rig.leave()
+        code = await rig.terminate()
     booked, doubt = booked_in(folder / "usage")
     counted: Counter[str] = Counter()
     outcomes: Counter[str] = Counter()
--- a/flintshift/lab/drain_soak.py
+++ b/flintshift/lab/drain_soak.py
@@ -20,7 +20,7 @@
 from flintshift.lab.callers import http_request, uwsgi_request
 from flintshift.lab.drain_history import End, Process, Try, Verdict, judge
 from flintshift.lab.peers import Pool
-from flintshift.lab.rig import Rig
+from flintshift.lab.single_node_cluster import SingleNodeCluster
 from flintshift.lab.syscall_faults import NO_FAULTS, Call, Rates, SyscallFaults
 from flintshift.lab.termination import Departure, Termination, now_ms
 from flintshift.settings.embedded import CLUBS
@@ -184,7 +184,7 @@
 class Callers:
     """All callers of one play, and what each try came to."""
 
-    def __init__(self, plan: Plan, rig: Rig, pool: CheckedPool) -> None:
+    def __init__(self, plan: Plan, rig: SingleNodeCluster, pool: CheckedPool) -> None:
         self.plan, self.rig, self.pool = plan, rig, pool
         self.tries: list[Try] = []
         self.draw = random.Random(plan.seed + 1)
@@ -287,7 +287,7 @@
         self.pool = CheckedPool()
         folder.mkdir(parents=True, exist_ok=True)
         self.faults = SyscallFaults(folder / "faults", seed=plan.seed)
-        self.rig = Rig(folder, uwsgi=plan.uwsgi, pool=self.pool, environment=self.faults.environment)
+        self.rig = SingleNodeCluster(folder, uwsgi=plan.uwsgi, pool=self.pool, environment=self.faults.environment)
         self.callers = Callers(plan, self.rig, self.pool)
         self.draw = random.Random(plan.seed + 2)
         self.notice_ms, self.lag = 0.0, LoopLag()
--- a/flintshift/lab/faulty_start.py
+++ b/flintshift/lab/faulty_start.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from flintshift.lab.rig import Rig
+from flintshift.lab.single_node_cluster import SingleNodeCluster
 from flintshift.lab.syscall_faults import NO_FAULTS, Call, Rates, SyscallFaults
 
 READY_S = 30.0  # a process has so long to be ready, as the platform's pages tell
@@ -67,17 +67,17 @@
     one on. ``host``: as its configuration names the machine."""
     folder.mkdir(parents=True, exist_ok=True)
     shared, errors = SyscallFaults(folder / "faults", seed=seed), folder / "stderr"
-    rig = Rig(
+    rig = SingleNodeCluster(
         folder,
         settings=settings,
         uwsgi=uwsgi,
         control=control,
         environment=shared.environment,
-        ready_s=READY_S,
+        start_timeout_s=READY_S,
         host=host,
     )
     async with rig:
-        await rig.leave()
+        await rig.terminate()
         for fault in faults:
             shared.fail(fault.call, fault.rate, fault.error)
         shared.set(Rates(disk=disk))
@@ -94,7 +94,7 @@
         await taking_back
         await asyncio.sleep(0.2)
         exit_code = rig.process.returncode
-        left = None if exit_code is not None else await rig.leave()
+        left = None if exit_code is not None else await rig.terminate()
     return Start(ready_s, exit_code, left, errors.read_text(errors="replace"))
 
 
--- a/flintshift/lab/rig.py
+++ b/flintshift/lab/single_node_cluster.py
@@ -15,7 +15,7 @@
 from flintshift.settings.embedded import configuration
 
 
-class Rig:
+class SingleNodeCluster:
     """``settings`` is the text of an operators' file without its uwsgi part; None: none is named. ``root`` is the
     folder that the program is imported from, ``python`` the interpreter."""
 
@@ -29,27 +29,27 @@
         platform: dict[str, Any] | None = None,
         control: bool = False,
         environment: dict[str, str] | None = None,
-        ready_s: float = 20.0,
+        start_timeout_s: float = 20.0,
         host: str = "127.0.0.1",
     ) -> None:
         self.environment = environment or {}  # of the node's processes, beside this one's own
-        self.ready_s = ready_s  # for a start
+        self.start_timeout_s = start_timeout_s  # for a start
         self.host = host  # as the configuration names this machine
         self.folder, self.settings, self.uwsgi, self.root, self.platform = folder, settings, uwsgi, root, platform
         self.control = control  # there is a control door, at ports["control"]
         self.pool, self.vault, self.names, self.apps = pool or Pool(), Vault(), Names(), Apps()
         self.process: asyncio.subprocess.Process | None = None
-        self.started: list[asyncio.subprocess.Process] = []  # all of them: none outlives the rig
+        self.processes: list[asyncio.subprocess.Process] = []  # all of them: none outlives the rig
         self.ports: dict[str, int] = {}
-        self.pools: list[Pool] = []  # of processes that were relieved: their runs are told from there
+        self.predecessor_pools: list[Pool] = []  # of processes that were relieved: their runs are told from there
         self.lives = 0  # of the node
 
     @property
-    def peers(self) -> tuple[Peer, ...]:
+    def stand_ins(self) -> tuple[Peer, ...]:
         return self.pool, self.vault, self.names, self.apps
 
-    async def __aenter__(self) -> Rig:
-        for peer in self.peers:
+    async def __aenter__(self) -> SingleNodeCluster:
+        for peer in self.stand_ins:
             await peer.start()
         self.dns = Dns(self.apps.port)
         await self.dns.start()
@@ -107,7 +107,7 @@
         serving = asyncio.ensure_future(self.names.serving.wait())
         gone = asyncio.ensure_future(process.wait())
         try:
-            await asyncio.wait({serving, gone}, return_when=asyncio.FIRST_COMPLETED, timeout=self.ready_s)
+            await asyncio.wait({serving, gone}, return_when=asyncio.FIRST_COMPLETED, timeout=self.start_timeout_s)
             if not serving.done():
                 raise RuntimeError(f"the node did not serve (exit code {process.returncode})")
             if self.uwsgi:
@@ -124,10 +124,10 @@
             stderr=stderr,
             env={**os.environ, "LB_CONFIG": str(self.config), "TMPDIR": str(self.folder), **self.environment},
         )
-        self.started.append(process)
+        self.processes.append(process)
         return process
 
-    async def beside(self, pool: Pool | None = None) -> asyncio.subprocess.Process:
+    async def start_successor(self, pool: Pool | None = None) -> asyncio.subprocess.Process:
         """Start a new version beside the node, with a pool and a control address of its own; returns the older process
         once the new one is ready. ``process`` is the new one from then on.
 
@@ -136,19 +136,19 @@
         """
         assert self.control and self.process is not None
         older, before = self.process, self.pool
-        self.pools.append(before)
+        self.predecessor_pools.append(before)
         self.pool = pool or Pool(cores=before.size, took_ms=before.took_ms, calling=before.calling)
         await self.pool.start()
         self.process = await self._spawn(self.command(beside=True))
         for _ in range(1000):
             if self.process.returncode is not None:
                 break
-            if await self.ready():
+            if await self.is_ready():
                 return older
             await asyncio.sleep(0.01)
         raise RuntimeError(f"the new process was not ready (exit code {self.process.returncode})")
 
-    async def ready(self) -> bool:
+    async def is_ready(self) -> bool:
         """What the newest process says at its control door."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.ports["control"])
@@ -159,9 +159,9 @@
         writer.close()
         return b" 200 " in status
 
-    async def relieve(self) -> int:
+    async def upgrade(self) -> int:
         """An upgrade: a new version takes over, and the older leaves; returns the exit code of that one."""
-        older = await self.beside()
+        older = await self.start_successor()
         older.send_signal(signal.SIGTERM)
         return await asyncio.wait_for(older.wait(), 10)
 
@@ -171,7 +171,7 @@
             self.process.kill()
             await self.process.wait()
 
-    async def leave(self) -> int:
+    async def terminate(self) -> int:
         """The notice to leave, and the exit code; that of a process which has ended before, too."""
         assert self.process is not None
         if self.process.returncode is None:
@@ -179,10 +179,10 @@
         return await asyncio.wait_for(self.process.wait(), 10)
 
     async def __aexit__(self, *_: object) -> None:
-        for process in self.started:
+        for process in self.processes:
             if process.returncode is None:
                 process.kill()
                 await process.wait()
-        for peer in (*self.peers, *self.pools):
+        for peer in (*self.stand_ins, *self.predecessor_pools):
             await peer.stop()
         self.dns.transport.close()
--- a/tests/door/test_fair_door.py
+++ b/tests/door/test_fair_door.py
@@ -17,7 +17,7 @@
 from flintshift.lab.callers import fields_of, http_request, reply
 from flintshift.lab.node_model import ModelNode, build_settings, retry_delays_ms, served_share
 from flintshift.lab.peers import Pool
-from flintshift.lab.rig import Rig
+from flintshift.lab.single_node_cluster import SingleNodeCluster
 from flintshift.wire.unix import short_socket_path
 
 pytestmark = pytest.mark.anyio
@@ -49,7 +49,7 @@
     refused = await shown()
     assert refused.exit_code == 1 and "refused" in refused.output and "door.socket" in refused.output
     file = f"door: {{enabled: true, socket: {path.parent.name}/door.sock}}\n"
-    async with Rig(tmp_path, file, pool=Pool(cores=2, took_ms={"standings": 10.0}), control=True) as rig:
+    async with SingleNodeCluster(tmp_path, file, pool=Pool(cores=2, took_ms={"standings": 10.0}), control=True) as rig:
         assert [await ask(rig, number) for number in range(1, 6)] == [200] * 5
         stay = [socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) for _ in range(3)]
         with short_socket_path(path) as name:
@@ -67,9 +67,9 @@
         row = (await clubs(lambda rows: rows[0]["cores"] == 0.25))["sur-pacers"]
         assert row["served_ms"] == 50.0 and await ask(rig, 6, "new-club") == 200
         assert (await clubs(bool))["new-club"]["cores"] == 1.0
-        assert await rig.relieve() == 0  # the successor finds the path taken, and gets it a second later
+        assert await rig.upgrade() == 0  # the successor finds the path taken, and gets it a second later
         assert await clubs(lambda rows: not rows) == {}
-        assert await rig.leave() == 0 and not path.exists()
+        assert await rig.terminate() == 0 and not path.exists()
 
 
 @pytest.mark.parametrize(
@@ -82,7 +82,7 @@
 )
 async def test_a_path_that_cannot_be_had_is_told_is_not_removed_and_costs_no_service(tmp_path, make, cause):
     kept = make(tmp_path / "door.sock")
-    async with Rig(tmp_path, "door: {enabled: true, socket: door.sock}\n") as rig:
+    async with SingleNodeCluster(tmp_path, "door: {enabled: true, socket: door.sock}\n") as rig:
         await rig.kill()
         process = await rig.start(asyncio.subprocess.PIPE)
         line = await asyncio.wait_for(process.stderr.readline(), 5)
--- a/tests/handover/test_clock_adjustment_in_upgrade.py
+++ b/tests/handover/test_clock_adjustment_in_upgrade.py
@@ -10,7 +10,7 @@
 import pytest
 
 from flintshift.lab.callers import fields_of, http_request, reply
-from flintshift.lab.rig import Rig
+from flintshift.lab.single_node_cluster import SingleNodeCluster
 from flintshift.lab.syscall_faults import SyscallFaults
 
 pytestmark = pytest.mark.anyio
@@ -30,13 +30,13 @@
         writer.close()
         return status, body
 
-    async with Rig(tmp_path, control=True, environment=faults.environment) as rig:
+    async with SingleNodeCluster(tmp_path, control=True, environment=faults.environment) as rig:
         first_answer = await ask(rig, f"{1:016x}", False)
         faults.step_clock(adjustment_s)
         adjusted_s = adjustment_s
-        predecessor = await rig.beside()
+        predecessor = await rig.start_successor()
         assert await ask(rig, f"{2:016x}", True) == first_answer == (200, b"result of 0000000000000001\n")
         predecessor.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(predecessor.wait(), 10) == 0
         assert await ask(rig, f"{3:016x}", True) == first_answer
-        assert sum(sum(pool.spawned.values()) for pool in (rig.pool, *rig.pools)) == 1
+        assert sum(sum(pool.spawned.values()) for pool in (rig.pool, *rig.predecessor_pools)) == 1
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -30,7 +30,7 @@
 from flintshift.lab.fleet import Fleet
 from flintshift.lab.peers import Apps, Dns, Names, Pool, Vault
 from flintshift.lab.ports import free_ports, port_range
-from flintshift.lab.rig import Rig
+from flintshift.lab.single_node_cluster import SingleNodeCluster
 
 pytestmark = pytest.mark.anyio
 
@@ -106,10 +106,10 @@
 
 
 async def test_a_rig_whose_node_does_not_serve_in_time_leaves_no_process(tmp_path):
-    rig = Rig(tmp_path, ready_s=0.05)
+    rig = SingleNodeCluster(tmp_path, start_timeout_s=0.05)
     with pytest.raises(RuntimeError):
         await rig.__aenter__()
-    await all_ended(rig.started, rig.peers)
+    await all_ended(rig.processes, rig.stand_ins)
 
 
 async def test_a_fleet_whose_member_does_not_serve_leaves_no_process(tmp_path):
--- a/tests/lifecycle/test_clock_steps.py
+++ b/tests/lifecycle/test_clock_steps.py
@@ -9,7 +9,7 @@
 
 from flintshift.lab.callers import fields_of, http_request, reply
 from flintshift.lab.peers import Pool
-from flintshift.lab.rig import Rig
+from flintshift.lab.single_node_cluster import SingleNodeCluster
 from flintshift.lab.syscall_faults import SyscallFaults
 
 pytestmark = pytest.mark.anyio
@@ -24,7 +24,7 @@
         folder.mkdir()
         self.faults = SyscallFaults(folder / "faults")
         self.pool = Pool(took_ms={"submit-time": 5.0, "race-results": 400.0})
-        self.rig = Rig(folder, pool=self.pool, environment=self.faults.environment)
+        self.rig = SingleNodeCluster(folder, pool=self.pool, environment=self.faults.environment)
         self.step_s = 0.0
         self.writers = []  # held: a connection that nobody holds is closed
 
@@ -112,7 +112,7 @@
 async def test_a_drain_goes_on_over_a_step(node, step_s):
     reader = await node.send(node.request(f"{1:016x}", "race-results"))
     await asyncio.sleep(0.05)
-    leaving = asyncio.create_task(node.rig.leave())
+    leaving = asyncio.create_task(node.rig.terminate())
     await asyncio.sleep(0.05)
     node.step(step_s)
     assert (await asyncio.wait_for(reply(reader), 5))[0] == 200
--- a/tests/lifecycle/test_failing_system_calls.py
+++ b/tests/lifecycle/test_failing_system_calls.py
@@ -12,7 +12,7 @@
 import pytest
 from standins import ROOT
 
-from flintshift.lab.rig import Rig
+from flintshift.lab.single_node_cluster import SingleNodeCluster
 from flintshift.lab.syscall_faults import NO_FAULTS, Call, Rates, SyscallFaults
 
 pytestmark = pytest.mark.anyio
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("seed", range(1, 9))
 async def test_a_start_outlasts_calls_of_socket_that_fail_for_a_moment(seed, tmp_path):
     faults = SyscallFaults(tmp_path / "faults", seed=seed)
-    async with Rig(tmp_path, uwsgi=True, control=True, environment=faults.environment) as rig:
+    async with SingleNodeCluster(tmp_path, uwsgi=True, control=True, environment=faults.environment) as rig:
         await rig.kill()
         faults.set(Rates(socket=200))
         process = await asyncio.wait_for(rig.start(), 15)
@@ -45,7 +45,7 @@
     that failed: the event loop sets an option of each connection that is accepted, and where that failed, the
     connection was taken for one whose caller had gone, and closed over its request."""
     faults = SyscallFaults(tmp_path / "faults", seed=7)
-    async with Rig(tmp_path, environment=faults.environment) as rig:
+    async with SingleNodeCluster(tmp_path, environment=faults.environment) as rig:
         faults.fail(call, rate)
         asking = [asyncio.ensure_future(ping(rig.ports["http"])) for _ in range(60)]
         if lasts_s:
@@ -53,7 +53,7 @@
             faults.fail(call, 0)
         assert await asyncio.gather(*asking) == [True] * 60
         faults.fail(call, 0)
-        assert await rig.leave() == 0
+        assert await rig.terminate() == 0
 
 
 async def ping(port):
@@ -69,7 +69,7 @@
 
 
 async def test_a_standard_error_that_nobody_reads_stops_nothing(tmp_path):
-    async with Rig(tmp_path) as rig:
+    async with SingleNodeCluster(tmp_path) as rig:
         await rig.kill()
         read, write = os.pipe()
         fcntl.fcntl(write, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
@@ -81,7 +81,7 @@
         writer.write(b"GET /ping HTTP/1.1\r\nHost: n1\r\n\r\n")
         assert b" 200 " in await asyncio.wait_for(reader.readline(), 2)
         writer.close()
-        assert await rig.leave() == 0
+        assert await rig.terminate() == 0
         os.close(read)
         os.close(write)
 
--- a/tests/lifecycle/test_starts_under_faults.py
+++ b/tests/lifecycle/test_starts_under_faults.py
@@ -28,7 +28,7 @@
 
 from flintshift.lab.faulty_start import UNGUARDED, Fault, Start, play
 from flintshift.lab.ports import free_ports
-from flintshift.lab.rig import Rig
+from flintshift.lab.single_node_cluster import SingleNodeCluster
 from flintshift.lab.syscall_faults import Call
 
 pytestmark = pytest.mark.anyio
@@ -179,7 +179,7 @@
 
 
 async def test_a_configuration_that_is_still_being_written_is_read_once_it_is_whole(tmp_path):
-    async with Rig(tmp_path / "node") as rig:
-        await rig.leave()
+    async with SingleNodeCluster(tmp_path / "node") as rig:
+        await rig.terminate()
         assert (await rig.start(writing_s=0.6)).returncode is None
-        assert await rig.leave() == 0
+        assert await rig.terminate() == 0
--- a/tests/startup/test_starts.py
+++ b/tests/startup/test_starts.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flintshift.lab.rig import Rig
+from flintshift.lab.single_node_cluster import SingleNodeCluster
 from flintshift.startup.crash_loops import CrashLoopTiming, ProcessStart, StartHistory
 from flintshift.startup.phases import NodeState, Phase, PhaseBounds, PhaseEntered, PhaseOverdue, Phases, services_in_use
 
@@ -143,7 +143,7 @@
         return json.loads(out)
 
     settings_text = "startup: {enabled: true, socket: up.sock, folder: startup}\nlog: {enabled: true}\n"
-    async with Rig(tmp_path, settings_text) as rig:
+    async with SingleNodeCluster(tmp_path, settings_text) as rig:
         async with asyncio.timeout(10):
             while (status_document := await status(0))["phase"] != "steady":
                 await asyncio.sleep(0.05)
@@ -163,7 +163,7 @@
         async with asyncio.timeout(10):
             while len(json.loads(history_file.read_text())) < 5:
                 await asyncio.sleep(0.01)
-        assert await rig.leave() == 0 and not (tmp_path / "up.sock").exists()
+        assert await rig.terminate() == 0 and not (tmp_path / "up.sock").exists()
         rig.pool.port = 0
         await rig.pool.start()
         await rig.start()
@@ -178,6 +178,6 @@
         status_document = await status(0)
         assert status_document["lives_that_ended_badly"] == 3 and status_document["crash_loop_wait_ms"] >= 1000
         await asyncio.sleep(0.3)
-        assert await rig.leave() == 0
+        assert await rig.terminate() == 0
         await rig.start()
         assert (await status(0))["crash_loop_wait_ms"] == 0
--- a/tests/test_ledger_node.py
+++ b/tests/test_ledger_node.py
@@ -18,7 +18,7 @@
 from flintshift.lab.callers import Caller, Tally, fields_of, http_request, reply
 from flintshift.lab.demo import booked_in
 from flintshift.lab.peers import Pool
-from flintshift.lab.rig import Rig
+from flintshift.lab.single_node_cluster import SingleNodeCluster
 from flintshift.settings.embedded import CLUBS
 from flintshift.storage.files import DiskFiles
 from flintshift.usage import documents
@@ -62,12 +62,12 @@
 
 
 async def test_use_is_shown_after_a_restart(tmp_path):
-    async with Rig(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT) as rig:
+    async with SingleNodeCluster(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT) as rig:
         assert (await send_request(rig))[0] == 200
         assert (await send_request(rig, "race-results", rid="00000000000000ab", **{"X-Again": "1"}))[0] == 200
         assert (await send_request(rig, "submit-time", rid="00000000000000ac", **{"X-Unique": "k"}))[0] == 200
         assert (await send_request(rig, "submit-time", rid="00000000000000ad", **{"X-Unique": "k"}))[0] == 200
-        assert await rig.leave() == 0
+        assert await rig.terminate() == 0
         await rig.start(asyncio.subprocess.DEVNULL)
         rows_by_class = {row["class"]: row for row in show_rows(tmp_path / "usage")}
         assert {name: row["requests"] for name, row in rows_by_class.items()} == {
@@ -83,14 +83,14 @@
 
 async def test_a_disconnected_caller_and_a_run_that_ends_late_are_recorded(tmp_path):
     pool = Pool(took_ms={"standings": 400.0, "finish-times": 1700.0})
-    async with Rig(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT, pool=pool) as rig:
+    async with SingleNodeCluster(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT, pool=pool) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.ports["http"])
         writer.write(http_request("standings", b"1", fields_of("00000000000000b1", "sur-pacers", "standings", 1)))
         await wait_until(lambda: pool.spawned, "no run began")
         writer.transport.abort()
         assert (await send_request(rig, "finish-times", rid="00000000000000b2"))[0] == 500  # cancelled at its deadline
         await asyncio.sleep(0.6)
-        assert await rig.leave() == 0
+        assert await rig.terminate() == 0
         del reader
     rows_by_outcome = {(row["class"], row["outcome"]): row for row in show_rows(tmp_path / "usage")}
     assert (
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("mode", ["serve", "refuse"])
 async def test_on_a_full_disk_work_is_served_or_rejected_and_the_gap_is_reported(tmp_path, mode):
-    async with Rig(tmp_path, SETTINGS.format("1s", mode), root=ROOT) as rig:
+    async with SingleNodeCluster(tmp_path, SETTINGS.format("1s", mode), root=ROOT) as rig:
         assert (await send_request(rig))[0] == 200
         pid = rig.process.pid
         file_size_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
@@ -142,7 +142,7 @@
             lambda: [found for found in read_documents(DiskFiles(), tmp_path / "usage").values() if found.gaps],
             "no document lists the gap",
         )
-        assert await rig.leave() == 0
+        assert await rig.terminate() == 0
     recorded, in_doubt = booked_in(tmp_path / "usage")
     assert in_doubt == 0
     if mode == "serve":  # a request that can't be recorded is rejected before it reaches the ledger
@@ -153,7 +153,7 @@
 
 async def test_a_running_node_accepts_a_correction_while_its_period_is_exported(tmp_path):
     settings = SETTINGS.format("1s", "serve").replace("usage: {", "usage: {export: {folder: out}, ")
-    async with Rig(tmp_path, settings, root=ROOT) as rig:
+    async with SingleNodeCluster(tmp_path, settings, root=ROOT) as rig:
         assert (await send_request(rig))[0] == 200
         names = await wait_until(
             lambda: [
@@ -196,7 +196,7 @@
         revision = tmp_path / "out" / names[0].replace(".r0.", ".r1.")
         await wait_until(revision.exists, "the revision was not exported")
         assert (tmp_path / "out" / names[0]).read_bytes() == original
-        assert await rig.leave() == 0
+        assert await rig.terminate() == 0
 
 
 async def test_two_exporters_at_once_and_two_copies_of_a_folder_bill_once(tmp_path):
@@ -220,14 +220,14 @@
 
 
 async def test_a_second_node_on_a_folder_and_a_damaged_log_are_rejected_in_one_line(tmp_path):
-    async with Rig(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT) as rig:
+    async with SingleNodeCluster(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT) as rig:
         assert (await send_request(rig))[0] == 200
         second = await asyncio.create_subprocess_exec(
             *rig.command(), cwd=ROOT, env={"LB_CONFIG": str(tmp_path / "config.json")}, stderr=asyncio.subprocess.PIPE
         )
         error = (await second.communicate())[1].decode()
         assert second.returncode == 2 and "another process works in this folder" in error
-        assert await rig.leave() == 0
+        assert await rig.terminate() == 0
     log = next((tmp_path / "usage" / "log").iterdir())
     data = bytearray(log.read_bytes())
     data[40] ^= 1
@@ -244,7 +244,7 @@
 
 
 async def test_counted_and_recorded_use_agree_over_both_fronts_and_a_reload(tmp_path):
-    async with Rig(tmp_path, SETTINGS.format("1s", "serve"), uwsgi=True, root=ROOT) as rig:
+    async with SingleNodeCluster(tmp_path, SETTINGS.format("1s", "serve"), uwsgi=True, root=ROOT) as rig:
         tally, stop = Tally(), asyncio.Event()
         tasks = [
             asyncio.create_task(Caller(rig.ports[front], front, number, [*CLUBS], tally, number, 0.002).run(stop))
@@ -267,7 +267,7 @@
         await asyncio.sleep(0.5)
         stop.set()
         await asyncio.gather(*tasks)
-        assert await rig.leave() == 0
+        assert await rig.terminate() == 0
     counted = Counter()
     for (club, *_), count in tally.answers.items():
         counted[club] += count
