--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -111,7 +111,7 @@
         await fleet.until_linked()
 
         def passed() -> int:
-            return sum(link.passed for link in fleet.links.values())
+            return sum(link.passed_bytes for link in fleet.links.values())
 
         before = passed()
         began = time.monotonic()
--- a/flintshift/lab/chaos_copies.py
+++ b/flintshift/lab/chaos_copies.py
@@ -39,13 +39,13 @@
 
 async def slow_link(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
     one, other = draw.sample(others, 2)
-    fleet.links[one, other].there = Fault(delay_ms=200.0, jitter_ms=50.0)
+    fleet.links[one, other].forward = Fault(delay_ms=200.0, jitter_ms=50.0)
     fleet.told(f"{one} to {other}: 200 ms late")
 
 
 async def one_way_cut(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
     one, other = draw.sample(others, 2)
-    fleet.links[one, other].there = Fault(lost=True)
+    fleet.links[one, other].forward = Fault(drops=True)
     fleet.told(f"{one} to {other}: nothing passes, the other way all does")
 
 
@@ -86,7 +86,7 @@
 async def torn_frames(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
     for _ in range(6):
         one, other = draw.sample(others, 2)
-        fleet.links[one, other].there = Fault(cut_after=draw.randrange(2000), twice=draw.random() < 0.3)
+        fleet.links[one, other].forward = Fault(reset_after=draw.randrange(2000), duplicates=draw.random() < 0.3)
     fleet.told("six links are cut in the middle of a frame, some after junk")
 
 
--- a/flintshift/lab/faults.py
+++ b/flintshift/lab/faults.py
@@ -1,7 +1,7 @@
 """A proxy that stands on one link between two members and hurts what passes: delay, loss, cuts, drips, junk.
 
 It knows bytes alone, not what they mean, so whatever two members speak can be hurt. Faults are set by whoever plays
-them (`FaultProxy.there`, `.back`), and take effect on bytes that come from then on.
+them (`FaultProxy.forward`, `.backward`), and take effect on bytes that come from then on.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 
     delay_ms: float = 0.0
     jitter_ms: float = 0.0  # more, by chance; bytes keep their order, as TCP does
-    lost: bool = False  # what comes is taken and never passed on: a one-way cut, or with both directions half-open
-    drip: int = 0  # bytes a second; 0: as fast as they come
-    twice: bool = False  # each piece is passed on twice: junk, to whoever reads frames
-    cut_after: int = -1  # the connection is reset after so many more bytes, in the middle of whatever that is
+    drops: bool = False  # what comes is taken and never passed on: a one-way cut, or with both directions half-open
+    bytes_per_s: int = 0  # bytes a second; 0: as fast as they come
+    duplicates: bool = False  # each piece is passed on twice: junk, to whoever reads frames
+    reset_after: int = -1  # the connection is reset after so many more bytes, in the middle of whatever that is
 
 
 class FaultProxy:
@@ -37,10 +37,10 @@
 
     def __init__(self, port: int, to: int, seed: int) -> None:
         self.port, self.to, self.draw = port, to, random.Random(seed)
-        self.there, self.back = Fault(), Fault()
+        self.forward, self.backward = Fault(), Fault()
         self.refusing = False  # new connections are reset
         self.writers: set[asyncio.StreamWriter] = set()
-        self.passed = 0  # bytes, both ways
+        self.passed_bytes = 0  # bytes, both ways
         self.connections = ConnectionTasks(self._serve)
 
     async def start(self) -> None:
@@ -59,12 +59,12 @@
 
     def cut(self) -> None:
         """Nothing passes either way until ``heal``; what is open stays open and silent."""
-        self.there, self.back = Fault(lost=True), Fault(lost=True)
+        self.forward, self.backward = Fault(drops=True), Fault(drops=True)
 
     def heal(self) -> None:
         """All passes again. Connections that lost bytes are broken: they could only be read as junk."""
-        lost = self.there.lost or self.back.lost
-        self.there, self.back, self.refusing = Fault(), Fault(), False
+        lost = self.forward.drops or self.backward.drops
+        self.forward, self.backward, self.refusing = Fault(), Fault(), False
         if lost:
             self.reset()
 
@@ -107,12 +107,12 @@
                 data = await reader.read(READ)
                 if not data:
                     break
-                fault = self.there if there else self.back
-                if fault.lost:
+                fault = self.forward if there else self.backward
+                if fault.drops:
                     continue
                 now = asyncio.get_running_loop().time()
                 last = max(last, now + (fault.delay_ms + fault.jitter_ms * self.draw.random()) / 1000)
-                held.append((last, data * (2 if fault.twice else 1)))
+                held.append((last, data * (2 if fault.duplicates else 1)))
                 come.set()
         held.append((last, b""))
         come.set()
@@ -129,18 +129,18 @@
                     return
                 if at > loop.time():
                     await asyncio.sleep(at - loop.time())
-                fault = self.there if there else self.back
-                if 0 <= fault.cut_after <= len(data):
-                    writer.write(data[: fault.cut_after])
-                    fault.cut_after = -1
+                fault = self.forward if there else self.backward
+                if 0 <= fault.reset_after <= len(data):
+                    writer.write(data[: fault.reset_after])
+                    fault.reset_after = -1
                     await writer.drain()
                     return
-                if fault.cut_after >= 0:
-                    fault.cut_after -= len(data)
-                step = max(1, fault.drip // 20) if fault.drip else len(data)
+                if fault.reset_after >= 0:
+                    fault.reset_after -= len(data)
+                step = max(1, fault.bytes_per_s // 20) if fault.bytes_per_s else len(data)
                 for begin in range(0, len(data), step):
                     writer.write(data[begin : begin + step])
                     await writer.drain()
-                    if fault.drip:
+                    if fault.bytes_per_s:
                         await asyncio.sleep(0.05)
-                self.passed += len(data)
+                self.passed_bytes += len(data)
--- a/tests/fleet/test_hard_cases.py
+++ b/tests/fleet/test_hard_cases.py
@@ -67,7 +67,7 @@
     key = held_outside("n1")
     for name in fleet.members:
         if name != "n1":
-            fleet.links["n1", name].back = Fault(delay_ms=700.0)  # the holders have its claim, and it does not know
+            fleet.links["n1", name].backward = Fault(delay_ms=700.0)  # the holders have its claim, and it does not know
     asking = asyncio.ensure_future(fleet.ask("n1", key))
     await asyncio.sleep(0.3)
     await fleet.lose("n1")
@@ -84,7 +84,7 @@
     asking = await slowly(fleet, "n1", key, took_ms=300.0)
     for holder in holders:
         if holder != holders[kept]:
-            fleet.links["n1", holder].there = Fault(lost=True)
+            fleet.links["n1", holder].forward = Fault(drops=True)
     await asyncio.sleep(0.5)  # it has ended, and a minority knows how
     await fleet.lose("n1")
     assert await asking is None
@@ -107,8 +107,8 @@
 
 
 async def test_two_tries_in_one_moment_with_a_slow_link_run_once(fleet):
-    fleet.links["n1", "n2"].there = Fault(delay_ms=200.0)
-    fleet.links["n4", "n5"].back = Fault(delay_ms=200.0)
+    fleet.links["n1", "n2"].forward = Fault(delay_ms=200.0)
+    fleet.links["n4", "n5"].backward = Fault(delay_ms=200.0)
     for number in range(20):
         one, other = await asyncio.gather(fleet.ask("n1", f"k{number}"), fleet.ask("n4", f"k{number}", again=True))
         assert (one.status, other.status) == (200, 200)
@@ -150,8 +150,8 @@
 
 async def test_a_one_way_cut_makes_no_second_majority_and_keeps_service(fleet):
     async def cut() -> None:
-        fleet.links["n1", "n3"].there = Fault(lost=True)  # n3 hears nothing of what n1 asks; n1 hears n3's questions
-        fleet.links["n2", "n4"].back = Fault(lost=True)  # n4 hears n2's questions, and its answers are lost
+        fleet.links["n1", "n3"].forward = Fault(drops=True)  # n3 hears nothing of what n1 asks; n1 hears n3's questions
+        fleet.links["n2", "n4"].backward = Fault(drops=True)  # n4 hears n2's questions, and its answers are lost
         await asyncio.sleep(4.0)
 
     told = await under_load(fleet, ("n1", "n3"), cut())
@@ -232,7 +232,7 @@
     firsts = {f"k{number}": await fleet.ask("n4", f"k{number}") for number in range(20)}
     await fleet.lose("n1")
     for link in fleet.between(["n1"], ["n2", "n3", "n5"]):
-        link.there = link.back = Fault(drip=2000)
+        link.forward = link.backward = Fault(bytes_per_s=2000)
     await fleet.start("n1")
     await fleet.kill("n2")
     asked = [await fleet.ask("n3", key, again=True) for key in firsts]
