--- a/flintshift/lab/chaos_copies.py
+++ b/flintshift/lab/chaos_copies.py
@@ -22,7 +22,7 @@
 
 from flintshift.lab.faults import Fault
 from flintshift.lab.fleet import WINDOW_MS, Fleet, bills, booking
-from flintshift.lab.history import Broken, Ran, Use, judge_use, used
+from flintshift.lab.history import MemberUsage, RunStarted, Violation, check_usage, collect_usage
 
 HALLS = {"ruwi-hall": 3, "seeb-hall": 2}
 COPIES = "  copies: 3\n  take-over-use: 1s\n"
@@ -117,7 +117,7 @@
     runs: int = 0
     keys: int = 0
     took_s: float = 0.0
-    use: dict[str, Use] = field(default_factory=lambda: defaultdict(Use))  # by member
+    use: dict[str, MemberUsage] = field(default_factory=lambda: defaultdict(MemberUsage))  # by member
     billed: int = 0
     in_doubt: int = 0
     whole_after_s: list[float] = field(default_factory=list)  # by round: from its end, or the disks' recovery after it
@@ -199,7 +199,7 @@
     await fleet.until_filled(lost)
     await fleet.until_whole()  # the next machine is lost once what this one held stands at others again
     tally.whole_after_s.append(time.monotonic() - max(loaded_s, fleet.disks_recovered_s))
-    ran = {event.rid for event in fleet.events if isinstance(event, Ran)}
+    ran = {event.rid for event in fleet.events if isinstance(event, RunStarted)}
     # Every key that may have run, once more, wherever.
     room = asyncio.Semaphore(16)
 
@@ -210,16 +210,16 @@
     await asyncio.gather(*(last(key) for key in load.keys))
     judged = fleet.judged()
     tally.rounds += 1
-    tally.broken.update(judged.by_promise())
+    tally.broken.update(judged.count_by_guarantee())
     tally.texts += [
-        f"seed {seed}, round {number} ({fault}, {lost} lost): {one.what} of {one.key}: {one.text}"
-        for one in judged.broken
+        f"seed {seed}, round {number} ({fault}, {lost} lost): {one.guarantee} of {one.key}: {one.text}"
+        for one in judged.violations
     ]
     tally.answers.update(judged.answers)
     tally.runs += len(ran)
-    for name, use in used(fleet.events).items():
-        tally.use[name].read |= use.read
-        tally.use[name].unread |= use.unread
+    for name, use in collect_usage(fleet.events).items():
+        tally.use[name].answered |= use.answered
+        tally.use[name].unanswered |= use.unanswered
     fleet.events.clear()
     for member in fleet.members.values():
         member.pool.spawned.clear()
@@ -238,20 +238,20 @@
     """Wait until all that is booked is exported, and judge it. What a machine booked while it told that no copy
     answered, and lost with its disk, is counted apart: no two machines had it."""
     until = time.monotonic() + (BILLED_S if fleet.copies is not None else 5.0)
-    broken = [Broken("use lost", "", "nothing is billed")]
+    broken = [Violation("use lost", "", "nothing is billed")]
     while broken and time.monotonic() < until:
         await asyncio.sleep(0.5)
-        broken = judge_use(tally.use, *bills(fleet.folder))
+        broken = check_usage(tally.use, *bills(fleet.folder))
     counted, doubted = bills(fleet.folder)
     tally.billed, tally.in_doubt = sum(counted.values()), sum(map(len, doubted.values()))
     gaps = {one["node"] for one in fleet.story() if one["event"] == "usage.copies_lack"}
     for one in broken:
         name = one.text.partition(":")[0]
-        if one.what == "use lost" and name in gaps:
-            tally.lost_in_gaps += len(tally.use[name].read - set(doubted.get(name, []))) - counted.get(name, 0)
+        if one.guarantee == "use lost" and name in gaps:
+            tally.lost_in_gaps += len(tally.use[name].answered - set(doubted.get(name, []))) - counted.get(name, 0)
         else:
-            tally.broken[one.what] += 1
-            tally.texts.append(f"{one.what}: {one.text}")
+            tally.broken[one.guarantee] += 1
+            tally.texts.append(f"{one.guarantee}: {one.text}")
 
 
 async def rounds(
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -28,7 +28,16 @@
 from flintshift.cli.asking import ask
 from flintshift.lab.callers import fields_of, http_request, reply_with_head
 from flintshift.lab.faults import FaultProxy
-from flintshift.lab.history import Answered, Asked, Broke, Died, Event, Ran, Result, judge
+from flintshift.lab.history import (
+    CheckResult,
+    ConnectionLost,
+    Event,
+    MemberDown,
+    RequestSent,
+    ResponseReceived,
+    RunStarted,
+    check_history,
+)
 from flintshift.lab.peers import Names, Pool, Vault
 from flintshift.lab.ports import free_ports
 from flintshift.lab.syscall_faults import Rates, SyscallFaults
@@ -84,7 +93,7 @@
         self.member, self.events = member, events
 
     def begun(self, rid: str) -> None:
-        self.events.append(Ran(now_ms(), rid, self.member))
+        self.events.append(RunStarted(now_ms(), rid, self.member))
 
 
 @dataclass
@@ -316,7 +325,7 @@
 
     async def kill(self, name: str) -> None:
         """End its process; what runs in its pool runs on."""
-        self.events.append(Died(now_ms(), name))
+        self.events.append(MemberDown(now_ms(), name))
         self.told(f"{name} killed")
         await self._end(self.members[name])
 
@@ -331,7 +340,7 @@
     def pause(self, name: str) -> None:
         member = self.members[name]
         assert member.process is not None
-        self.events.append(Died(now_ms(), name))
+        self.events.append(MemberDown(now_ms(), name))
         member.process.send_signal(signal.SIGSTOP)
         member.paused = True
         self.told(f"{name} paused")
@@ -339,7 +348,7 @@
     def resume(self, name: str) -> None:
         member = self.members[name]
         assert member.process is not None
-        self.events.append(Died(now_ms(), name))
+        self.events.append(MemberDown(now_ms(), name))
         member.process.send_signal(signal.SIGCONT)
         member.paused = False
         self.told(f"{name} resumed")
@@ -497,21 +506,21 @@
         try:
             async with asyncio.timeout(within_s):
                 reader, writer = await asyncio.open_connection("127.0.0.1", member.ports["http"])
-                self.events.append(Asked(now_ms(), rid, key, body, name))
+                self.events.append(RequestSent(now_ms(), rid, key, body, name))
                 writer.write(http_request(class_name, body, told))
                 status, result, head = await reply_with_head(reader)
         except (OSError, asyncio.IncompleteReadError):
-            self.events.append(Broke(now_ms(), rid))
+            self.events.append(ConnectionLost(now_ms(), rid))
             return None
         finally:
             if writer is not None:
                 writer.transport.abort()
-        self.events.append(Answered(now_ms(), rid, status, result))
+        self.events.append(ResponseReceived(now_ms(), rid, status, result))
         _, found, rest = head.partition(b"x-wait-ms: ")
         return Answer(status, result, float(rest.split(b"\r\n")[0]) if found else None)
 
-    def judged(self) -> Result:
-        return judge(self.events, WINDOW_MS, DUE_MS)
+    def judged(self) -> CheckResult:
+        return check_history(self.events, WINDOW_MS, DUE_MS)
 
     def tracebacks(self) -> list[str]:
         """The last lines of exceptions that members' processes told of."""
--- a/flintshift/lab/history.py
+++ b/flintshift/lab/history.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RequestSent:
     at_ms: float
     rid: str  # of this try
     key: str | None  # the same for all tries of one keyed request; None: a read
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class ResponseReceived:
     at_ms: float
     rid: str
     status: int
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broke:
+class ConnectionLost:
     """The caller's connection ended without an answer."""
 
     at_ms: float
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
+class RunStarted:
     """A worker pool was told to run this try."""
 
     at_ms: float
@@ -48,26 +48,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Died:
+class MemberDown:
     """A member's process was killed, or its machine paused: answers owed then may not come."""
 
     at_ms: float
     member: str
 
 
-Event = Asked | Answered | Broke | Ran | Died
+Event = RequestSent | ResponseReceived | ConnectionLost | RunStarted | MemberDown
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """A promise that was not kept; ``what`` is a key of ``PROMISES``."""
+class Violation:
+    """A promise that was not kept; ``guarantee`` is a key of ``GUARANTEES``."""
 
-    what: str
+    guarantee: str
     key: str
     text: str
 
 
-PROMISES = {
+GUARANTEES = {
     "second run": "a keyed request ran twice within its window",
     "refused after a run": "a try was refused that was sent after its request had run",
     "differing results": "a try was served with another result than that of the run in whose window it came",
@@ -82,18 +82,18 @@
 
 
 @dataclass(slots=True)
-class Result:
-    broken: list[Broken]
+class CheckResult:
+    violations: list[Violation]
     answers: Counter[str] = field(default_factory=Counter)  # served, refused, failed, conflict, none
     runs: int = 0
-    delays_ms: list[float] = field(default_factory=list)  # of keyed tries that were served
+    latencies_ms: list[float] = field(default_factory=list)  # of keyed tries that were served
 
-    def by_promise(self) -> dict[str, int]:
-        counted = Counter(one.what for one in self.broken)
-        return {what: counted[what] for what in PROMISES if counted[what]}
+    def count_by_guarantee(self) -> dict[str, int]:
+        counted = Counter(one.guarantee for one in self.broken)
+        return {what: counted[what] for what in GUARANTEES if counted[what]}
 
 
-def result_of(rid: str) -> bytes:
+def run_result(rid: str) -> bytes:
     """What the lab's worker pool makes of a run."""
     return f"result of {rid}\n".encode()
 
@@ -102,31 +102,31 @@
     return {200: "served", 409: "conflict"}.get(status, "refused" if status in REFUSED else "failed")
 
 
-def judge(events: list[Event], window_ms: float, due_ms: float, slack_ms: float = 80.0) -> Result:
+def check_history(events: list[Event], window_ms: float, due_ms: float, slack_ms: float = 80.0) -> CheckResult:
     """``due_ms``: within which an answer is due; ``window_ms``: within which no second try of a key may run, counted
     from when the first of them was asked."""
-    asked: dict[str, Asked] = {}
-    answers: dict[str, Answered] = {}
+    asked: dict[str, RequestSent] = {}
+    answers: dict[str, ResponseReceived] = {}
     died: dict[str, list[float]] = defaultdict(list)
-    runs: dict[str, list[tuple[Ran, Asked]]] = defaultdict(list)
-    tries: dict[str, list[Asked]] = defaultdict(list)
-    told = Result([])
+    runs: dict[str, list[tuple[RunStarted, RequestSent]]] = defaultdict(list)
+    tries: dict[str, list[RequestSent]] = defaultdict(list)
+    told = CheckResult([])
     for event in events:
         match event:
-            case Asked(rid=rid, key=key):
+            case RequestSent(rid=rid, key=key):
                 asked[rid] = event
                 if key is not None:
                     tries[key].append(event)
-            case Answered(rid=rid):
+            case ResponseReceived(rid=rid):
                 answers[rid] = event
-            case Ran(rid=rid):
+            case RunStarted(rid=rid):
                 told.runs += 1
                 known = asked.get(rid)
                 if known is None:
-                    told.broken.append(Broken("run of nothing", "", f"{event.member} ran {rid}"))
+                    told.violations.append(Violation("run of nothing", "", f"{event.member} ran {rid}"))
                 elif known.key is not None:
                     runs[known.key].append((event, known))
-            case Died(at_ms, member):
+            case MemberDown(at_ms, member):
                 died[member].append(at_ms)
     for rid, one in asked.items():
         answer = answers.get(rid)
@@ -134,22 +134,26 @@
         if answer is None:
             told.answers["none"] += 1
             if not excused:
-                told.broken.append(Broken("missing", one.key or "", f"{rid} at {one.member}"))
+                told.violations.append(Violation("missing", one.key or "", f"{rid} at {one.member}"))
             continue
         told.answers[word(answer.status)] += 1
         took = answer.at_ms - one.at_ms
         if took > due_ms + slack_ms and not excused:
-            told.broken.append(Broken("late", one.key or "", f"{rid} at {one.member} after {took:.0f} ms"))
+            told.violations.append(Violation("late", one.key or "", f"{rid} at {one.member} after {took:.0f} ms"))
         if answer.status == 200 and one.key is not None:
-            told.delays_ms.append(took)
+            told.latencies_ms.append(took)
     for key, all_tries in tries.items():
-        told.broken += _of_key(key, all_tries, runs[key], answers, window_ms)
+        told.violations += _of_key(key, all_tries, runs[key], answers, window_ms)
     return told
 
 
 def _of_key(
-    key: str, tries: list[Asked], ran: list[tuple[Ran, Asked]], answers: dict[str, Answered], window_ms: float
-) -> list[Broken]:
+    key: str,
+    tries: list[RequestSent],
+    ran: list[tuple[RunStarted, RequestSent]],
+    answers: dict[str, ResponseReceived],
+    window_ms: float,
+) -> list[Violation]:
     broken = []
     ran = sorted(ran, key=lambda one: one[0].at_ms)
     for (first, asked_first), (second, asked_second) in pairwise(ran):
@@ -157,7 +161,7 @@
             continue  # the pool was told again, over a link that broke: it begins nothing
         if asked_second.at_ms <= asked_first.at_ms + window_ms:
             broken.append(
-                Broken(
+                Violation(
                     "second run",
                     key,
                     f"{first.rid} at {first.member}, then {second.rid} at "
@@ -165,7 +169,7 @@
                 )
             )
     differing: set[bytes] = set()
-    made = {result_of(one.rid) for one, _ in ran}
+    made = {run_result(one.rid) for one, _ in ran}
     for one in tries:
         answer = answers.get(one.rid)
         before = [run for run, asked in ran if run.at_ms < one.at_ms and one.at_ms <= asked.at_ms + window_ms]
@@ -173,7 +177,7 @@
             continue
         if answer.status in REFUSED and before:
             broken.append(
-                Broken(
+                Violation(
                     "refused after a run",
                     key,
                     f"{one.rid} at {one.member}: {answer.status}, "
@@ -182,56 +186,58 @@
             )
         if answer.status == 200:
             if answer.body not in made:
-                broken.append(Broken("unknown result", key, f"{one.rid} at {one.member}: {answer.body!r}"))
+                broken.append(Violation("unknown result", key, f"{one.rid} at {one.member}: {answer.body!r}"))
             elif (expected := _due_result(one, ran, window_ms)) not in (None, answer.body):
                 differing |= {answer.body, expected}
-            bodies = {asked.body for _, asked in ran if result_of(asked.rid) == answer.body}
+            bodies = {asked.body for _, asked in ran if run_result(asked.rid) == answer.body}
             if bodies and one.body not in bodies:
-                broken.append(Broken("other body served", key, f"{one.rid} at {one.member}"))
+                broken.append(Violation("other body served", key, f"{one.rid} at {one.member}"))
     if differing:
-        broken.append(Broken("differing results", key, f"{sorted(differing)!r}"))
+        broken.append(Violation("differing results", key, f"{sorted(differing)!r}"))
     return broken
 
 
-def _due_result(one: Asked, ran: list[tuple[Ran, Asked]], window_ms: float) -> bytes | None:
+def _due_result(one: RequestSent, ran: list[tuple[RunStarted, RequestSent]], window_ms: float) -> bytes | None:
     """What a try is due: the result of the first run whose window, from when that was asked, had not passed when the
     try was asked. None: all had, and nothing ran for it."""
     within = [run.rid for run, asked in ran if one.at_ms <= asked.at_ms + window_ms]
-    return result_of(within[0]) if within else None
+    return run_result(within[0]) if within else None
 
 
 @dataclass(slots=True)
-class Use:
+class MemberUsage:
     """Of one member, as its callers saw it."""
 
-    read: set[str] = field(default_factory=set)  # tries that were answered
-    unread: set[str] = field(default_factory=set)  # that broke off: the member may have booked them all the same
+    answered: set[str] = field(default_factory=set)  # tries that were answered
+    unanswered: set[str] = field(default_factory=set)  # that broke off: the member may have booked them all the same
 
 
-def used(events: list[Event]) -> dict[str, Use]:
+def collect_usage(events: list[Event]) -> dict[str, MemberUsage]:
     """By member."""
-    asked = {event.rid: event.member for event in events if isinstance(event, Asked)}
-    answered = {event.rid for event in events if isinstance(event, Answered)}
-    found: dict[str, Use] = defaultdict(Use)
+    asked = {event.rid: event.member for event in events if isinstance(event, RequestSent)}
+    answered = {event.rid for event in events if isinstance(event, ResponseReceived)}
+    found: dict[str, MemberUsage] = defaultdict(MemberUsage)
     for rid, member in asked.items():
-        (found[member].read if rid in answered else found[member].unread).add(rid)
+        (found[member].answered if rid in answered else found[member].unanswered).add(rid)
     return found
 
 
-def judge_use(members: dict[str, Use], booked: dict[str, int], doubted: dict[str, list[str]]) -> list[Broken]:
+def check_usage(
+    members: dict[str, MemberUsage], booked: dict[str, int], doubted: dict[str, list[str]]
+) -> list[Violation]:
     """``booked``: requests by member in all documents; ``doubted``: ids by member that they list as in doubt."""
     broken = []
     for member, use in sorted(members.items()):
         told = doubted.get(member, [])
-        certain, count = len(use.read - set(told)), booked.get(member, 0)
+        certain, count = len(use.answered - set(told)), booked.get(member, 0)
         if count < certain:
-            broken.append(Broken("use lost", "", f"{member}: {certain} answered and not in doubt, {count} billed"))
-        if count > certain + len(use.unread - set(told)) or len(told) > len(set(told)):
+            broken.append(Violation("use lost", "", f"{member}: {certain} answered and not in doubt, {count} billed"))
+        if count > certain + len(use.unanswered - set(told)) or len(told) > len(set(told)):
             broken.append(
-                Broken(
+                Violation(
                     "use doubled",
                     "",
-                    f"{member}: {certain} answered and {len(use.unread)} broken off, "
+                    f"{member}: {certain} answered and {len(use.unanswered)} broken off, "
                     f"{count} billed, {len(told)} in doubt",
                 )
             )
--- a/tests/fleet/test_hard_cases.py
+++ b/tests/fleet/test_hard_cases.py
@@ -23,9 +23,9 @@
     async with Fleet(tmp_path, HALLS, copies=COPIES, took_ms=5.0) as fleet:
         await fleet.until_linked()
         yield fleet
-    if fleet.judged().broken:
+    if fleet.judged().violations:
         print("\n".join(map(str, fleet.story())))
-    assert fleet.judged().broken == []
+    assert fleet.judged().violations == []
 
 
 def held_outside(*names: str) -> str:
@@ -256,7 +256,7 @@
         await fleet.lose("n2")
         for key, first in zip(keys, firsts, strict=True):
             assert (await fleet.ask("n5", key, again=True)).body == first.body
-        assert fleet.judged().broken == []
+        assert fleet.judged().violations == []
 
 
 async def test_another_body_under_the_key_conflicts_at_every_member(fleet):
@@ -299,7 +299,7 @@
         for key in keys:
             await fleet.ask("n5", key, again=True)
         told = fleet.judged()
-        assert told.broken == []
+        assert told.violations == []
         assert told.answers["served"] > 200 and not told.answers["none"]
         assert told.answers["failed"] + told.answers["refused"] < len(keys) * 0.05
 
@@ -329,7 +329,7 @@
         for number in range(20):
             await fleet.ask("n4", f"a{number}", again=True)
             await fleet.ask("n2", f"b{number}", again=True)
-        assert fleet.judged().broken == []
+        assert fleet.judged().violations == []
 
 
 async def test_full_disks_take_votes_away_and_no_promise(fleet):
--- a/tests/fleet/test_losses.py
+++ b/tests/fleet/test_losses.py
@@ -26,7 +26,7 @@
         for name in ("n2", "n3", "n4", "n5"):
             again = await fleet.ask(name, "k1", again=True)
             assert again is not None and again.body == first.body
-        assert fleet.judged().broken == []
+        assert fleet.judged().violations == []
 
 
 async def test_three_rounds_of_chaos(tmp_path):
--- a/tests/fleet/test_refusing_disks.py
+++ b/tests/fleet/test_refusing_disks.py
@@ -68,7 +68,7 @@
             while (await status(fleet, "n1"))["disk"] != "takes":
                 await asyncio.sleep(0.05)
         assert (await status(fleet, "n1"))["votes"]
-        assert fleet.judged().broken == []
+        assert fleet.judged().violations == []
         assert fleet.tracebacks() == []
     not_served = 1 - statuses.count(200) / len(statuses)
     assert not_served <= 0.02, f"{not_served:.3f} of {len(statuses)}"  # as with no fault
@@ -127,5 +127,5 @@
     while not all([await votes(fleet, name) for name in fleet.members]):
         await asyncio.sleep(0.05)
     assert time.monotonic() - recovered <= WHOLE_S, f"whole after {whole_s:.1f} s"
-    assert fleet.judged().broken == []
+    assert fleet.judged().violations == []
     assert fleet.tracebacks() == []
