--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -38,7 +38,7 @@
     "booked-on": ("  copies: 3\n", BOOKED),
 }
 PLATFORM = {"tenants": [{"name": club, "quotaPerS": 100_000.0} for club in CLUBS]}
-KEYED, READ = "submit-time", "standings"
+KEYED_CLASS, READ = "submit-time", "standings"
 ids = itertools.count(1)
 
 
@@ -108,7 +108,7 @@
 async def traffic(folder: Path, writes: int = 400) -> dict[str, float]:
     """Bytes between members for a keyed write, both ways and their beats left out, by proxies on the links."""
     async with Fleet(folder, HALLS, "  copies: 3\n", took_ms=1.0, cores=64, platform=PLATFORM) as fleet:
-        await fleet.until_linked()
+        await fleet.wait_until_linked()
 
         def passed() -> int:
             return sum(link.passed_bytes for link in fleet.links.values())
@@ -119,7 +119,7 @@
         beats = (passed() - before) / (time.monotonic() - began)
         before, began = passed(), time.monotonic()
         for number in range(writes):
-            await fleet.ask(list(fleet.members)[number % 5], f"b{number}")
+            await fleet.send_request(list(fleet.members)[number % 5], f"b{number}")
         return {
             "bytes_a_write": round((passed() - before - beats * (time.monotonic() - began)) / writes, 1),
             "bytes_a_second_at_rest": round(beats, 1),
@@ -140,17 +140,17 @@
                     cores=64,
                     platform=PLATFORM,
                     direct=True,
-                    more=more,
+                    extra_settings=more,
                 )
                 await fleet.__aenter__()
-                await fleet.until_linked()
+                await fleet.wait_until_linked()
                 fleets[variant] = fleet
             found: dict[str, dict[str, list[dict[str, float]]]] = {variant: {} for variant in names}
             cores = sorted(os.sched_getaffinity(0))
             for what, class_name, full in (
-                ("keyed", KEYED, False),
+                ("keyed", KEYED_CLASS, False),
                 ("reads", READ, False),
-                ("keyed full", KEYED, True),
+                ("keyed full", KEYED_CLASS, True),
                 ("reads full", READ, True),
             ):
                 for fleet in fleets.values():
--- a/benchmarks/copies_loss.py
+++ b/benchmarks/copies_loss.py
@@ -36,7 +36,7 @@
         count = 0
         while time.monotonic() < until:
             began = time.monotonic()
-            answer = await fleet.ask(names[number % len(names)], f"{number}-{count}-{began}")
+            answer = await fleet.send_request(names[number % len(names)], f"{number}-{count}-{began}")
             count += 1
             if answer is not None and answer.status == 200:
                 served.append(time.monotonic())
@@ -46,12 +46,12 @@
 
 
 def moments(fleet: Fleet, event: str) -> list[dict[str, Any]]:
-    return [one for one in fleet.story() if one["event"] == event]
+    return [one for one in fleet.timeline() if one["event"] == event]
 
 
 async def loss(folder: Path, seed: int) -> dict[str, float]:
     async with Fleet(folder, HALLS, "  copies: 3\n", seed=seed) as fleet:
-        await fleet.until_linked()
+        await fleet.wait_until_linked()
         lost = list(fleet.members)[seed % 5]
         names = [name for name in fleet.members if name != lost]
         served: list[float] = []
@@ -83,8 +83,10 @@
     """What becomes of callers who were told a time to come back and hold to it: at the member that told it, or, where
     that one was lost meanwhile, at another. The door keeps such times, in the memory of its member alone."""
     returned: list[int] = []
-    async with Fleet(folder, HALLS, "  copies: 3\n", took_ms=40.0, cores=1, more="door: {enabled: true}\n") as fleet:
-        await fleet.until_linked()
+    async with Fleet(
+        folder, HALLS, "  copies: 3\n", took_ms=40.0, cores=1, extra_settings="door: {enabled: true}\n"
+    ) as fleet:
+        await fleet.wait_until_linked()
         gone, over = asyncio.Event(), asyncio.Event()
 
         async def caller(name: str, number: int, counts: bool) -> None:
@@ -92,15 +94,15 @@
                 if over.is_set():
                     return
                 target = "n2" if name == "n1" and gone.is_set() else name
-                answer = await fleet.ask(target, f"{name}-{number}-{count}")
-                if answer is None or answer.status != 429 or not answer.wait_ms:
+                answer = await fleet.send_request(target, f"{name}-{number}-{count}")
+                if answer is None or answer.status != 429 or not answer.retry_after_ms:
                     continue
                 since = gone.is_set()
-                await asyncio.sleep(answer.wait_ms / 1000)
+                await asyncio.sleep(answer.retry_after_ms / 1000)
                 if not counts or over.is_set() or (lost and (since or not gone.is_set())):
                     continue
                 target = "n2" if name == "n1" and gone.is_set() else name
-                again = await fleet.ask(target, f"{name}-{number}-{count}-back")
+                again = await fleet.send_request(target, f"{name}-{number}-{count}-back")
                 if again is not None:
                     returned.append(again.status)
 
@@ -125,7 +127,7 @@
 async def quiet(folder: Path, seconds: float, burners: int) -> dict[str, int]:
     processes = [multiprocessing.Process(target=busy, args=(seconds,), daemon=True) for _ in range(burners)]
     async with Fleet(folder, HALLS, "  copies: 3\n") as fleet:
-        await fleet.until_linked()
+        await fleet.wait_until_linked()
         for process in processes:
             process.start()
         await load(fleet, list(fleet.members), seconds, 10, [])
--- a/flintshift/lab/chaos_copies.py
+++ b/flintshift/lab/chaos_copies.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from flintshift.lab.faults import Fault
-from flintshift.lab.fleet import WINDOW_MS, Fleet, bills, booking
+from flintshift.lab.fleet import WINDOW_MS, Fleet, read_billed_documents, usage_settings
 from flintshift.lab.history import MemberUsage, RunStarted, Violation, check_usage, collect_usage
 
 HALLS = {"ruwi-hall": 3, "seeb-hall": 2}
@@ -40,13 +40,13 @@
 async def slow_link(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
     one, other = draw.sample(others, 2)
     fleet.links[one, other].forward = Fault(delay_ms=200.0, jitter_ms=50.0)
-    fleet.told(f"{one} to {other}: 200 ms late")
+    fleet.add_to_timeline(f"{one} to {other}: 200 ms late")
 
 
 async def one_way_cut(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
     one, other = draw.sample(others, 2)
     fleet.links[one, other].forward = Fault(drops=True)
-    fleet.told(f"{one} to {other}: nothing passes, the other way all does")
+    fleet.add_to_timeline(f"{one} to {other}: nothing passes, the other way all does")
 
 
 async def cut_off(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
@@ -56,16 +56,16 @@
 
 
 async def hall_cut(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
-    fleet.cut(fleet.hall("ruwi-hall"), fleet.hall("seeb-hall"))
+    fleet.cut(fleet.members_in_hall("ruwi-hall"), fleet.members_in_hall("seeb-hall"))
 
 
 async def flapping(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
     one = draw.choice(others)
     for _ in range(4):
-        for link in fleet.between([one], [name for name in fleet.members if name != one]):
+        for link in fleet.links_between([one], [name for name in fleet.members if name != one]):
             link.reset()
         await asyncio.sleep(0.15)
-    fleet.told(f"links of {one} were reset four times")
+    fleet.add_to_timeline(f"links of {one} were reset four times")
 
 
 async def paused(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
@@ -87,7 +87,7 @@
     for _ in range(6):
         one, other = draw.sample(others, 2)
         fleet.links[one, other].forward = Fault(reset_after=draw.randrange(2000), duplicates=draw.random() < 0.3)
-    fleet.told("six links are cut in the middle of a frame, some after junk")
+    fleet.add_to_timeline("six links are cut in the middle of a frame, some after junk")
 
 
 FAULTS: dict[str, Callable[[Fleet, random.Random, list[str]], Awaitable[None]]] = {
@@ -164,13 +164,13 @@
             key = f"{self.prefix}-{len(self.keys)}"
             self.keys.append(key)
             names = list(self.fleet.members)
-            first = self.fleet.ask(draw.choice(names), key)
+            first = self.fleet.send_request(draw.choice(names), key)
             if draw.random() < 0.3:  # a second copy in the same moment
-                await asyncio.gather(first, self.fleet.ask(draw.choice(names), key, again=True))
+                await asyncio.gather(first, self.fleet.send_request(draw.choice(names), key, is_repeat=True))
             else:
                 await first
                 if draw.random() < 0.6:
-                    await self.fleet.ask(draw.choice(names), key, again=True)
+                    await self.fleet.send_request(draw.choice(names), key, is_repeat=True)
             await asyncio.sleep(PAUSE_S)
 
 
@@ -179,7 +179,7 @@
     fault = list(FAULTS)[number % len(FAULTS)] if number < len(FAULTS) else draw.choice(list(FAULTS))
     lost = draw.choice(list(fleet.members))
     others = [name for name in fleet.members if name != lost]
-    fleet.told(f"round {number}: {fault}, and {lost} is lost")
+    fleet.add_to_timeline(f"round {number}: {fault}, and {lost} is lost")
     tally.faults[fault] += 1
     load = Load(fleet, draw, callers, f"r{number}")
     loading = asyncio.ensure_future(load.run())
@@ -196,8 +196,8 @@
     await loading
     tally.keys += len(load.keys)
     loaded_s = time.monotonic()
-    await fleet.until_filled(lost)
-    await fleet.until_whole()  # the next machine is lost once what this one held stands at others again
+    await fleet.wait_until_refilled(lost)
+    await fleet.wait_until_ledgers_complete()  # the next machine is lost once what this one held stands at others again
     tally.whole_after_s.append(time.monotonic() - max(loaded_s, fleet.disks_recovered_s))
     ran = {event.rid for event in fleet.events if isinstance(event, RunStarted)}
     # Every key that may have run, once more, wherever.
@@ -205,10 +205,10 @@
 
     async def last(key: str) -> None:
         async with room:
-            await fleet.ask(draw.choice(list(fleet.members)), key, again=True)
+            await fleet.send_request(draw.choice(list(fleet.members)), key, is_repeat=True)
 
     await asyncio.gather(*(last(key) for key in load.keys))
-    judged = fleet.judged()
+    judged = fleet.check_history()
     tally.rounds += 1
     tally.broken.update(judged.count_by_guarantee())
     tally.texts += [
@@ -227,10 +227,10 @@
 
 async def _refuse(fleet: Fleet, disks: DiskRefusal) -> None:
     await asyncio.sleep(disks.from_s)
-    fleet.refuse_writes(disks.rate)
+    fleet.set_write_failure_rate(disks.rate)
     if disks.lasts_s != math.inf:
         await asyncio.sleep(disks.lasts_s)
-        fleet.refuse_writes(0)
+        fleet.set_write_failure_rate(0)
         fleet.disks_recovered_s = time.monotonic()
 
 
@@ -241,10 +241,10 @@
     broken = [Violation("use lost", "", "nothing is billed")]
     while broken and time.monotonic() < until:
         await asyncio.sleep(0.5)
-        broken = check_usage(tally.use, *bills(fleet.folder))
-    counted, doubted = bills(fleet.folder)
+        broken = check_usage(tally.use, *read_billed_documents(fleet.folder))
+    counted, doubted = read_billed_documents(fleet.folder)
     tally.billed, tally.in_doubt = sum(counted.values()), sum(map(len, doubted.values()))
-    gaps = {one["node"] for one in fleet.story() if one["event"] == "usage.copies_lack"}
+    gaps = {one["node"] for one in fleet.timeline() if one["event"] == "usage.copies_lack"}
     for one in broken:
         name = one.text.partition(":")[0]
         if one.guarantee == "use lost" and name in gaps:
@@ -272,10 +272,10 @@
         COPIES if copies else None,
         seed=seed,
         root=root,
-        more=booking(folder, PERIOD),
+        extra_settings=usage_settings(folder, PERIOD),
         disks_refuse=disks is not None,
     ) as fleet:
-        await fleet.until_linked()
+        await fleet.wait_until_linked()
         refusing = asyncio.ensure_future(_refuse(fleet, disks)) if disks is not None else None
         try:
             for number in range(count):
@@ -298,7 +298,7 @@
             if refusing is not None:
                 refusing.cancel()
             if tally.texts or sys.exc_info()[0] is not None:  # a fleet that never is whole again, too
-                (folder / "story.txt").write_text("\n".join(map(json.dumps, fleet.story())))
+                (folder / "story.txt").write_text("\n".join(map(json.dumps, fleet.timeline())))
     return tally
 
 
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -45,7 +45,7 @@
 from flintshift.settings.embedded import CLUBS, configuration
 from flintshift.usage import documents
 
-KEYED = "submit-time"
+KEYED_CLASS = "submit-time"
 DUE_MS, WINDOW_MS = 1500.0, 8000.0  # of the embedded settings
 START_S = 20.0
 
@@ -54,7 +54,7 @@
     return time.time() * 1000
 
 
-def booking(folder: Path, period: str = "1h") -> str:
+def usage_settings(folder: Path, period: str = "1h") -> str:
     """The operators' part that has each member book use and export it to one billing folder."""
     return (
         f"usage: {{enabled: true, folder: usage, period: {period}, grace: 0ms, "
@@ -62,12 +62,12 @@
     )
 
 
-def billed(folder: Path) -> dict[str, int]:
+def count_billed_requests(folder: Path) -> dict[str, int]:
     """Requests by member, as the documents in the billing folder add up."""
-    return bills(folder)[0]
+    return read_billed_documents(folder)[0]
 
 
-def bills(folder: Path) -> tuple[dict[str, int], dict[str, list[str]]]:
+def read_billed_documents(folder: Path) -> tuple[dict[str, int], dict[str, list[str]]]:
     """Requests by member, and the ids in doubt, of all documents in the billing folder."""
     counted: Counter[str] = Counter()
     doubted: dict[str, list[str]] = {}
@@ -82,10 +82,10 @@
 class Answer:
     status: int
     body: bytes
-    wait_ms: float | None  # how long a refusal asks to stay away
+    retry_after_ms: float | None  # how long a refusal asks to stay away
 
 
-class TellingPool(Pool):
+class RecordingPool(Pool):
     """A worker pool that says what it was told to run."""
 
     def __init__(self, member: str, events: list[Event], cores: int, took_ms: dict[str, float]) -> None:
@@ -102,10 +102,10 @@
     hall: str
     home: Path  # its disk
     ports: dict[str, int]
-    pool: TellingPool
+    pool: RecordingPool
     process: asyncio.subprocess.Process | None = None
     lives: int = 0
-    offset_ms: float = 0.0  # of its clock
+    clock_offset_ms: float = 0.0  # of its clock
     paused: bool = False
     logs: list[Path] = field(default_factory=list)
     faults: SyscallFaults | None = None  # of its present process
@@ -128,21 +128,27 @@
         took_ms: float = 5.0,
         cores: int = 4,
         root: Path | None = None,
-        more: str = "",
+        extra_settings: str = "",
         platform: dict[str, Any] | None = None,
         direct: bool = False,
         control: bool = False,
         disks_fail: bool = False,
         disks_refuse: bool = False,
     ) -> None:
-        self.disks_refuse = disks_refuse  # by `refuse_writes`
+        self.disks_refuse = disks_refuse  # by `set_write_failure_rate`
         self.disks_recovered_s = 0.0  # monotonic; 0: they have not refused
         self.refused_writes = 0  # of 1,000 writes and syncs of regular files
-        self.disks_fail = disks_fail  # by `fail_disk`
+        self.disks_fail = disks_fail  # by `set_disk_failing`
         self.control = control  # members have a control door, and can be upgraded
         self.direct = direct  # members are linked without proxies between, for measurements
-        self.folder, self.copies, self.root, self.more, self.platform = folder, copies, root, more, platform
-        self.draw, self.took_ms, self.cores = random.Random(seed), {KEYED: took_ms}, cores
+        self.folder, self.copies, self.root, self.extra_settings, self.platform = (
+            folder,
+            copies,
+            root,
+            extra_settings,
+            platform,
+        )
+        self.draw, self.took_ms, self.cores = random.Random(seed), {KEYED_CLASS: took_ms}, cores
         self.events: list[Event] = []
         self.faults: list[tuple[float, str]] = []  # what was done to the fleet, for its story
         self.vault, self.names = Vault(), Names()
@@ -161,8 +167,8 @@
             if one != other
         }
 
-    def _pool(self, name: str) -> TellingPool:
-        return TellingPool(name, self.events, self.cores, self.took_ms)
+    def _pool(self, name: str) -> RecordingPool:
+        return RecordingPool(name, self.events, self.cores, self.took_ms)
 
     def _parts(self) -> list[Vault | Names | FaultProxy]:
         return [self.vault, self.names, *self.links.values()]
@@ -212,7 +218,7 @@
         if self.control:
             told["control"] = f"127.0.0.1:{member.ports['control']}"
         (member.home / "config.json").write_text(json.dumps(told))
-        text = "log: {enabled: true, repeats: 0ms}\n" + self.more
+        text = "log: {enabled: true, repeats: 0ms}\n" + self.extra_settings
         if self.copies is not None:
             others = "".join(
                 f"    {name}: {{hall: {one.hall}, address: 127.0.0.1:"
@@ -224,9 +230,11 @@
                 f"copies:\n  enabled: true\n{self.copies}"
             )
         (member.home / "flintshift.yaml").write_text(text)
-        hurt = member.offset_ms or self.disks_fail
+        hurt = member.clock_offset_ms or self.disks_fail
         program = (
-            ["flintshift.lab.hurt", str(member.offset_ms), str(member.home / "failing")] if hurt else ["flintshift"]
+            ["flintshift.lab.hurt", str(member.clock_offset_ms), str(member.home / "failing")]
+            if hurt
+            else ["flintshift"]
         )
         return [sys.executable, "-m", *program, "--settings", str(member.home / "flintshift.yaml")]
 
@@ -252,7 +260,7 @@
             if await found.wait():
                 raise RuntimeError(f"{name}: its folder of copies could not be founded")
         await self._begin(member)
-        self.told(f"{name} started, life {member.lives}")
+        self.add_to_timeline(f"{name} started, life {member.lives}")
         until = time.monotonic() + START_S
         while self.names.listed.get(name) != "yes":
             if not member.up or time.monotonic() > until:
@@ -290,7 +298,7 @@
         member.pool = self._pool(name)
         await member.pool.start()
         await self._begin(member)
-        self.told(f"{name}: a new process beside the one that serves")
+        self.add_to_timeline(f"{name}: a new process beside the one that serves")
         until = time.monotonic() + START_S
         while not await self._ready(member):
             if not member.up or time.monotonic() > until:
@@ -303,7 +311,7 @@
         older.send_signal(signal.SIGTERM)
         code = await asyncio.wait_for(older.wait(), START_S)
         await pool.stop()
-        self.told(f"{name}: the older process ended with {code}")
+        self.add_to_timeline(f"{name}: the older process ended with {code}")
         return code
 
     @staticmethod
@@ -326,7 +334,7 @@
     async def kill(self, name: str) -> None:
         """End its process; what runs in its pool runs on."""
         self.events.append(MemberDown(now_ms(), name))
-        self.told(f"{name} killed")
+        self.add_to_timeline(f"{name} killed")
         await self._end(self.members[name])
 
     async def lose(self, name: str) -> None:
@@ -335,7 +343,7 @@
         member = self.members[name]
         await member.pool.stop()
         shutil.rmtree(member.home)
-        self.told(f"{name} lost its disk")
+        self.add_to_timeline(f"{name} lost its disk")
 
     def pause(self, name: str) -> None:
         member = self.members[name]
@@ -343,7 +351,7 @@
         self.events.append(MemberDown(now_ms(), name))
         member.process.send_signal(signal.SIGSTOP)
         member.paused = True
-        self.told(f"{name} paused")
+        self.add_to_timeline(f"{name} paused")
 
     def resume(self, name: str) -> None:
         member = self.members[name]
@@ -351,13 +359,13 @@
         self.events.append(MemberDown(now_ms(), name))
         member.process.send_signal(signal.SIGCONT)
         member.paused = False
-        self.told(f"{name} resumed")
+        self.add_to_timeline(f"{name} resumed")
 
     def _log_of(self, name: str) -> str:
         """Of its present life."""
         return self.members[name].logs[-1].read_text(errors="replace")
 
-    async def until_logged(self, name: str, *texts: str, within_s: float = 30.0) -> None:
+    async def wait_until_logged(self, name: str, *texts: str, within_s: float = 30.0) -> None:
         """Until its log holds one of these.
 
         Raises:
@@ -369,7 +377,7 @@
                 raise RuntimeError(f"{name} did not log any of {texts} within {within_s} s")
             await asyncio.sleep(0.02)
 
-    async def until_linked(self) -> None:
+    async def wait_until_linked(self) -> None:
         """Until every member has a link to every other."""
         until = time.monotonic() + START_S
         while self.copies is not None and any(self._reached(name) < len(self.members) - 1 for name in self.members):
@@ -381,35 +389,37 @@
         """Members that this one has a link to, by its log."""
         return int(([0, *re.findall(r'"reached": (\d+)', self._log_of(name))])[-1])
 
-    async def until_filled(self, name: str) -> None:
+    async def wait_until_refilled(self, name: str) -> None:
         """Until this member's store votes on every key."""
         if self.copies is not None:
-            await self.until_logged(name, '"votes": true', '"copies.votes"')
+            await self.wait_until_logged(name, '"votes": true', '"copies.votes"')
 
-    async def until_billed(self, count: int, within_s: float = 30.0) -> None:
+    async def wait_until_billed(self, count: int, within_s: float = 30.0) -> None:
         """Until the billing folder holds so many requests.
 
         Raises:
             RuntimeError: it did not in time.
         """
         until = time.monotonic() + within_s
-        while sum(billed(self.folder).values()) < count:
+        while sum(count_billed_requests(self.folder).values()) < count:
             if time.monotonic() > until:
-                raise RuntimeError(f"{billed(self.folder)} were billed within {within_s} s, and {count} were wanted")
+                raise RuntimeError(
+                    f"{count_billed_requests(self.folder)} were billed within {within_s} s, and {count} were wanted"
+                )
             await asyncio.sleep(0.05)
 
-    async def until_whole(self, within_s: float = 30.0) -> None:
+    async def wait_until_ledgers_complete(self, within_s: float = 30.0) -> None:
         """Until each ledger of use has all its copies, and those of dead members are exported.
 
         Raises:
             RuntimeError: it did not in time.
         """
         until = time.monotonic() + within_s
-        while self.copies is not None and self.more:
+        while self.copies is not None and self.extra_settings:
             left = [
                 f"{name}: {one}"
                 for name in self.members
-                for one in await self._ledgers(name)
+                for one in await self._ledger_statuses(name)
                 if (
                     one["role"] == "took over"
                     or one.get("writer_dead")
@@ -423,7 +433,7 @@
                 raise RuntimeError(f"ledgers are not whole after {within_s} s: {'; '.join(left)}")
             await asyncio.sleep(0.1)
 
-    async def _ledgers(self, name: str) -> list[dict[str, Any]]:
+    async def _ledger_statuses(self, name: str) -> list[dict[str, Any]]:
         """What a member tells of them to its operators."""
         try:
             return list(
@@ -432,15 +442,15 @@
         except (OSError, ValueError):
             return [{"role": "tells nothing", "copies": {}}]
 
-    def refuse_disk(self, name: str, refuse: bool = True) -> None:
+    def set_disk_full(self, name: str, refuse: bool = True) -> None:
         """No file of its process grows any more, as on a full disk; or they do again."""
         member = self.members[name]
         assert member.process is not None
         _, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
         resource.prlimit(member.process.pid, resource.RLIMIT_FSIZE, (1 if refuse else hard, hard))
-        self.told(f"the disk of {name} {'is full' if refuse else 'takes again'}")
+        self.add_to_timeline(f"the disk of {name} {'is full' if refuse else 'takes again'}")
 
-    def refuse_writes(self, rate: int, names: Iterable[str] | None = None) -> None:
+    def set_write_failure_rate(self, rate: int, names: Iterable[str] | None = None) -> None:
         """Of 1,000 writes and syncs of files so many fail, each process drawing for itself; of the whole fleet, then of
         processes that start later too, or of these members."""
         if names is None:
@@ -449,56 +459,56 @@
             faults = self.members[name].faults
             if faults is not None:
                 faults.set(Rates(disk=rate))
-        self.told(f"disks of {'all' if names is None else ','.join(names)} refuse {rate} of 1,000 writes")
+        self.add_to_timeline(f"disks of {'all' if names is None else ','.join(names)} refuse {rate} of 1,000 writes")
 
-    def fail_disk(self, name: str, fail: bool = True) -> None:
+    def set_disk_failing(self, name: str, fail: bool = True) -> None:
         """Each write of its process fails with an input/output error; or they are taken again."""
         failing = self.members[name].home / "failing"
         failing.touch() if fail else failing.unlink()
-        self.told(f"the disk of {name} {'fails' if fail else 'takes again'}")
+        self.add_to_timeline(f"the disk of {name} {'fails' if fail else 'takes again'}")
 
     # Links.
 
-    def between(self, one: Iterable[str], other: Iterable[str]) -> list[FaultProxy]:
+    def links_between(self, one: Iterable[str], other: Iterable[str]) -> list[FaultProxy]:
         """The links between two groups, both ways."""
         left, right = set(one), set(other)
         return [link for (a, b), link in self.links.items() if (a in left and b in right) or (a in right and b in left)]
 
-    def hall(self, name: str) -> list[str]:
+    def members_in_hall(self, name: str) -> list[str]:
         return [one.name for one in self.members.values() if one.hall == name]
 
     def cut(self, one: Iterable[str], other: Iterable[str]) -> None:
         one, other = list(one), list(other)
-        for link in self.between(one, other):
+        for link in self.links_between(one, other):
             link.cut()
-        self.told(f"cut between {','.join(one)} and {','.join(other)}")
+        self.add_to_timeline(f"cut between {','.join(one)} and {','.join(other)}")
 
     def heal(self) -> None:
         for link in self.links.values():
             link.heal()
-        self.told("all links healed")
+        self.add_to_timeline("all links healed")
 
-    def told(self, text: str) -> None:
+    def add_to_timeline(self, text: str) -> None:
         self.faults.append((now_ms(), text))
 
     # Callers.
 
-    def rid(self) -> str:
+    def new_request_id(self) -> str:
         return f"{next(self.ids):016x}"
 
-    async def ask(
+    async def send_request(
         self,
         name: str,
         key: str | None,
         body: bytes = b"12:01.5",
-        again: bool = False,
+        is_repeat: bool = False,
         class_name: str | None = None,
         within_s: float = 10.0,
     ) -> Answer | None:
         """One try at a member over a connection of its own; None: it ended without an answer."""
-        rid = self.rid()
-        class_name = class_name or (KEYED if key is not None else "standings")
-        told = fields_of(rid, next(iter(CLUBS)), class_name, 1, again)
+        rid = self.new_request_id()
+        class_name = class_name or (KEYED_CLASS if key is not None else "standings")
+        told = fields_of(rid, next(iter(CLUBS)), class_name, 1, is_repeat)
         if key is not None:
             told["X-Unique"] = key
         member = self.members[name]
@@ -519,7 +529,7 @@
         _, found, rest = head.partition(b"x-wait-ms: ")
         return Answer(status, result, float(rest.split(b"\r\n")[0]) if found else None)
 
-    def judged(self) -> CheckResult:
+    def check_history(self) -> CheckResult:
         return check_history(self.events, WINDOW_MS, DUE_MS)
 
     def tracebacks(self) -> list[str]:
@@ -533,7 +543,7 @@
 
     # The story.
 
-    def story(self) -> list[dict[str, Any]]:
+    def timeline(self) -> list[dict[str, Any]]:
         """The events of all members' logs and what was done to them, in the order of time."""
         found: list[dict[str, Any]] = [{"at": at / 1000, "member": "rig", "event": text} for at, text in self.faults]
         for member in self.members.values():
--- a/tests/fleet/test_hard_cases.py
+++ b/tests/fleet/test_hard_cases.py
@@ -8,7 +8,7 @@
 import pytest
 
 from flintshift.lab.faults import Fault
-from flintshift.lab.fleet import KEYED, Fleet
+from flintshift.lab.fleet import KEYED_CLASS, Fleet
 from flintshift.replication.placement import Placement
 
 pytestmark = pytest.mark.anyio
@@ -21,30 +21,30 @@
 @pytest.fixture
 async def fleet(tmp_path):
     async with Fleet(tmp_path, HALLS, copies=COPIES, took_ms=5.0) as fleet:
-        await fleet.until_linked()
+        await fleet.wait_until_linked()
         yield fleet
-    if fleet.judged().violations:
-        print("\n".join(map(str, fleet.story())))
-    assert fleet.judged().violations == []
+    if fleet.check_history().violations:
+        print("\n".join(map(str, fleet.timeline())))
+    assert fleet.check_history().violations == []
 
 
 def held_outside(*names: str) -> str:
     """A key that none of these members holds."""
     return next(
-        key for key in (f"x{n}" for n in itertools.count()) if not set(names) & set(PLACED.holders((KEYED, key)))
+        key for key in (f"x{n}" for n in itertools.count()) if not set(names) & set(PLACED.holders((KEYED_CLASS, key)))
     )
 
 
 async def repeats(fleet: Fleet, key: str, but: tuple[str, ...] = ()) -> list:
-    return [await fleet.ask(name, key, again=True) for name in fleet.members if name not in but]
+    return [await fleet.send_request(name, key, is_repeat=True) for name in fleet.members if name not in but]
 
 
 async def slowly(fleet: Fleet, name: str, key: str, took_ms: float = 400.0):
     """A try that is running at that member when this returns."""
-    fleet.took_ms[KEYED] = took_ms
+    fleet.took_ms[KEYED_CLASS] = took_ms
     for member in fleet.members.values():
-        member.pool.took_ms[KEYED] = took_ms
-    asking = asyncio.ensure_future(fleet.ask(name, key))
+        member.pool.took_ms[KEYED_CLASS] = took_ms
+    asking = asyncio.ensure_future(fleet.send_request(name, key))
     for _ in range(500):
         if fleet.members[name].pool.spawned:
             return asking
@@ -59,7 +59,7 @@
     assert await asking is None
     answers = await repeats(fleet, key, but=("n1",))
     assert [answer.status for answer in answers] == [500] * 4
-    story = [one for one in fleet.story() if one["event"] == "copies.took_over" and one["key"] == key]
+    story = [one for one in fleet.timeline() if one["event"] == "copies.took_over" and one["key"] == key]
     assert story and all(one["outcome"] == "error" for one in story)
 
 
@@ -68,19 +68,19 @@
     for name in fleet.members:
         if name != "n1":
             fleet.links["n1", name].backward = Fault(delay_ms=700.0)  # the holders have its claim, and it does not know
-    asking = asyncio.ensure_future(fleet.ask("n1", key))
+    asking = asyncio.ensure_future(fleet.send_request("n1", key))
     await asyncio.sleep(0.3)
     await fleet.lose("n1")
     assert await asking is None
     answers = await repeats(fleet, key, but=("n1",))
     assert [answer.status for answer in answers] == [500] * 4  # it may have run, for all that anybody knows
-    assert fleet.judged().runs == 0
+    assert fleet.check_history().runs == 0
 
 
 @pytest.mark.parametrize("kept", [0, 1, 2])
 async def test_the_runner_dies_with_its_outcome_at_one_holder_and_all_tell_the_same(fleet, kept):
     key = held_outside("n1")
-    holders = PLACED.holders((KEYED, key))
+    holders = PLACED.holders((KEYED_CLASS, key))
     asking = await slowly(fleet, "n1", key, took_ms=300.0)
     for holder in holders:
         if holder != holders[kept]:
@@ -93,9 +93,9 @@
     assert answers[0].status in (200, 500)
     fleet.heal()
     await fleet.start("n1")
-    await fleet.until_filled("n1")
-    assert (await fleet.ask("n1", key, again=True)).body == answers[0].body
-    assert fleet.judged().runs == 1
+    await fleet.wait_until_refilled("n1")
+    assert (await fleet.send_request("n1", key, is_repeat=True)).body == answers[0].body
+    assert fleet.check_history().runs == 1
 
 
 async def test_the_runner_is_killed_and_comes_back_with_its_disk_and_the_key_stays_failed(fleet):
@@ -110,7 +110,9 @@
     fleet.links["n1", "n2"].forward = Fault(delay_ms=200.0)
     fleet.links["n4", "n5"].backward = Fault(delay_ms=200.0)
     for number in range(20):
-        one, other = await asyncio.gather(fleet.ask("n1", f"k{number}"), fleet.ask("n4", f"k{number}", again=True))
+        one, other = await asyncio.gather(
+            fleet.send_request("n1", f"k{number}"), fleet.send_request("n4", f"k{number}", is_repeat=True)
+        )
         assert (one.status, other.status) == (200, 200)
         assert one.body == other.body
 
@@ -127,16 +129,16 @@
     woken = await asking
     assert [answer.status for answer in during] == [500] * 4
     assert woken is None or woken.status == 500  # it ran; but all have been told that nobody knows how it ended
-    assert (await fleet.ask("n1", key, again=True)).status == 500
+    assert (await fleet.send_request("n1", key, is_repeat=True)).status == 500
 
 
 async def pairs(fleet: Fleet, names: tuple[str, str], over: asyncio.Event) -> list[tuple]:
     """Writes at the two in turn, each asked for again at the other one, until it is over."""
     told = []
     while not over.is_set():
-        key = f"p{fleet.rid()}"
+        key = f"p{fleet.new_request_id()}"
         one, other = names if len(told) % 2 else names[::-1]
-        told.append((key, await fleet.ask(one, key), await fleet.ask(other, key, again=True)))
+        told.append((key, await fleet.send_request(one, key), await fleet.send_request(other, key, is_repeat=True)))
     return told
 
 
@@ -159,7 +161,7 @@
     assert len(told) > 50 and len(served) > 0.8 * len(told)
     assert all(first.body == again.body for _, first, again in served)
     fleet.heal()
-    await fleet.until_linked()
+    await fleet.wait_until_linked()
     for key, first, _ in served[-20:]:
         assert [answer.body for answer in await repeats(fleet, key)] == [first.body] * 5
 
@@ -167,7 +169,7 @@
 async def test_a_member_whose_links_flap_breaks_no_promise_and_takes_no_service_from_the_others(fleet):
     async def flap() -> None:
         for _ in range(20):
-            for link in fleet.between(["n1"], ["n2", "n3", "n4", "n5"]):
+            for link in fleet.links_between(["n1"], ["n2", "n3", "n4", "n5"]):
                 link.reset()
             await asyncio.sleep(0.15)
 
@@ -175,93 +177,93 @@
     assert len(told) > 50 and sum(one[1].status == one[2].status == 200 for one in told) > 0.8 * len(told)
     told = await under_load(fleet, ("n1", "n5"), flap())
     assert sum(one[1].status == one[2].status == 200 for one in told) > 0
-    await fleet.until_linked()
+    await fleet.wait_until_linked()
     for key, first, again in told[-20:]:
         bodies = {first.body, again.body, *(answer.body for answer in await repeats(fleet, key))} - {b""}
         assert len(bodies) <= 1  # one result, or none that anybody knows
 
 
 async def test_no_majority_refuses_first_tries_at_once_and_fails_repeats(fleet):
-    first = await fleet.ask("n2", "k1")  # not at n1: what ran there it knows by itself
+    first = await fleet.send_request("n2", "k1")  # not at n1: what ran there it knows by itself
     fleet.cut(["n1"], ["n2", "n3", "n4", "n5"])
     await asyncio.sleep(0.2)
     for number in range(6):  # the links are found silent by the first of these
-        await fleet.ask("n1", f"w{number}")
+        await fleet.send_request("n1", f"w{number}")
     new, again, read = (
-        await fleet.ask("n1", held_outside("n1") + "-new"),
-        await fleet.ask("n1", "k1", again=True),
-        await fleet.ask("n1", None),
+        await fleet.send_request("n1", held_outside("n1") + "-new"),
+        await fleet.send_request("n1", "k1", is_repeat=True),
+        await fleet.send_request("n1", None),
     )
     assert (new.status, again.status, read.status) == (429, 500, 200)
-    assert new.wait_ms
+    assert new.retry_after_ms
     fleet.heal()
     await asyncio.sleep(1.5)
-    assert (await fleet.ask("n1", "k1", again=True)).body == first.body
+    assert (await fleet.send_request("n1", "k1", is_repeat=True)).body == first.body
 
 
 async def test_a_hall_is_cut_off_and_the_greater_part_goes_on(fleet):
-    before = [await fleet.ask("n4", f"k{number}") for number in range(10)]
-    fleet.cut(fleet.hall("ruwi-hall"), fleet.hall("seeb-hall"))
-    await asyncio.gather(*(fleet.ask(name, f"c{number}") for number, name in enumerate([*fleet.members] * 6)))
+    before = [await fleet.send_request("n4", f"k{number}") for number in range(10)]
+    fleet.cut(fleet.members_in_hall("ruwi-hall"), fleet.members_in_hall("seeb-hall"))
+    await asyncio.gather(*(fleet.send_request(name, f"c{number}") for number, name in enumerate([*fleet.members] * 6)))
     fleet.heal()
     await asyncio.sleep(1.5)
     for number, first in enumerate(before):
-        assert (await fleet.ask("n2", f"k{number}", again=True)).body == first.body
+        assert (await fleet.send_request("n2", f"k{number}", is_repeat=True)).body == first.body
     for number in range(30):
-        await fleet.ask("n1", f"c{number}", again=True)
+        await fleet.send_request("n1", f"c{number}", is_repeat=True)
 
 
 @pytest.mark.parametrize("order", [("n1", "n2", "n3", "n4", "n5"), ("n5", "n3", "n1", "n2", "n4")])
 async def test_all_are_killed_at_once_and_one_comes_back_without_its_disk(fleet, order):
-    firsts = {f"k{number}": await fleet.ask(order[number % 5], f"k{number}") for number in range(15)}
+    firsts = {f"k{number}": await fleet.send_request(order[number % 5], f"k{number}") for number in range(15)}
     assert all(answer.status == 200 for answer in firsts.values())
     for name in fleet.members:
         await (fleet.lose if name == order[2] else fleet.kill)(name)
     for name in order:
         await fleet.start(name)
         for key, first in firsts.items():  # with one, two and more of them up: its result, or that it may have run
-            again = await fleet.ask(name, key, again=True)
+            again = await fleet.send_request(name, key, is_repeat=True)
             assert again.status == 500 or again.body == first.body
-    await fleet.until_linked()
-    await fleet.until_filled(order[2])
+    await fleet.wait_until_linked()
+    await fleet.wait_until_refilled(order[2])
     for key, first in firsts.items():
-        assert {(await fleet.ask(name, key, again=True)).body for name in order} == {first.body}
+        assert {(await fleet.send_request(name, key, is_repeat=True)).body for name in order} == {first.body}
 
 
 async def test_a_second_holder_dies_while_the_first_is_filled(fleet):
-    firsts = {f"k{number}": await fleet.ask("n4", f"k{number}") for number in range(20)}
+    firsts = {f"k{number}": await fleet.send_request("n4", f"k{number}") for number in range(20)}
     await fleet.lose("n1")
-    for link in fleet.between(["n1"], ["n2", "n3", "n5"]):
+    for link in fleet.links_between(["n1"], ["n2", "n3", "n5"]):
         link.forward = link.backward = Fault(bytes_per_s=2000)
     await fleet.start("n1")
     await fleet.kill("n2")
-    asked = [await fleet.ask("n3", key, again=True) for key in firsts]
+    asked = [await fleet.send_request("n3", key, is_repeat=True) for key in firsts]
     assert all(answer.status in (200, 500) for answer in asked)
     await fleet.start("n2")
     fleet.heal()
-    await fleet.until_filled("n1")
+    await fleet.wait_until_refilled("n1")
     for key, first in firsts.items():
-        assert (await fleet.ask("n1", key, again=True)).body == first.body
+        assert (await fleet.send_request("n1", key, is_repeat=True)).body == first.body
 
 
 async def test_a_clock_is_an_hour_off_and_holds_its_copies_all_the_same(tmp_path):
     async with Fleet(tmp_path, HALLS, copies=COPIES) as fleet:
-        await fleet.until_linked()
+        await fleet.wait_until_linked()
         await fleet.kill("n3")
-        fleet.members["n3"].offset_ms = -3_600_000.0
+        fleet.members["n3"].clock_offset_ms = -3_600_000.0
         await fleet.start("n3")
-        await fleet.until_linked()
+        await fleet.wait_until_linked()
         keys = [f"k{number}" for number in range(20)]
-        firsts = [await fleet.ask("n1", key) for key in keys]
+        firsts = [await fleet.send_request("n1", key) for key in keys]
         await fleet.lose("n2")
         for key, first in zip(keys, firsts, strict=True):
-            assert (await fleet.ask("n5", key, again=True)).body == first.body
-        assert fleet.judged().violations == []
+            assert (await fleet.send_request("n5", key, is_repeat=True)).body == first.body
+        assert fleet.check_history().violations == []
 
 
 async def test_another_body_under_the_key_conflicts_at_every_member(fleet):
-    await fleet.ask("n1", "k1", body=b"12:01.5")
-    answers = [await fleet.ask(name, "k1", body=b"11:59.9", again=True) for name in fleet.members]
+    await fleet.send_request("n1", "k1", body=b"12:01.5")
+    answers = [await fleet.send_request(name, "k1", body=b"11:59.9", is_repeat=True) for name in fleet.members]
     assert [answer.status for answer in answers] == [409] * 5
 
 
@@ -273,32 +275,32 @@
         await asyncio.sleep(0.05)
         writer.transport.abort()
     await asyncio.sleep(0.2)
-    assert (await fleet.ask("n1", "k1")).status == 200
-    assert (await fleet.ask("n2", "k1", again=True)).status == 200
+    assert (await fleet.send_request("n1", "k1")).status == 200
+    assert (await fleet.send_request("n2", "k1", is_repeat=True)).status == 200
 
 
 async def test_a_member_is_upgraded_under_load_and_its_copies_go_with_it(tmp_path):
     async with Fleet(tmp_path, HALLS, copies=COPIES, control=True) as fleet:
-        await fleet.until_linked()
+        await fleet.wait_until_linked()
         keys, over = [], asyncio.Event()
 
         async def caller(number: int) -> None:
             while not over.is_set():
                 keys.append(f"u{number}-{len(keys)}")
-                await fleet.ask("n1" if number % 2 else "n4", keys[-1])
-                await fleet.ask("n4" if number % 2 else "n1", keys[-1], again=True)
+                await fleet.send_request("n1" if number % 2 else "n4", keys[-1])
+                await fleet.send_request("n4" if number % 2 else "n1", keys[-1], is_repeat=True)
 
         load = [asyncio.ensure_future(caller(number)) for number in range(6)]
         await asyncio.sleep(0.5)
         assert await fleet.upgrade("n1", asyncio.sleep(0.7)) == 0
-        await fleet.until_logged("n1", "copies.opened")
+        await fleet.wait_until_logged("n1", "copies.opened")
         await asyncio.sleep(0.5)
         over.set()
         await asyncio.gather(*load)
         await fleet.lose("n2")  # what the new process took over counts now
         for key in keys:
-            await fleet.ask("n5", key, again=True)
-        told = fleet.judged()
+            await fleet.send_request("n5", key, is_repeat=True)
+        told = fleet.check_history()
         assert told.violations == []
         assert told.answers["served"] > 200 and not told.answers["none"]
         assert told.answers["failed"] + told.answers["refused"] < len(keys) * 0.05
@@ -306,46 +308,48 @@
 
 async def test_disks_that_fail_take_votes_away_and_no_promise(tmp_path):
     async with Fleet(tmp_path, HALLS, copies=COPIES, disks_fail=True) as fleet:
-        await fleet.until_linked()
+        await fleet.wait_until_linked()
         key = next(
-            key for key in (f"x{n}" for n in itertools.count()) if {"n2", "n4"} <= set(PLACED.holders((KEYED, key)))
+            key
+            for key in (f"x{n}" for n in itertools.count())
+            if {"n2", "n4"} <= set(PLACED.holders((KEYED_CLASS, key)))
         )
-        before = await fleet.ask("n1", key)
-        fleet.fail_disk("n2")
-        one = [await fleet.ask("n3", f"a{number}") for number in range(20)]
+        before = await fleet.send_request("n1", key)
+        fleet.set_disk_failing("n2")
+        one = [await fleet.send_request("n3", f"a{number}") for number in range(20)]
         assert [answer.status for answer in one].count(200) == 20  # two of three holders go on
-        fleet.fail_disk("n4")
-        two = [await fleet.ask("n1", f"b{number}") for number in range(20)]
+        fleet.set_disk_failing("n4")
+        two = [await fleet.send_request("n1", f"b{number}") for number in range(20)]
         of_both = [
             answer.status
             for number, answer in enumerate(two)
-            if {"n2", "n4"} <= set(PLACED.holders((KEYED, f"b{number}")))
+            if {"n2", "n4"} <= set(PLACED.holders((KEYED_CLASS, f"b{number}")))
         ]
         assert of_both and 200 not in of_both and {answer.status for answer in two} <= {200, 429, 500}
         for name in ("n2", "n4"):
-            fleet.fail_disk(name, False)
-            await fleet.until_logged(name, "copies.disk_takes_again")
-        assert (await fleet.ask("n2", key, again=True)).body == before.body
+            fleet.set_disk_failing(name, False)
+            await fleet.wait_until_logged(name, "copies.disk_takes_again")
+        assert (await fleet.send_request("n2", key, is_repeat=True)).body == before.body
         for number in range(20):
-            await fleet.ask("n4", f"a{number}", again=True)
-            await fleet.ask("n2", f"b{number}", again=True)
-        assert fleet.judged().violations == []
+            await fleet.send_request("n4", f"a{number}", is_repeat=True)
+            await fleet.send_request("n2", f"b{number}", is_repeat=True)
+        assert fleet.check_history().violations == []
 
 
 async def test_full_disks_take_votes_away_and_no_promise(fleet):
-    before = [await fleet.ask("n1", f"k{number}") for number in range(6)]
-    fleet.refuse_disk("n2")
-    one = [await fleet.ask("n3", f"a{number}") for number in range(20)]
+    before = [await fleet.send_request("n1", f"k{number}") for number in range(6)]
+    fleet.set_disk_full("n2")
+    one = [await fleet.send_request("n3", f"a{number}") for number in range(20)]
     assert [answer.status for answer in one].count(200) == 20  # two of three holders go on
-    fleet.refuse_disk("n4")
-    fleet.refuse_disk("n5")
-    three = [await fleet.ask("n1", f"b{number}") for number in range(20)]
+    fleet.set_disk_full("n4")
+    fleet.set_disk_full("n5")
+    three = [await fleet.send_request("n1", f"b{number}") for number in range(20)]
     assert {answer.status for answer in three} <= {200, 429, 500} and not all(one.status == 200 for one in three)
     for name in ("n2", "n4", "n5"):
-        fleet.refuse_disk(name, False)
+        fleet.set_disk_full(name, False)
     await asyncio.sleep(2.0)
     for number, first in enumerate(before):
-        assert (await fleet.ask("n5", f"k{number}", again=True)).body == first.body
+        assert (await fleet.send_request("n5", f"k{number}", is_repeat=True)).body == first.body
     for number in range(20):
-        await fleet.ask("n4", f"a{number}", again=True)
-        await fleet.ask("n2", f"b{number}", again=True)
+        await fleet.send_request("n4", f"a{number}", is_repeat=True)
+        await fleet.send_request("n2", f"b{number}", is_repeat=True)
--- a/tests/fleet/test_losses.py
+++ b/tests/fleet/test_losses.py
@@ -19,14 +19,14 @@
 
 async def test_a_machine_is_lost_with_its_disk_and_the_repeat_does_not_run_again(tmp_path):
     async with Fleet(tmp_path, HALLS, copies=COPIES) as fleet:
-        await fleet.until_linked()
-        first = await fleet.ask("n1", "k1")
+        await fleet.wait_until_linked()
+        first = await fleet.send_request("n1", "k1")
         assert first is not None and first.status == 200
         await fleet.lose("n1")
         for name in ("n2", "n3", "n4", "n5"):
-            again = await fleet.ask(name, "k1", again=True)
+            again = await fleet.send_request(name, "k1", is_repeat=True)
             assert again is not None and again.body == first.body
-        assert fleet.judged().violations == []
+        assert fleet.check_history().violations == []
 
 
 async def test_three_rounds_of_chaos(tmp_path):
@@ -49,8 +49,8 @@
         return process.returncode, json.loads(out)
 
     async with Fleet(tmp_path, HALLS, copies=COPIES) as fleet:
-        await fleet.until_linked()
-        await fleet.ask("n1", "k1")
+        await fleet.wait_until_linked()
+        await fleet.send_request("n1", "k1")
         folders = {name: str(member.home / "copies") for name, member in fleet.members.items()}
         code, told = await command("peers", "status", folders["n2"])
         assert code == 0 and {one["processes"][0]["state"] for one in told["members"]} == {"alive"}
--- a/tests/fleet/test_refusing_disks.py
+++ b/tests/fleet/test_refusing_disks.py
@@ -15,7 +15,7 @@
 
 from flintshift.cli.asking import ask
 from flintshift.lab.chaos_copies import COPIES, HALLS, DiskRefusal, Load, rounds
-from flintshift.lab.fleet import Fleet, booking
+from flintshift.lab.fleet import Fleet, usage_settings
 from flintshift.replication.store import STATUS_SOCKET
 
 pytestmark = pytest.mark.anyio
@@ -50,25 +50,25 @@
 
 async def test_while_one_members_disk_is_full_the_others_serve_and_it_comes_back_by_itself(tmp_path):
     draw = random.Random(5)
-    more = booking(tmp_path, "2s")
-    async with Fleet(tmp_path, HALLS, COPIES, more=more, disks_refuse=True) as fleet:
-        await fleet.until_linked()
-        fleet.refuse_writes(FULL, ["n1"])
+    more = usage_settings(tmp_path, "2s")
+    async with Fleet(tmp_path, HALLS, COPIES, extra_settings=more, disks_refuse=True) as fleet:
+        await fleet.wait_until_linked()
+        fleet.set_write_failure_rate(FULL, ["n1"])
         until, statuses, number = time.monotonic() + FULL_S, [], 0
         while time.monotonic() < until:
             number += 1
-            answer = await fleet.ask(draw.choice(["n2", "n3", "n4", "n5"]), f"k{number}")
+            answer = await fleet.send_request(draw.choice(["n2", "n3", "n4", "n5"]), f"k{number}")
             statuses.append(answer.status if answer is not None else None)
         told = await status(fleet, "n1")
         assert told["disk"] == "refuses" and told["disk_cause"]
         assert told["disk_refuses_for_ms"] > FULL_S * 500
-        fleet.refuse_writes(0, ["n1"])
+        fleet.set_write_failure_rate(0, ["n1"])
         async with asyncio.timeout(WHOLE_S):
-            await fleet.until_whole(WHOLE_S)
+            await fleet.wait_until_ledgers_complete(WHOLE_S)
             while (await status(fleet, "n1"))["disk"] != "takes":
                 await asyncio.sleep(0.05)
         assert (await status(fleet, "n1"))["votes"]
-        assert fleet.judged().violations == []
+        assert fleet.check_history().violations == []
         assert fleet.tracebacks() == []
     not_served = 1 - statuses.count(200) / len(statuses)
     assert not_served <= 0.02, f"{not_served:.3f} of {len(statuses)}"  # as with no fault
@@ -81,8 +81,8 @@
 @pytest.mark.parametrize("seed", [1, 2])
 async def test_a_drain_and_a_start_go_on_while_all_disks_refuse(seed, tmp_path):
     """Exports run all the while, each second."""
-    more = booking(tmp_path, "1s")
-    fleet = Fleet(tmp_path, HALLS, COPIES, seed=seed, more=more, disks_refuse=True)
+    more = usage_settings(tmp_path, "1s")
+    fleet = Fleet(tmp_path, HALLS, COPIES, seed=seed, extra_settings=more, disks_refuse=True)
     async with fleet, refusing(fleet, seed):
         leaving = fleet.members["n2"].process
         leaving.send_signal(signal.SIGTERM)
@@ -109,23 +109,23 @@
 @contextlib.asynccontextmanager
 async def refusing(fleet, seed):
     """Disks refuse under load, and the fleet is whole soon after; nothing was broken."""
-    await fleet.until_linked()
+    await fleet.wait_until_linked()
     load = Load(fleet, random.Random(seed), 6, "d")
     asking = asyncio.ensure_future(load.run())
     await asyncio.sleep(0.5)
-    fleet.refuse_writes(REFUSED)
+    fleet.set_write_failure_rate(REFUSED)
     until = time.monotonic() + REFUSED_S
     yield
     await asyncio.sleep(until - time.monotonic())
-    fleet.refuse_writes(0)
+    fleet.set_write_failure_rate(0)
     recovered = time.monotonic()
     load.over.set()
     await asking
-    if fleet.more:
-        await fleet.until_whole(30.0)
+    if fleet.extra_settings:
+        await fleet.wait_until_ledgers_complete(30.0)
     whole_s = time.monotonic() - recovered
     while not all([await votes(fleet, name) for name in fleet.members]):
         await asyncio.sleep(0.05)
     assert time.monotonic() - recovered <= WHOLE_S, f"whole after {whole_s:.1f} s"
-    assert fleet.judged().violations == []
+    assert fleet.check_history().violations == []
     assert fleet.tracebacks() == []
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -113,7 +113,7 @@
 
 
 async def test_a_fleet_whose_member_does_not_serve_leaves_no_process(tmp_path):
-    fleet = Fleet(tmp_path, {"ruwi-hall": 2}, more="log: {unknown: 1}\n")
+    fleet = Fleet(tmp_path, {"ruwi-hall": 2}, extra_settings="log: {unknown: 1}\n")
     with pytest.raises(RuntimeError):
         await fleet.__aenter__()
     await all_ended([member.process for member in fleet.members.values()], [fleet.vault, fleet.names])
--- a/tests/startup/test_storms.py
+++ b/tests/startup/test_storms.py
@@ -63,7 +63,7 @@
     fleet = Fleet(tmp_path, {"ruwi-hall": NODES}, platform={"groupSize": NODES})
     names = fleet.names = RateLimitedNames(1.5 * STEADY_PER_S)  # 1.5: few nodes vary more in a second than hundreds do
     for name, offset_ms in (("n3", 3_600_000.0), ("n4", -3_600_000.0)):
-        fleet.members[name].offset_ms = offset_ms
+        fleet.members[name].clock_offset_ms = offset_ms
     async with fleet:
         await asyncio.sleep(2.0)
         for fault in FAULTS:
@@ -86,7 +86,7 @@
     """Return why the member's last start proceeded, by its log."""
     return [
         one["cause"]
-        for one in fleet.story()
+        for one in fleet.timeline()
         if one["event"] == "startup.goes_on" and one["life"] == fleet.members[name].logs[-1].name
     ]
 
@@ -103,9 +103,9 @@
 
 async def test_members_start_by_permits_of_a_member_in_reach_and_without_one_if_there_is_none(tmp_path):
     async with Fleet(
-        tmp_path, {"a": 3, "b": 2}, copies="  copies: 3\n", more="startup: {enabled: true, at-once: 1}\n"
+        tmp_path, {"a": 3, "b": 2}, copies="  copies: 3\n", extra_settings="startup: {enabled: true, at-once: 1}\n"
     ) as fleet:
-        await fleet.until_linked()
+        await fleet.wait_until_linked()
         first, second, *others = granter_order(fleet.members)
         name = others[0]
         assert all(len(start_causes(fleet, one)) == 1 for one in fleet.members)
@@ -121,10 +121,13 @@
             return start_causes(fleet, name)
 
         assert await restart(first) == [f"{first} has granted a permit"]
-        permits, fleet.more = fleet.more, ""  # the first member's settings have no permits any more: it delays no start
+        permits, fleet.extra_settings = (
+            fleet.extra_settings,
+            "",
+        )  # the first member's settings have no permits any more: it delays no start
         await fleet.kill(first)
         await fleet.start(first)
-        fleet.more = permits
+        fleet.extra_settings = permits
         assert await restart(first) == [f"{first} has granted a permit"]
         await fleet.lose(first)
         assert await restart(second) == [f"{second} has granted a permit"]
@@ -132,10 +135,12 @@
 
 
 async def test_a_permit_holder_that_dies_before_it_is_listed_delays_no_other_start(tmp_path):
-    fleet = Fleet(tmp_path, {"a": 3, "b": 2}, copies="  copies: 3\n", more="startup: {enabled: true, at-once: 1}\n")
+    fleet = Fleet(
+        tmp_path, {"a": 3, "b": 2}, copies="  copies: 3\n", extra_settings="startup: {enabled: true, at-once: 1}\n"
+    )
     names = fleet.names = RateLimitedNames(1000.0)
     async with fleet:
-        await fleet.until_linked()
+        await fleet.wait_until_linked()
         granter, second, holder, waiter, *rest = granter_order(fleet.members)
         for name in (holder, waiter):
             await fleet.kill(name)
@@ -144,14 +149,14 @@
         fleet.cut([holder], [waiter])
         names.capacity.down = True  # a start is not complete until a report is taken, so its permit stays in use
         holder_start = await begin_start(fleet, holder)
-        await fleet.until_logged(holder, "startup.goes_on")
+        await fleet.wait_until_logged(holder, "startup.goes_on")
         assert start_causes(fleet, holder) == [f"{granter} has granted a permit"]
         waiter_start = await begin_start(fleet, waiter)
-        await fleet.until_logged(waiter, '"restored"')
+        await fleet.wait_until_logged(waiter, '"restored"')
         await asyncio.sleep(0.3)
         assert start_causes(fleet, waiter) == []
         await fleet.kill(holder)
-        await fleet.until_logged(waiter, "startup.goes_on", within_s=4.0)
+        await fleet.wait_until_logged(waiter, "startup.goes_on", within_s=4.0)
         assert start_causes(fleet, waiter) == [f"{granter} has granted a permit"]
         holder_start.cancel()
         names.capacity.down = False
