--- a/flintshift/lab/hurt.py
+++ b/flintshift/lab/fault_injection.py
@@ -1,4 +1,4 @@
-"""Starts a node on a machine that is not well: ``python -m flintshift.lab.hurt OFFSET_MS DISK [arguments]``.
+"""Starts a node on a machine that is not well: ``python -m flintshift.lab.fault_injection OFFSET_MS DISK [arguments]``.
 Its system clock is off by so much; while the file DISK stands, its disk fails whatever is written or synced.
 """
 
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -232,7 +232,7 @@
         (member.home / "flintshift.yaml").write_text(text)
         hurt = member.clock_offset_ms or self.disks_fail
         program = (
-            ["flintshift.lab.hurt", str(member.clock_offset_ms), str(member.home / "failing")]
+            ["flintshift.lab.fault_injection", str(member.clock_offset_ms), str(member.home / "failing")]
             if hurt
             else ["flintshift"]
         )
