--- a/benchmarks/chaos_copies.py
+++ b/benchmarks/chaos_copies.py
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.lab.chaos_copies import DiskRefusal, rounds  # noqa: E402
+from flintshift.lab.chaos_replication import DiskRefusal, run_rounds  # noqa: E402
 from flintshift.lab.ports import PORTS_PART_VARIABLE  # noqa: E402
 
 
@@ -35,20 +35,20 @@
     os.environ[PORTS_PART_VARIABLE] = f"{part}/{parts}"
     folder = Path(tempfile.mkdtemp(prefix="flintshift-chaos-"))
     tally = asyncio.run(
-        rounds(
+        run_rounds(
             folder,
             count,
             seed,
             copies,
-            said=lambda text: print(f"fleet {part}: {text}", file=sys.stderr, flush=True),
+            report=lambda text: print(f"fleet {part}: {text}", file=sys.stderr, flush=True),
             disks=disks,
         )
     )
-    if tally.texts and copies:
+    if tally.violation_texts and copies:
         print(f"fleet {part}: logs and story in {folder}", file=sys.stderr, flush=True)
     else:
         shutil.rmtree(folder)
-    return tally.told()
+    return tally.to_dict()
 
 
 def many(count: int, parallel: int, seed: int, copies: bool, disks: DiskRefusal | None = None) -> dict[str, Any]:
--- a/flintshift/lab/chaos_copies.py
+++ b/flintshift/lab/chaos_replication.py
@@ -110,8 +110,8 @@
     """What the rounds came to."""
 
     rounds: int = 0
-    broken: Counter[str] = field(default_factory=Counter)
-    texts: list[str] = field(default_factory=list)
+    violations: Counter[str] = field(default_factory=Counter)
+    violation_texts: list[str] = field(default_factory=list)
     answers: Counter[str] = field(default_factory=Counter)
     faults: Counter[str] = field(default_factory=Counter)
     runs: int = 0
@@ -120,7 +120,9 @@
     use: dict[str, MemberUsage] = field(default_factory=lambda: defaultdict(MemberUsage))  # by member
     billed: int = 0
     in_doubt: int = 0
-    whole_after_s: list[float] = field(default_factory=list)  # by round: from its end, or the disks' recovery after it
+    complete_after_s: list[float] = field(
+        default_factory=list
+    )  # by round: from its end, or the disks' recovery after it
     lost_in_gaps: int = 0  # booked while no copy answered, as was told, by a machine that was lost then
 
     @property
@@ -128,21 +130,21 @@
         """The share of answers that were refused or failed, or that never came."""
         return 1.0 - self.answers["served"] / max(1, sum(self.answers.values()))
 
-    def told(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         return {
             "rounds": self.rounds,
             "keys": self.keys,
             "runs": self.runs,
-            "broken": dict(self.broken),
+            "broken": dict(self.violations),
             "billed": self.billed,
             "in_doubt": self.in_doubt,
             "lost_in_gaps": self.lost_in_gaps,
             "not_served": round(self.not_served, 4),
-            "whole_after_s": round(max(self.whole_after_s, default=0.0), 1),
+            "whole_after_s": round(max(self.complete_after_s, default=0.0), 1),
             "answers": dict(self.answers),
             "faults": dict(self.faults),
             "took_s": round(self.took_s, 1),
-            "first": self.texts[:20],
+            "first": self.violation_texts[:20],
         }
 
 
@@ -152,7 +154,7 @@
     def __init__(self, fleet: Fleet, draw: random.Random, callers: int, prefix: str) -> None:
         self.fleet, self.draw, self.callers, self.prefix = fleet, draw, callers, prefix
         self.keys: list[str] = []
-        self.over = asyncio.Event()
+        self.stopped = asyncio.Event()
 
     async def run(self) -> None:
         async with asyncio.TaskGroup() as tasks:
@@ -160,7 +162,7 @@
                 tasks.create_task(self._caller(random.Random(self.draw.getrandbits(32))))
 
     async def _caller(self, draw: random.Random) -> None:
-        while not self.over.is_set():
+        while not self.stopped.is_set():
             key = f"{self.prefix}-{len(self.keys)}"
             self.keys.append(key)
             names = list(self.fleet.members)
@@ -192,13 +194,13 @@
     fleet.heal()
     await fleet.start(lost)
     await asyncio.sleep(0.5)
-    load.over.set()
+    load.stopped.set()
     await loading
     tally.keys += len(load.keys)
     loaded_s = time.monotonic()
     await fleet.wait_until_refilled(lost)
     await fleet.wait_until_ledgers_complete()  # the next machine is lost once what this one held stands at others again
-    tally.whole_after_s.append(time.monotonic() - max(loaded_s, fleet.disks_recovered_s))
+    tally.complete_after_s.append(time.monotonic() - max(loaded_s, fleet.disks_recovered_s))
     ran = {event.rid for event in fleet.events if isinstance(event, RunStarted)}
     # Every key that may have run, once more, wherever.
     room = asyncio.Semaphore(16)
@@ -210,8 +212,8 @@
     await asyncio.gather(*(last(key) for key in load.keys))
     judged = fleet.check_history()
     tally.rounds += 1
-    tally.broken.update(judged.count_by_guarantee())
-    tally.texts += [
+    tally.violations.update(judged.count_by_guarantee())
+    tally.violation_texts += [
         f"seed {seed}, round {number} ({fault}, {lost} lost): {one.guarantee} of {one.key}: {one.text}"
         for one in judged.violations
     ]
@@ -250,17 +252,17 @@
         if one.guarantee == "use lost" and name in gaps:
             tally.lost_in_gaps += len(tally.use[name].answered - set(doubted.get(name, []))) - counted.get(name, 0)
         else:
-            tally.broken[one.guarantee] += 1
-            tally.texts.append(f"{one.guarantee}: {one.text}")
+            tally.violations[one.guarantee] += 1
+            tally.violation_texts.append(f"{one.guarantee}: {one.text}")
 
 
-async def rounds(
+async def run_rounds(
     folder: Path,
     count: int,
     seed: int,
     copies: bool = True,
     callers: int = 8,
-    said: Callable[[str], None] = lambda text: None,
+    report: Callable[[str], None] = lambda text: None,
     root: Path | None = None,
     disks: DiskRefusal | None = None,
 ) -> Tally:
@@ -279,27 +281,27 @@
         refusing = asyncio.ensure_future(_refuse(fleet, disks)) if disks is not None else None
         try:
             for number in range(count):
-                known = len(tally.texts)
+                known = len(tally.violation_texts)
                 await one_round(fleet, number, seed, tally, callers)
-                said(
+                report(
                     "\n".join(
                         [
-                            f"round {number + 1} of {count}: {dict(tally.broken)} broken, {dict(tally.answers)}, "
+                            f"round {number + 1} of {count}: {dict(tally.violations)} broken, {dict(tally.answers)}, "
                             f"{time.monotonic() - began:.0f} s",
-                            *tally.texts[known : known + 3],
+                            *tally.violation_texts[known : known + 3],
                         ]
                     )
                 )
             await all_billed(fleet, tally)
-            tally.broken["traceback"] += len(fleet.tracebacks())
-            tally.texts += [f"traceback: {one}" for one in fleet.tracebacks()]
+            tally.violations["traceback"] += len(fleet.tracebacks())
+            tally.violation_texts += [f"traceback: {one}" for one in fleet.tracebacks()]
         finally:
             tally.took_s = time.monotonic() - began
             if refusing is not None:
                 refusing.cancel()
-            if tally.texts or sys.exc_info()[0] is not None:  # a fleet that never is whole again, too
+            if tally.violation_texts or sys.exc_info()[0] is not None:  # a fleet that never is whole again, too
                 (folder / "story.txt").write_text("\n".join(map(json.dumps, fleet.timeline())))
     return tally
 
 
-__all__ = ["FAULTS", "WINDOW_MS", "Tally", "rounds"]
+__all__ = ["FAULTS", "WINDOW_MS", "Tally", "run_rounds"]
--- a/tests/fleet/test_losses.py
+++ b/tests/fleet/test_losses.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from flintshift.lab.chaos_copies import rounds
+from flintshift.lab.chaos_replication import run_rounds
 from flintshift.lab.fleet import Fleet
 
 HALLS = {"ruwi-hall": 3, "seeb-hall": 2}
@@ -30,14 +30,14 @@
 
 
 async def test_three_rounds_of_chaos(tmp_path):
-    tally = await rounds(tmp_path, 3, seed=11)
-    assert tally.texts == []
+    tally = await run_rounds(tmp_path, 3, seed=11)
+    assert tally.violation_texts == []
     assert tally.runs > 100
 
 
 async def test_the_same_rounds_without_copies_break_promises(tmp_path):
-    tally = await rounds(tmp_path, 1, seed=11, copies=False)
-    assert tally.broken["second run"] > 10
+    tally = await run_rounds(tmp_path, 1, seed=11, copies=False)
+    assert tally.violations["second run"] > 10
 
 
 async def test_operators_see_who_is_missing_and_what_may_have_run(tmp_path):
--- a/tests/fleet/test_refusing_disks.py
+++ b/tests/fleet/test_refusing_disks.py
@@ -14,7 +14,7 @@
 import pytest
 
 from flintshift.cli.asking import ask
-from flintshift.lab.chaos_copies import COPIES, HALLS, DiskRefusal, Load, rounds
+from flintshift.lab.chaos_replication import COPIES, HALLS, DiskRefusal, Load, run_rounds
 from flintshift.lab.fleet import Fleet, usage_settings
 from flintshift.replication.store import STATUS_SOCKET
 
@@ -33,11 +33,11 @@
     ids=["5 of 1,000", "50 of 1,000", "300 of 1,000 for 5 s"],
 )
 async def test_a_fleet_outlasts_disks_that_refuse(disks, count, most_not_served, tmp_path):
-    tally = await rounds(tmp_path, count, seed=11, disks=disks)
-    assert tally.texts == []
-    assert tally.not_served <= most_not_served, tally.told()
+    tally = await run_rounds(tmp_path, count, seed=11, disks=disks)
+    assert tally.violation_texts == []
+    assert tally.not_served <= most_not_served, tally.to_dict()
     if disks.lasts_s != math.inf:
-        assert max(tally.whole_after_s) <= WHOLE_S, tally.told()
+        assert max(tally.complete_after_s) <= WHOLE_S, tally.to_dict()
 
 
 FULL_S = 5.0  # 60 s by hand, by the variable of that name in this module
@@ -119,7 +119,7 @@
     await asyncio.sleep(until - time.monotonic())
     fleet.set_write_failure_rate(0)
     recovered = time.monotonic()
-    load.over.set()
+    load.stopped.set()
     await asking
     if fleet.extra_settings:
         await fleet.wait_until_ledgers_complete(30.0)
