--- a/benchmarks/copies_model.py
+++ b/benchmarks/copies_model.py
@@ -24,7 +24,7 @@
 
 from flintshift.core.keys import Stage  # noqa: E402
 from flintshift.interface import Outcome  # noqa: E402
-from flintshift.lab.copies_model import World  # noqa: E402
+from flintshift.lab.replication_model import World  # noqa: E402
 from flintshift.peers import members as who  # noqa: E402
 from flintshift.replication.messages import Value  # noqa: E402
 from flintshift.replication.placement import SLOT_COUNT, Placement  # noqa: E402
@@ -62,7 +62,7 @@
 
 
 class Play:
-    """The world of `lab/copies_model` with messages that take their time."""
+    """The world of `lab/replication_model` with messages that take their time."""
 
     def __init__(self, count: int, halls: int, seed: int) -> None:
         self.world, self.draw = World(halls_of(count, halls), 3, seed), random.Random(seed)
@@ -120,8 +120,10 @@
     playing.run(2000.0, claims_per_s)
     quiet = dict(world.counts)
     told: dict[str, Any] = {
-        "keys": len(world.ran),
-        "messages_a_write": round((quiet["Ask"] + quiet["Vote"] + quiet.get("Ended", 0)) / max(1, len(world.ran)), 2),
+        "keys": len(world.granted_owners),
+        "messages_a_write": round(
+            (quiet["Ask"] + quiet["Vote"] + quiet.get("Ended", 0)) / max(1, len(world.granted_owners)), 2
+        ),
     }
     hall = [name for name in world.machines if world.placement.halls[name] == "hall1"]
     for what, names in (("one", ["n001"]), ("hall", hall)):
@@ -142,7 +144,7 @@
             "bare_after_refill": playing.bare(),
             "all_vote_after_ms": round(world.now - began),
         }
-    told["wrong"] = len(world.wrong)
+    told["wrong"] = len(world.violations)
     return told
 
 
--- a/flintshift/lab/copies_model.py
+++ b/flintshift/lab/replication_model.py
@@ -2,7 +2,7 @@
 refill, with a network that loses, doubles and reorders, and machines that die with or without their disk.
 
 Whoever plays it chooses each step, so that a property test, an exhaustive walk and a simulation of hundreds of
-members play the same world. `wrong` holds what was promised and not kept, as soon as it happens.
+members play the same world. `violations` holds what was promised and not kept, as soon as it happens.
 """
 
 from __future__ import annotations
@@ -43,14 +43,14 @@
 from flintshift.replication.registers import Entry, HolderBounds, Registers
 
 KEEP_MS = 30_000.0
-Word = Ask | Vote | Ended | FillAsk | Page
+Payload = Ask | Vote | Ended | FillAsk | Page
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
     sender: str  # identities
     to: str  # a member, or one process of it: what was sent over a link goes with that process
-    word: Word
+    payload: Payload
 
 
 @dataclass
@@ -86,15 +86,15 @@
         self.placement = Placement(halls, copies)
         self.new_registers, self.new_proposals = registers, proposals
         self.sent: list[Message] = []
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self.running: dict[Key, tuple[str, str]] = {}  # who was granted it: owner, identity
-        self.ran: dict[Key, list[str]] = {}  # owners that were granted, and not freed
+        self.granted_owners: dict[Key, list[str]] = {}  # owners that were granted, and not freed
         self.results: dict[Key, set[tuple[Outcome, bytes]]] = {}
         self.answers: dict[str, str] = {}  # what each try was told
-        self.took_over: list[str] = []  # owners of claims whose runner died, as operators are told of them
+        self.taken_over: list[str] = []  # owners of claims whose runner died, as operators are told of them
         self.counts: Counter[str] = Counter()
         self.stores = 0
-        self.cut: set[tuple[str, str]] = set()  # ordered pairs of members that do not hear each other
+        self.cut_links: set[tuple[str, str]] = set()  # ordered pairs of members that do not hear each other
         self.machines = {name: Machine(name, self._store()) for name in self.placement.halls}
         for machine in self.machines.values():
             self._boot(machine)
@@ -129,7 +129,7 @@
     def _reach(self, machine: Machine, other: Machine, up: bool) -> None:
         if not up and machine.refill is not None:
             machine.refill.handle_link_lost(other.name)
-        self._tell(machine, ReachabilityChanged(other.name, up, other.registers.store if up else 0))
+        self._handle_event(machine, ReachabilityChanged(other.name, up, other.registers.store if up else 0))
 
     def lives(self, identity: str) -> bool:
         return any(machine.up and machine.identity == identity for machine in self.machines.values())
@@ -137,7 +137,7 @@
     # Steps.
 
     def claim(self, name: str, key: Key, owner: str, again: bool = False) -> None:
-        self._tell(self.machines[name], Claim(key, owner, b"p", self.window_ms, self.now + 1000.0, again))
+        self._handle_event(self.machines[name], Claim(key, owner, b"p", self.window_ms, self.now + 1000.0, again))
 
     def finish(self, key: Key, outcome: Outcome = Outcome.OK) -> bool:
         """The run that was granted ends, where its machine lives."""
@@ -146,7 +146,9 @@
         if machine is None:
             return False
         del self.running[key]
-        self._tell(machine, Finish(key, owner, b"p", self.window_ms, self.now + 1000.0, outcome, owner.encode()))
+        self._handle_event(
+            machine, Finish(key, owner, b"p", self.window_ms, self.now + 1000.0, outcome, owner.encode())
+        )
         return True
 
     def free(self, key: Key) -> bool:
@@ -156,8 +158,8 @@
         if machine is None:
             return False
         del self.running[key]
-        self.ran[key].remove(owner)
-        self._tell(machine, Free(key, owner))
+        self.granted_owners[key].remove(owner)
+        self._handle_event(machine, Free(key, owner))
         return True
 
     def crash(self, name: str, disk_lost: bool = False) -> None:
@@ -172,16 +174,16 @@
     def restart(self, name: str) -> None:
         self._boot(self.machines[name])
 
-    def deliver(self, place: int, keep: bool = False) -> None:
-        """``keep``: it will come a second time."""
-        message = self.sent[place] if keep else self.sent.pop(place)
+    def deliver(self, place: int, duplicate: bool = False) -> None:
+        """``duplicate``: it will come a second time."""
+        message = self.sent[place] if duplicate else self.sent.pop(place)
         member, sender = message.to.partition("#")[0], message.sender.partition("#")[0]
         machine = self.machines[member]
-        if not machine.up or message.to not in (member, machine.identity) or (sender, member) in self.cut:
+        if not machine.up or message.to not in (member, machine.identity) or (sender, member) in self.cut_links:
             self._link_lost(message)
             return
         self.counts["delivered"] += 1
-        match message.word:
+        match message.payload:
             case Ask() as ask:
                 vote, entry = machine.registers.vote(self.now, ask)
                 if entry is not None:
@@ -190,9 +192,9 @@
                 for follower in machine.registers.pop_watchers_if_ended(ask.key):
                     self._send(machine, follower, Ended(ask.key))
             case Vote() as vote:
-                self._tell(machine, Voted(sender, vote))
+                self._handle_event(machine, Voted(sender, vote))
             case Ended() as ended:
-                self._tell(machine, ended)
+                self._handle_event(machine, ended)
             case FillAsk() as fill:
                 self._send(machine, message.sender, build_page(self.now, machine.registers, sender, fill))
             case Page() as told if machine.refill is not None:
@@ -201,7 +203,7 @@
                 machine.store = machine.registers.store
                 machine.votes = machine.votes or machine.registers.votes_on_all_keys
 
-    def lose(self, place: int) -> None:
+    def drop(self, place: int) -> None:
         self._link_lost(self.sent.pop(place))
 
     def _link_lost(self, message: Message) -> None:
@@ -218,10 +220,10 @@
             if not machine.up:
                 continue
             machine.registers.purge(self.now)
-            self._tell(machine, Tick())
+            self._handle_event(machine, Tick())
             for key, owner in machine.registers.find_orphaned_claims(self.now, self.lives, 400.0):
                 if key not in machine.proposals.active:
-                    self._tell(machine, TakeOver(key, owner))
+                    self._handle_event(machine, TakeOver(key, owner))
             if machine.refill is not None:
                 others = [one.name for one in self.machines.values() if one.up and one is not machine]
                 for name, ask in machine.refill.due_requests(self.now, machine.registers.store, others):
@@ -239,11 +241,11 @@
 
     # What the hearts answer.
 
-    def _send(self, machine: Machine, to: str, word: Word) -> None:
-        self.counts[type(word).__name__] += 1
-        self.sent.append(Message(machine.identity, to, word))
+    def _send(self, machine: Machine, to: str, payload: Payload) -> None:
+        self.counts[type(payload).__name__] += 1
+        self.sent.append(Message(machine.identity, to, payload))
 
-    def _tell(self, machine: Machine, event: Event) -> None:
+    def _handle_event(self, machine: Machine, event: Event) -> None:
         for action in machine.proposals.handle(self.now, event):
             self._act(machine, action)
 
@@ -253,9 +255,9 @@
                 self._send(machine, to, ask)
             case Granted(owner):
                 key = next(key for key, one in machine.proposals.granted_claims.items() if one == owner)
-                if self.ran.get(key):
-                    self.wrong.append(f"{key}: {owner} is granted after {self.ran[key]}")
-                self.ran.setdefault(key, []).append(owner)
+                if self.granted_owners.get(key):
+                    self.violations.append(f"{key}: {owner} is granted after {self.granted_owners[key]}")
+                self.granted_owners.setdefault(key, []).append(owner)
                 self.running[key] = owner, machine.identity
                 self.answers[owner] = "granted"
             case ClaimedByOther(waiting, key, value):
@@ -270,13 +272,13 @@
             case FollowedKeyEnded(key, value):
                 self._result(key, value)
             case TookOver(_, value):
-                self.took_over.append(value.owner)
+                self.taken_over.append(value.owner)
 
     def _result(self, key: Key, value: Value) -> None:
         if value.stage is Stage.FINISHED and value.outcome is not None:
             told = self.results.setdefault(key, set())
             told.add((value.outcome, value.result))
             if len(told) > 1:
-                self.wrong.append(f"{key}: told with {told}")
-        if value.stage is Stage.FREE and value.owner in self.ran.get(key, ()):
-            self.wrong.append(f"{key}: {value.owner} runs and is told as free")
+                self.violations.append(f"{key}: told with {told}")
+        if value.stage is Stage.FREE and value.owner in self.granted_owners.get(key, ()):
+            self.violations.append(f"{key}: {value.owner} runs and is told as free")
--- a/tests/replication/test_agreement.py
+++ b/tests/replication/test_agreement.py
@@ -19,7 +19,7 @@
 from replication.mutants import MajorityDecidesFastRound, MinorityDecides, NoStoreCheck, VotesBeforeRefill
 
 from flintshift.interface import Outcome
-from flintshift.lab.copies_model import Message, World
+from flintshift.lab.replication_model import Message, World
 from flintshift.replication.messages import Claim, Finish, OutcomeOverdue, ReachabilityChanged, Tick
 from flintshift.replication.placement import Placement
 from flintshift.replication.proposals import Proposals
@@ -53,10 +53,10 @@
         elif world.sent:
             index, fate = rng.randrange(len(world.sent)), rng.random()
             if fate < 0.05:
-                world.lose(index)
+                world.drop(index)
             else:
-                world.deliver(index, keep=fate < 0.1)
-        if world.wrong:
+                world.deliver(index, duplicate=fate < 0.1)
+        if world.violations:
             return world
     return settle_all(world)
 
@@ -88,8 +88,8 @@
     granted = 0
     for seed in range(part * 25, part * 25 + 25):
         world = run_random_scenario(seed)
-        assert world.wrong == [], f"seed {seed}"
-        granted += sum(map(len, world.ran.values()))
+        assert world.violations == [], f"seed {seed}"
+        granted += sum(map(len, world.granted_owners.values()))
     assert granted > 25  # the scenarios do something
 
 
@@ -99,7 +99,7 @@
 
 
 def test_random_scenarios_detect_an_outcome_that_only_a_minority_has():
-    assert any(run_random_scenario(seed, proposals=MinorityDecides).wrong for seed in range(200))
+    assert any(run_random_scenario(seed, proposals=MinorityDecides).violations for seed in range(200))
 
 
 def walk(order: tuple[int, ...], crash_at: int, crashed: str, disk_lost: bool, **mutant) -> World:
@@ -135,12 +135,12 @@
 @pytest.mark.parametrize("part", range(4))
 def test_two_claims_in_every_order_with_a_crash_at_every_step(part):
     for arguments in WALKS[part::4]:
-        assert walk(*arguments).wrong == [], arguments
+        assert walk(*arguments).violations == [], arguments
 
 
 def test_a_majority_does_not_decide_round_0():
-    assert any(walk(*arguments, proposals=MajorityDecidesFastRound).wrong for arguments in WALKS) or any(
-        run_random_scenario(seed, proposals=MajorityDecidesFastRound).wrong for seed in range(200)
+    assert any(walk(*arguments, proposals=MajorityDecidesFastRound).violations for arguments in WALKS) or any(
+        run_random_scenario(seed, proposals=MajorityDecidesFastRound).violations for seed in range(200)
     )
 
 
@@ -166,13 +166,13 @@
             for _ in range(30):  # there may be no answer yet: a majority may not be up
                 if world.sent:
                     world.deliver(0)
-        assert settle_all(world).wrong == [] and world.results == reported, (order, diskless)
+        assert settle_all(world).violations == [] and world.results == reported, (order, diskless)
         for number, key in enumerate(KEYS[:1]):
             for name in HALLS:
                 world.claim(name, key, f"last-{name}-{number}", again=True)
                 world.settle()
                 assert world.answers[f"last-{name}-{number}"] == "FINISHED", (order, diskless)
-        assert world.ran == {key: [f"r{number}"] for number, key in enumerate(KEYS[:1])}
+        assert world.granted_owners == {key: [f"r{number}"] for number, key in enumerate(KEYS[:1])}
 
 
 def sender_of(message: Message) -> str:
@@ -184,7 +184,7 @@
 
 
 def lose_contact(world: World, name: str, member: str) -> None:
-    world._tell(world.machines[name], ReachabilityChanged(member, False, 0))
+    world._handle_event(world.machines[name], ReachabilityChanged(member, False, 0))
 
 
 def deliver(world: World, sender: str, receiver: str) -> None:
@@ -230,7 +230,7 @@
 
 def test_a_store_that_lost_its_disk_does_not_vote():
     assert vote_without_disk().answers["r2"] in ("refused", "unsure")
-    assert vote_without_disk(registers=VotesBeforeRefill).wrong != []
+    assert vote_without_disk(registers=VotesBeforeRefill).violations != []
 
 
 def late_vote(**mutant) -> World:
@@ -248,14 +248,14 @@
     late = [message for message in world.sent if message.to == second]
     assert len(late) == 1
     world.sent.clear()
-    world._tell(world.machines["n4"], ReachabilityChanged(third, True, world.machines[third].store))
+    world._handle_event(world.machines["n4"], ReachabilityChanged(third, True, world.machines[third].store))
     world.crash(first, disk_lost=True)
     world.restart(first)
     world.tick(1.0)
-    deliver_all(world, lambda message: isinstance(message.word, FillAsk | Page))
+    deliver_all(world, lambda message: isinstance(message.payload, FillAsk | Page))
     assert world.machines[first].registers.votes_on_all_keys
     world.sent.clear()
-    world.cut |= {(third, second), (second, third)}
+    world.cut_links |= {(third, second), (second, third)}
     lose_contact(world, third, second)
     world.claim(third, key, "r2")
     for _ in range(40):
@@ -269,8 +269,8 @@
 
 
 def test_a_vote_of_a_lost_store_and_a_later_one_make_no_majority():
-    assert late_vote().wrong == []
-    assert late_vote(registers=NoStoreCheck).wrong != []
+    assert late_vote().violations == []
+    assert late_vote(registers=NoStoreCheck).violations != []
 
 
 def test_a_repeat_that_settles_a_claim_of_a_dead_runner_is_reported_once():
@@ -282,10 +282,10 @@
     world.crash("n4", disk_lost=True)
     world.claim(holders[0], key, "r2", True)  # before any holder checks for orphaned claims
     deliver_all(world, lambda message: True)
-    assert world.took_over == ["r1"] and world.wrong == []
+    assert world.taken_over == ["r1"] and world.violations == []
     world.tick(1000.0)
     deliver_all(world, lambda message: True)
-    assert world.took_over == ["r1"]  # not a second time
+    assert world.taken_over == ["r1"]  # not a second time
 
 
 class Fleets(RuleBasedStateMachine):
@@ -309,9 +309,9 @@
     def message(self, index, fate):
         index %= len(self.world.sent)
         if fate == "lost":
-            self.world.lose(index)
+            self.world.drop(index)
         else:
-            self.world.deliver(index, keep=fate == "twice")
+            self.world.deliver(index, duplicate=fate == "twice")
 
     @rule(name=st.sampled_from(sorted(HALLS)), disk_lost=st.booleans())
     def machine(self, name, disk_lost):
@@ -323,10 +323,10 @@
 
     @invariant()
     def nothing_is_wrong(self):
-        assert self.world.wrong == []
+        assert self.world.violations == []
 
     def teardown(self):
-        assert settle_all(self.world).wrong == []
+        assert settle_all(self.world).violations == []
 
 
 TestFleets = Fleets.TestCase
@@ -365,7 +365,7 @@
 
 def test_the_next_tick_is_due_before_any_wait_ends():
     for seed in range(30):
-        assert run_random_scenario(seed, proposals=ChecksNextTick).wrong == []
+        assert run_random_scenario(seed, proposals=ChecksNextTick).violations == []
 
 
 def test_an_end_is_reported_to_followers_of_the_key_and_not_to_the_runner_that_wrote_it():
