--- a/tests/replication/test_replicated_logs.py
+++ b/tests/replication/test_replicated_logs.py
@@ -10,7 +10,7 @@
 import pytest
 from msgspec import structs
 
-from flintshift.lab.logs_model import LogWorld
+from flintshift.lab.replicated_logs_model import LogWorld
 from flintshift.replication import logs
 from flintshift.replication.log_holders import LogReplicas
 from flintshift.replication.log_writer import LogWriter
@@ -26,10 +26,10 @@
         chance = rng.random()
         machine = world.machines[rng.choice(list(HALLS))]
         if chance < 0.25:
-            world.book(machine.name)
+            world.write_record(machine.name)
         elif chance < 0.28 and machine.up:
-            all_running = all(member.up and not member.asleep for member in world.machines.values())
-            disk_lost = all_running and not world.cut and world.now > disk_lost_ms + 3000.0 and rng.random() < 0.5
+            all_running = all(member.up and not member.paused for member in world.machines.values())
+            disk_lost = all_running and not world.cut_links and world.now > disk_lost_ms + 3000.0 and rng.random() < 0.5
             if disk_lost:
                 complete_replicas(world)
                 disk_lost_ms = world.now
@@ -37,13 +37,13 @@
         elif chance < 0.31 and not machine.up:
             world.restart(machine.name)
         elif chance < 0.33:
-            machine.asleep = machine.up and not machine.asleep
+            machine.paused = machine.up and not machine.paused
         elif chance < 0.35:
             other = rng.choice(list(HALLS))
-            if world.cut:
-                world.cut.clear()
+            if world.cut_links:
+                world.cut_links.clear()
             elif other != machine.name:
-                world.cut |= {(machine.name, other)} | ({(other, machine.name)} if rng.random() < 0.5 else set())
+                world.cut_links |= {(machine.name, other)} | ({(other, machine.name)} if rng.random() < 0.5 else set())
         elif chance < 0.5:
             world.tick(rng.choice([10.0, 100.0, 400.0]))
         elif world.sent:
@@ -51,8 +51,8 @@
             if rng.random() < 0.03:
                 world.sent.pop(index)
             else:
-                world.deliver(index, keep=rng.random() < 0.03)
-        if world.wrong:
+                world.deliver(index, duplicate=rng.random() < 0.03)
+        if world.violations:
             return world
     world.settle()
     return world
@@ -71,12 +71,14 @@
     ended_count = record_count = 0
     for seed in range(part * 40, part * 40 + 40):
         world = run_random_scenario(seed)
-        assert world.wrong == [], f"seed {seed}"
-        written_now = {machine.own for machine in world.machines.values()}
-        complete = {log for machine in world.machines.values() for log, copy in machine.disk.items() if copy.sure}
-        assert (world.held.keys() & complete) - written_now <= world.ended.keys(), f"seed {seed}: nobody goes on"
+        assert world.violations == [], f"seed {seed}"
+        written_now = {machine.own_log for machine in world.machines.values()}
+        complete = {
+            log for machine in world.machines.values() for log, replica in machine.disk.items() if replica.complete
+        }
+        assert (world.replicated.keys() & complete) - written_now <= world.ended.keys(), f"seed {seed}: nobody goes on"
         ended_count += len(world.ended)
-        record_count += sum(map(len, world.held.values()))
+        record_count += sum(map(len, world.replicated.values()))
     assert ended_count > 30 and record_count > 2000  # the scenarios do something
 
 
@@ -169,4 +171,4 @@
 
 def test_a_scenario_is_reproducible():
     first, second = run_random_scenario(5), run_random_scenario(5)
-    assert (first.held, first.ended, first.now) == (second.held, second.ended, second.now)
+    assert (first.replicated, first.ended, first.now) == (second.replicated, second.ended, second.now)
