--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -38,7 +38,7 @@
     "booked-on": ("  copies: 3\n", BOOKED),
 }
 PLATFORM = {"tenants": [{"name": club, "quotaPerS": 100_000.0} for club in CLUBS]}
-KEYED_CLASS, READ = "submit-time", "standings"
+KEYED, READ = "submit-time", "standings"
 ids = itertools.count(1)
 
 
@@ -148,9 +148,9 @@
             found: dict[str, dict[str, list[dict[str, float]]]] = {variant: {} for variant in names}
             cores = sorted(os.sched_getaffinity(0))
             for what, class_name, full in (
-                ("keyed", KEYED_CLASS, False),
+                ("keyed", KEYED, False),
                 ("reads", READ, False),
-                ("keyed full", KEYED_CLASS, True),
+                ("keyed full", KEYED, True),
                 ("reads full", READ, True),
             ):
                 for fleet in fleets.values():
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -32,7 +32,7 @@
     CheckResult,
     ConnectionLost,
     Event,
-    MemberDown,
+    MemberInterrupted,
     RequestSent,
     ResponseReceived,
     RunStarted,
@@ -333,7 +333,7 @@
 
     async def kill(self, name: str) -> None:
         """End its process; what runs in its pool runs on."""
-        self.events.append(MemberDown(now_ms(), name))
+        self.events.append(MemberInterrupted(now_ms(), name))
         self.add_to_timeline(f"{name} killed")
         await self._end(self.members[name])
 
@@ -348,7 +348,7 @@
     def pause(self, name: str) -> None:
         member = self.members[name]
         assert member.process is not None
-        self.events.append(MemberDown(now_ms(), name))
+        self.events.append(MemberInterrupted(now_ms(), name))
         member.process.send_signal(signal.SIGSTOP)
         member.paused = True
         self.add_to_timeline(f"{name} paused")
@@ -356,7 +356,7 @@
     def resume(self, name: str) -> None:
         member = self.members[name]
         assert member.process is not None
-        self.events.append(MemberDown(now_ms(), name))
+        self.events.append(MemberInterrupted(now_ms(), name))
         member.process.send_signal(signal.SIGCONT)
         member.paused = False
         self.add_to_timeline(f"{name} resumed")
--- a/flintshift/lab/history.py
+++ b/flintshift/lab/history.py
@@ -48,14 +48,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberDown:
+class MemberInterrupted:
     """A member's process was killed, or its machine paused: answers owed then may not come."""
 
     at_ms: float
     member: str
 
 
-Event = RequestSent | ResponseReceived | ConnectionLost | RunStarted | MemberDown
+Event = RequestSent | ResponseReceived | ConnectionLost | RunStarted | MemberInterrupted
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
     latencies_ms: list[float] = field(default_factory=list)  # of keyed tries that were served
 
     def count_by_guarantee(self) -> dict[str, int]:
-        counted = Counter(one.guarantee for one in self.broken)
+        counted = Counter(one.guarantee for one in self.violations)
         return {what: counted[what] for what in GUARANTEES if counted[what]}
 
 
@@ -126,7 +126,7 @@
                     told.violations.append(Violation("run of nothing", "", f"{event.member} ran {rid}"))
                 elif known.key is not None:
                     runs[known.key].append((event, known))
-            case MemberDown(at_ms, member):
+            case MemberInterrupted(at_ms, member):
                 died[member].append(at_ms)
     for rid, one in asked.items():
         answer = answers.get(rid)
--- a/flintshift/lab/replicated_logs_model.py
+++ b/flintshift/lab/replicated_logs_model.py
@@ -1,8 +1,8 @@
 """Copied logs on a clock of their own: the production hearts of writers and holders, with a network that loses,
 doubles and cuts, machines that die with or without their disk or sleep, and takeovers.
 
-A machine writes a ledger whose records are numbers. `violations` holds what was promised and not kept: a record that stood
-at a majority and is not in a ledger that goes on, and a ledger that two processes end in different ways. A ledger is
+A machine writes a ledger whose records are numbers. `violations` holds what was promised and not kept: a record that
+stood at a majority and is not in a ledger that goes on, and a ledger that two processes end in different ways. A ledger is
 *ended* here when its writer, having taken it over, sees its last record at a majority: only then would it be exported.
 """
 
@@ -71,9 +71,8 @@
         self.sent: list[tuple[str, str, object]] = []  # from a process, to a member (asks) or a process (answers)
         self.cut_links: set[tuple[str, str]] = set()
         self.violations: list[str] = []
-        self.replicated: dict[
-            LogId, dict[int, bytes]
-        ] = {}  # records that stood at a majority, as their writer was told
+        # Records that a majority has, as reported to their writer.
+        self.replicated: dict[LogId, dict[int, bytes]] = {}
         self.ended: dict[LogId, Records] = {}
         self.lives = self.counted = 0
         self.machines = {name: Machine(name) for name in halls}
--- a/tests/lab/test_history.py
+++ b/tests/lab/test_history.py
@@ -7,7 +7,7 @@
 from flintshift.lab.history import (
     GUARANTEES,
     ConnectionLost,
-    MemberDown,
+    MemberInterrupted,
     RequestSent,
     ResponseReceived,
     RunStarted,
@@ -73,7 +73,7 @@
     [
         GOOD,
         [*GOOD[:4], ResponseReceived(30, A2, 500, b"")],  # failed is no refusal
-        [*GOOD[:4], ConnectionLost(30, A2), MemberDown(25, "n2")],  # its member died
+        [*GOOD[:4], ConnectionLost(30, A2), MemberInterrupted(25, "n2")],  # its member died
         [*GOOD[:4], ResponseReceived(30, A2, 409, b"")],
         [
             GOOD[0],
--- a/tests/replication/test_replicated_logs.py
+++ b/tests/replication/test_replicated_logs.py
@@ -133,7 +133,7 @@
     ids=lambda argument: next(iter(argument.values())).__name__ if isinstance(argument, dict) else "",
 )
 def test_a_broken_rule_is_detected(mutant, first_seed):
-    assert any(run_random_scenario(seed, **mutant).wrong for seed in range(first_seed, first_seed + 300))
+    assert any(run_random_scenario(seed, **mutant).violations for seed in range(first_seed, first_seed + 300))
 
 
 def test_an_epoch_that_was_granted_before_its_first_record_counts_with_that_record():
--- a/tests/startup/test_storms.py
+++ b/tests/startup/test_storms.py
@@ -121,10 +121,8 @@
             return start_causes(fleet, name)
 
         assert await restart(first) == [f"{first} has granted a permit"]
-        permits, fleet.extra_settings = (
-            fleet.extra_settings,
-            "",
-        )  # the first member's settings have no permits any more: it delays no start
+        # The first member's settings have no permits any more: it delays no start.
+        permits, fleet.extra_settings = fleet.extra_settings, ""
         await fleet.kill(first)
         await fleet.start(first)
         fleet.extra_settings = permits
