--- a/flintshift/lab/services.py
+++ b/flintshift/lab/services.py
@@ -1,4 +1,4 @@
-"""Stand-ins with a capacity, as `capacity` has it, for services that hundreds of nodes share."""
+"""Stand-ins with a limited capacity (see `capacity`) for services that hundreds of nodes share."""
 
 from __future__ import annotations
 
@@ -10,24 +10,27 @@
 
 
 def now_ms() -> float:
+    """Return the monotonic time in milliseconds."""
     return time.monotonic() * 1000
 
 
 class RateLimitedNames(Names):
-    """A name service that takes so many reports a second. While `capacity.down`, it resets each connection, so that
-    calls can be counted then too."""
+    """A name service with a maximum rate of reports.
+
+    While `capacity.down` is set, it accepts and resets each connection, so that calls are counted then too.
+    """
 
     def __init__(self, per_s: float, port: int = 0) -> None:
         super().__init__(port)
         self.capacity = Capacity(per_s)
-        self.extra_delay_ms = 0.0  # an answer takes so much longer
+        self.extra_delay_ms = 0.0  # added to the time of each answer
 
     async def serve(self, reader: HeardReader, writer: asyncio.StreamWriter) -> None:
         verdict = self.capacity.call(now_ms())
         if verdict is Verdict.TURNED_AWAY:
             writer.transport.abort()
             return
-        wait_ms = self.extra_delay_ms + (SLOW_MS if verdict is Verdict.SLOW else 0.0)
-        if wait_ms:
-            await asyncio.sleep(wait_ms / 1000)
+        delay_ms = self.extra_delay_ms + (SLOW_MS if verdict is Verdict.SLOW else 0.0)
+        if delay_ms:
+            await asyncio.sleep(delay_ms / 1000)
         await super().serve(reader, writer)
