--- a/flintshift/lab/fault_injection.py
+++ b/flintshift/lab/fault_injection.py
@@ -1,5 +1,8 @@
-"""Starts a node on a machine that is not well: ``python -m flintshift.lab.fault_injection OFFSET_MS DISK [arguments]``.
-Its system clock is off by so much; while the file DISK stands, its disk fails whatever is written or synced.
+"""Starts a node with injected clock and disk faults.
+
+    python -m flintshift.lab.fault_injection OFFSET_MS DISK [arguments]
+
+The node's system clock is off by OFFSET_MS. While the file DISK exists, every write and sync to its disk fails.
 """
 
 from __future__ import annotations
@@ -14,23 +17,23 @@
 
 
 def main() -> None:
-    offset_s, disk = float(sys.argv[1]) / 1000, sys.argv[2]
-    true, append, sync = time.time, DiskFile.append, DiskFile.sync
+    offset_s, marker_path = float(sys.argv[1]) / 1000, sys.argv[2]
+    real_time, real_append, real_sync = time.time, DiskFile.append, DiskFile.sync
 
-    def answers() -> None:
-        if os.path.exists(disk):
+    def raise_if_disk_fails() -> None:
+        if os.path.exists(marker_path):
             raise OSError(errno.EIO, os.strerror(errno.EIO))
 
-    def hurt_append(self: DiskFile, data: bytes) -> None:
-        answers()
-        append(self, data)
+    def failing_append(self: DiskFile, data: bytes) -> None:
+        raise_if_disk_fails()
+        real_append(self, data)
 
-    def hurt_sync(self: DiskFile) -> None:
-        answers()
-        sync(self)
+    def failing_sync(self: DiskFile) -> None:
+        raise_if_disk_fails()
+        real_sync(self)
 
-    time.time = lambda: true() + offset_s
-    DiskFile.append, DiskFile.sync = hurt_append, hurt_sync  # type: ignore[method-assign]
+    time.time = lambda: real_time() + offset_s
+    DiskFile.append, DiskFile.sync = failing_append, failing_sync  # type: ignore[method-assign]
     sys.argv = ["flintshift", *sys.argv[3:]]
     runpy.run_module("flintshift", run_name="__main__")
 
--- a/flintshift/lab/faults.py
+++ b/flintshift/lab/faults.py
@@ -1,7 +1,7 @@
-"""A proxy that stands on one link between two members and hurts what passes: delay, loss, cuts, drips, junk.
+"""A fault-injecting TCP proxy for one link between two members: delay, loss, resets, low throughput, duplicated bytes.
 
-It knows bytes alone, not what they mean, so whatever two members speak can be hurt. Faults are set by whoever plays
-them (`FaultProxy.forward`, `.backward`), and take effect on bytes that come from then on.
+It passes bytes without interpreting them, so it works with any protocol between the members. The faults are set on
+`FaultProxy.forward` and `FaultProxy.backward`, and apply to the bytes that arrive from then on.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 
 from flintshift.lab.connection_tasks import ConnectionTasks
 
-READ = 65_536
-HELD_MOST = 4 << 20  # bytes that wait out a delay, of one direction of one connection
+READ_BYTES = 65_536
+MAX_DELAYED_BYTES = 4 << 20  # of one direction of one connection
 
-Held = deque[tuple[float, bytes]]  # when a piece may go on
+DelayQueue = deque[tuple[float, bytes]]  # chunks, each with the loop time in seconds when it is passed on
 
 
 @dataclass(slots=True)
 class Fault:
-    """What happens to the bytes of one direction. All zero: nothing."""
+    """The faults of one direction. With the defaults there are none."""
 
     delay_ms: float = 0.0
-    jitter_ms: float = 0.0  # more, by chance; bytes keep their order, as TCP does
-    drops: bool = False  # what comes is taken and never passed on: a one-way cut, or with both directions half-open
-    bytes_per_s: int = 0  # bytes a second; 0: as fast as they come
-    duplicates: bool = False  # each piece is passed on twice: junk, to whoever reads frames
-    reset_after: int = -1  # the connection is reset after so many more bytes, in the middle of whatever that is
+    jitter_ms: float = 0.0  # maximum random extra delay; bytes keep their order, as in TCP
+    drops: bool = False  # bytes are read and discarded: a one-way cut, or with both directions a half-open connection
+    bytes_per_s: int = 0  # 0: unlimited
+    duplicates: bool = False  # each chunk is passed on twice, which a reader of frames sees as malformed data
+    reset_after: int = -1  # the connection is reset after this many more bytes, also within a frame; -1: never
 
 
 class FaultProxy:
-    """Listens on a port of its own and passes all on to ``to``, the port of a member."""
+    """Listens on ``port`` and forwards connections to ``target_port``, the port of a member."""
 
-    def __init__(self, port: int, to: int, seed: int) -> None:
-        self.port, self.to, self.draw = port, to, random.Random(seed)
+    def __init__(self, port: int, target_port: int, seed: int) -> None:
+        self.port, self.target_port, self.rng = port, target_port, random.Random(seed)
         self.forward, self.backward = Fault(), Fault()
-        self.refusing = False  # new connections are reset
+        self.resets_new_connections = False
         self.writers: set[asyncio.StreamWriter] = set()
-        self.passed_bytes = 0  # bytes, both ways
+        self.passed_bytes = 0  # in both directions
         self.connections = ConnectionTasks(self._serve)
 
     async def start(self) -> None:
@@ -53,83 +53,88 @@
         await self.connections.wait_until_closed()
 
     def reset(self) -> None:
-        """Break all connections, as a switch that loses power does."""
+        """Reset all connections, as if a switch lost power."""
         for writer in list(self.writers):
             writer.transport.abort()
 
     def cut(self) -> None:
-        """Nothing passes either way until ``heal``; what is open stays open and silent."""
+        """Discard the bytes of both directions until ``heal``. Open connections stay open and silent."""
         self.forward, self.backward = Fault(drops=True), Fault(drops=True)
 
     def heal(self) -> None:
-        """All passes again. Connections that lost bytes are broken: they could only be read as junk."""
-        lost = self.forward.drops or self.backward.drops
-        self.forward, self.backward, self.refusing = Fault(), Fault(), False
-        if lost:
+        """Remove all faults. Resets the connections if bytes were lost, as they would be read as malformed data."""
+        bytes_lost = self.forward.drops or self.backward.drops
+        self.forward, self.backward, self.resets_new_connections = Fault(), Fault(), False
+        if bytes_lost:
             self.reset()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.refusing:
+        if self.resets_new_connections:
             writer.transport.abort()
             return
         try:
-            further_reader, further = await asyncio.open_connection("127.0.0.1", self.to)
+            target_reader, target_writer = await asyncio.open_connection("127.0.0.1", self.target_port)
         except OSError:
             writer.transport.abort()
             return
-        both = {writer, further}
+        both = {writer, target_writer}
         self.writers |= both
         try:
-            held: list[Held] = [deque(), deque()]
-            come = [asyncio.Event(), asyncio.Event()]
-            reading = [
-                asyncio.ensure_future(self._take(source, held[way], come[way], not way))
-                for way, source in enumerate((reader, further_reader))
+            queues: list[DelayQueue] = [deque(), deque()]
+            filled = [asyncio.Event(), asyncio.Event()]
+            read_tasks = [
+                asyncio.ensure_future(self._enqueue(source, queues[direction], filled[direction], not direction))
+                for direction, source in enumerate((reader, target_reader))
             ]
-            passing = [
-                asyncio.ensure_future(self._pass(held[way], come[way], sink, not way))
-                for way, sink in enumerate((further, writer))
+            write_tasks = [
+                asyncio.ensure_future(self._forward(queues[direction], filled[direction], sink, not direction))
+                for direction, sink in enumerate((target_writer, writer))
             ]
-            await asyncio.wait(passing, return_when=asyncio.FIRST_COMPLETED)
-            for task in (*reading, *passing):
+            await asyncio.wait(write_tasks, return_when=asyncio.FIRST_COMPLETED)
+            for task in (*read_tasks, *write_tasks):
                 task.cancel()
-            await asyncio.gather(*reading, *passing, return_exceptions=True)
+            await asyncio.gather(*read_tasks, *write_tasks, return_exceptions=True)
         finally:
             self.writers -= both
-            for one in both:
-                one.transport.abort()
-
-    async def _take(self, reader: asyncio.StreamReader, held: Held, come: asyncio.Event, there: bool) -> None:
-        """Until the end, which is the empty piece, or the bound."""
-        last = 0.0
+            for stream in both:
+                stream.transport.abort()
+
+    async def _enqueue(
+        self, reader: asyncio.StreamReader, queue: DelayQueue, filled: asyncio.Event, is_forward: bool
+    ) -> None:
+        """Queue what is read until the connection ends or the queue is full. An empty chunk marks the end."""
+        last_due = 0.0
         with contextlib.suppress(OSError):
-            while sum(len(data) for _, data in held) < HELD_MOST:
-                data = await reader.read(READ)
+            while sum(len(data) for _, data in queue) < MAX_DELAYED_BYTES:
+                data = await reader.read(READ_BYTES)
                 if not data:
                     break
-                fault = self.forward if there else self.backward
+                fault = self.forward if is_forward else self.backward
                 if fault.drops:
                     continue
                 now = asyncio.get_running_loop().time()
-                last = max(last, now + (fault.delay_ms + fault.jitter_ms * self.draw.random()) / 1000)
-                held.append((last, data * (2 if fault.duplicates else 1)))
-                come.set()
-        held.append((last, b""))
-        come.set()
-
-    async def _pass(self, held: Held, come: asyncio.Event, writer: asyncio.StreamWriter, there: bool) -> None:
+                last_due = max(last_due, now + (fault.delay_ms + fault.jitter_ms * self.rng.random()) / 1000)
+                queue.append((last_due, data * (2 if fault.duplicates else 1)))
+                filled.set()
+        queue.append((last_due, b""))
+        filled.set()
+
+    async def _forward(
+        self, queue: DelayQueue, filled: asyncio.Event, writer: asyncio.StreamWriter, is_forward: bool
+    ) -> None:
+        """Pass on the queued chunks, each when it is due, until the end of the connection or its reset."""
         loop = asyncio.get_running_loop()
         with contextlib.suppress(OSError):
             while True:
-                while not held:
-                    come.clear()
-                    await come.wait()
-                at, data = held.popleft()
+                while not queue:
+                    filled.clear()
+                    await filled.wait()
+                due, data = queue.popleft()
                 if not data:
                     return
-                if at > loop.time():
-                    await asyncio.sleep(at - loop.time())
-                fault = self.forward if there else self.backward
+                if due > loop.time():
+                    await asyncio.sleep(due - loop.time())
+                fault = self.forward if is_forward else self.backward
                 if 0 <= fault.reset_after <= len(data):
                     writer.write(data[: fault.reset_after])
                     fault.reset_after = -1
@@ -138,8 +143,8 @@
                 if fault.reset_after >= 0:
                     fault.reset_after -= len(data)
                 step = max(1, fault.bytes_per_s // 20) if fault.bytes_per_s else len(data)
-                for begin in range(0, len(data), step):
-                    writer.write(data[begin : begin + step])
+                for start in range(0, len(data), step):
+                    writer.write(data[start : start + step])
                     await writer.drain()
                     if fault.bytes_per_s:
                         await asyncio.sleep(0.05)
