--- a/flintshift/lab/billing.py
+++ b/flintshift/lab/billing.py
@@ -1,7 +1,7 @@
-"""A stand-in for a billing system: takes documents by HTTP, keeps them durably, and misbehaves as it is told.
+"""A stand-in for a billing system. It accepts documents over HTTP, stores them durably and injects faults on request.
 
-As a program: ``python -m flintshift.lab.billing FOLDER [--port N] [--faults SHARE] [--seed N]``. What it has taken
-stands in FOLDER, a file a document, so that a test can add it up whatever died when.
+As a program: ``python -m flintshift.lab.billing FOLDER [--port N] [--faults SHARE] [--seed N]``. Each accepted document
+is a file in FOLDER, so that a test can add up the documents whichever process was killed.
 """
 
 from __future__ import annotations
@@ -36,17 +36,19 @@
 
 
 class Billing:
-    """``faults`` are drawn for a share of the requests; ``script`` comes first, one fault a request ("" for none).
+    """The server. Faults are drawn at random for the share ``fault_share`` of the requests.
 
-    lost-before and lost-after close the connection before and after the document was taken; late answers after
-    ``late_s``; twice says its answer two times; wrong-digest has taken the document and says another digest."""
+    ``scripted_faults`` are used up first, one for each request ("" for none). lost-before and lost-after close the
+    connection before and after the document is stored; late answers after ``late_s``; twice sends its answer two times;
+    wrong-digest stores the document and answers with another digest.
+    """
 
-    def __init__(self, folder: Path, share: float = 0.0, seed: int = 0, late_s: float = 0.3) -> None:
-        self.folder, self.share, self.draw, self.late_s = folder, share, random.Random(seed), late_s
+    def __init__(self, folder: Path, fault_share: float = 0.0, seed: int = 0, late_s: float = 0.3) -> None:
+        self.folder, self.fault_share, self.rng, self.late_s = folder, fault_share, random.Random(seed), late_s
         self.scripted_faults: list[str] = []
-        self.request_counts: Counter[str] = Counter()  # requests by document
-        self.fault_counts: Counter[str] = Counter()  # faults
-        self.epochs: dict[str, int] = {}  # by ledger; a caller that names none is one
+        self.request_counts: Counter[str] = Counter()  # by document name
+        self.fault_counts: Counter[str] = Counter()  # by fault
+        self.epochs: dict[str, int] = {}  # highest one by ledger; exports that name no ledger share one entry
         self.conflicts = 0
         self.tasks: set[asyncio.Task[None]] = set()
         self.down = False
@@ -60,42 +62,44 @@
     def stop(self) -> None:
         self.server.close()
 
-    def take(self, name: str, data: bytes, epoch: int, ledger: str = "") -> tuple[int, bytes]:
-        """Status and answer, with the document kept."""
+    def accept_document(self, name: str, data: bytes, epoch: int, ledger: str = "") -> tuple[int, bytes]:
+        """Store the document, and return the status and the body of the answer."""
         if epoch < self.epochs.get(ledger, 0):
             return 412, b'{"error": "a later epoch was seen"}'
         self.epochs[ledger] = epoch
         path, digest = self.folder / name, hashlib.sha256(data).hexdigest()
         if path.exists():
-            held = hashlib.sha256(path.read_bytes()).hexdigest()
-            self.conflicts += held != digest
-            return (200 if held == digest else 409), json.dumps({"digest": held}).encode()
-        made = path.with_suffix(".new")
-        made.write_bytes(data)
-        made.rename(path)
+            stored_digest = hashlib.sha256(path.read_bytes()).hexdigest()
+            self.conflicts += stored_digest != digest
+            return (200 if stored_digest == digest else 409), json.dumps({"digest": stored_digest}).encode()
+        new_path = path.with_suffix(".new")
+        new_path.write_bytes(data)
+        new_path.rename(path)
         return 201, json.dumps({"digest": digest}).encode()
 
-    def _fault(self) -> str:
+    def _next_fault(self) -> str:
         if self.scripted_faults:
             return self.scripted_faults.pop(0)
-        return self.draw.choice(FAULTS) if self.draw.random() < self.share else ""
+        return self.rng.choice(FAULTS) if self.rng.random() < self.fault_share else ""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        conn = h11.Connection(h11.SERVER)
+        connection = h11.Connection(h11.SERVER)
         try:
-            while await self._one(conn, reader, writer):
-                conn.start_next_cycle()
+            while await self._serve_request(connection, reader, writer):
+                connection.start_next_cycle()
         except (OSError, h11.ProtocolError, ValueError):
             pass
         finally:
             writer.close()
 
-    async def _one(self, conn: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _serve_request(
+        self, connection: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         request, body = None, b""
         while True:
-            event = conn.next_event()
+            event = connection.next_event()
             if event is h11.NEED_DATA:
-                conn.receive_data(await reader.read(65_536))
+                connection.receive_data(await reader.read(65_536))
             elif isinstance(event, h11.Request):
                 request = event
             elif isinstance(event, h11.Data):
@@ -105,13 +109,16 @@
             else:
                 return False
         folder, _, name = request.target.decode().rpartition("/")
-        if folder != "/usage":  # of a node that still reports to whoever had this port before
+        if folder != "/usage":  # from a node that still reports to a service that used this port before
             writer.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
             return False
-        heads = dict(request.headers)
-        epoch, ledger = int(heads.get(b"x-export-epoch", b"0")), heads.get(b"x-export-ledger", b"").decode()
+        headers_by_name = dict(request.headers)
+        epoch, ledger = (
+            int(headers_by_name.get(b"x-export-epoch", b"0")),
+            headers_by_name.get(b"x-export-ledger", b"").decode(),
+        )
         self.request_counts[name] += 1
-        fault = self._fault()
+        fault = self._next_fault()
         self.fault_counts[fault] += 1
         if self.down or fault in ("lost-before", "silent"):
             if fault == "silent":
@@ -120,7 +127,7 @@
         if fault in ("500-before", "503", "429"):
             status, answer = int(fault[:3]), b"{}"
         else:
-            status, answer = self.take(name, body, epoch, ledger)
+            status, answer = self.accept_document(name, body, epoch, ledger)
         if fault == "lost-after":
             return False
         if fault == "late":
@@ -135,7 +142,7 @@
         if status in (429, 503):
             headers.append(("Retry-After", "0"))
         data = b"".join(
-            conn.send(event) or b""
+            connection.send(event) or b""
             for event in (h11.Response(status_code=status, headers=headers), h11.Data(data=answer), h11.EndOfMessage())
         )
         if fault == "half":
@@ -144,7 +151,7 @@
             return False
         writer.write(data + data if fault == "twice" else data)
         await writer.drain()
-        return fault != "twice" and conn.their_state is h11.DONE and conn.our_state is h11.DONE
+        return fault != "twice" and connection.their_state is h11.DONE and connection.our_state is h11.DONE
 
 
 def main() -> None:
@@ -153,11 +160,11 @@
     parser.add_argument("--port", type=int, default=8090)
     parser.add_argument("--faults", type=float, default=0.0, metavar="SHARE")
     parser.add_argument("--seed", type=int, default=0)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
 
     async def run() -> None:
-        billing = Billing(given.folder, given.faults, given.seed)
-        print(f"billing at http://127.0.0.1:{await billing.start(given.port)}/usage", flush=True)
+        billing = Billing(arguments.folder, arguments.faults, arguments.seed)
+        print(f"billing at http://127.0.0.1:{await billing.start(arguments.port)}/usage", flush=True)
         await asyncio.Event().wait()
 
     asyncio.run(run())
