--- a/flintshift/lab/replicated_logs_model.py
+++ b/flintshift/lab/replicated_logs_model.py
@@ -1,9 +1,12 @@
-"""Copied logs on a clock of their own: the production hearts of writers and holders, with a network that loses,
-doubles and cuts, machines that die with or without their disk or sleep, and takeovers.
+"""Simulates replicated logs on a virtual clock, with the production state machines of writers and replica holders.
 
-A machine writes a ledger whose records are numbers. `violations` holds what was promised and not kept: a record that
-stood at a majority and is not in a ledger that goes on, and a ledger that two processes end in different ways. A ledger is
-*ended* here when its writer, having taken it over, sees its last record at a majority: only then would it be exported.
+The network loses, duplicates and cuts messages; machines crash with or without loss of their disk, or pause; logs are
+taken over.
+
+A machine writes a ledger whose records are numbers. `LogWorld.violations` lists broken guarantees: a record that a
+majority had and that is missing in a ledger that is continued, and a ledger that two processes end differently. A
+ledger is *ended* here when a writer that has taken it over learns that a majority has its last record. Only then would
+it be exported.
 """
 
 from __future__ import annotations
@@ -20,19 +23,19 @@
 from flintshift.replication.logs import LogId, Record
 from flintshift.replication.placement import Placement
 
-PACE = HolderConfig(takeover_delay_ms=1000.0, stagger_ms=200.0, retry_ms=500.0)
-NOTHING = 99  # the kind of a record without content
-TAKEN = 98  # of the first record of a takeover
+TIMING = HolderConfig(takeover_delay_ms=1000.0, stagger_ms=200.0, retry_ms=500.0)
+EMPTY_KIND = 99  # of a record without content
+TAKEOVER_KIND = 98  # of the first record of a takeover
 
 Records = list[tuple[int, int, bytes]]  # epoch, kind, payload
 
 
 @dataclass
 class Replica:
-    """A copy on a disk."""
+    """A replica on a disk."""
 
-    promised: int
-    by: str
+    promised_epoch: int
+    promised_to: str  # identity of the process that has the promise
     complete: bool = False
     finished: bool = False
     records: Records = field(default_factory=list)
@@ -40,25 +43,32 @@
 
 @dataclass
 class Machine:
+    """A member's machine: its disk and its present process."""
+
     name: str
-    life: int = 0  # of its process
+    incarnation: int = 0  # of its process
     up: bool = False
     paused: bool = False
     own_log: LogId = ("", b"")
     epoch: int = 0
     records: Records = field(default_factory=list)  # of its own ledger, on its disk
-    before: logs.LogPosition = logs.NO_POSITION  # beside it: where that stood when it was elected last
+    elected_position: logs.LogPosition = logs.NO_POSITION  # also on its disk: the ledger's end at its last election
     elected: bool = True
     disk: dict[LogId, Replica] = field(default_factory=dict)
     writers: dict[LogId, LogWriter] = field(default_factory=dict)
-    heart: LogReplicas = field(init=False)
+    replicas: LogReplicas = field(init=False)
 
     @property
     def identity(self) -> str:
-        return f"{self.name}#{self.life}"
+        return f"{self.name}#{self.incarnation}"
 
 
 class LogWorld:
+    """The machines, the messages between them and the clock.
+
+    ``holder`` and ``writer`` may be classes with a broken rule, to show that the checks detect it.
+    """
+
     def __init__(
         self,
         halls: dict[str, str],
@@ -66,60 +76,72 @@
         holder: Callable[..., LogReplicas] = LogReplicas,
         writer: Callable[..., LogWriter] = LogWriter,
     ) -> None:
-        self.now, self.draw = 0.0, random.Random(seed)
+        self.now, self.rng = 0.0, random.Random(seed)
         self.placement, self.new_holder, self.new_writer = Placement(halls, 3), holder, writer
-        self.sent: list[tuple[str, str, object]] = []  # from a process, to a member (asks) or a process (answers)
+        # Sender, receiver, message: from a process, to a member (requests) or to a process (answers).
+        self.sent: list[tuple[str, str, object]] = []
         self.cut_links: set[tuple[str, str]] = set()
         self.violations: list[str] = []
         # Records that a majority has, as reported to their writer.
         self.replicated: dict[LogId, dict[int, bytes]] = {}
         self.ended: dict[LogId, Records] = {}
-        self.lives = self.counted = 0
+        self.ledger_count = self.record_count = 0
         self.machines = {name: Machine(name) for name in halls}
         for machine in self.machines.values():
             self._boot(machine)
 
     def _boot(self, machine: Machine) -> None:
-        machine.life += 1
+        machine.incarnation += 1
         machine.up, machine.paused = True, False
-        machine.heart = self.new_holder(machine.name, machine.identity, self.placement.log_holders, self.alive, PACE)
-        for log, copy in machine.disk.items():
-            machine.heart.restore(log, copy.promised, copy.by, place(copy.records), copy.complete, copy.finished)
+        machine.replicas = self.new_holder(
+            machine.name, machine.identity, self.placement.log_holders, self.is_alive, TIMING
+        )
+        for log, replica in machine.disk.items():
+            machine.replicas.restore(
+                log,
+                replica.promised_epoch,
+                replica.promised_to,
+                last_position(replica.records),
+                replica.complete,
+                replica.finished,
+            )
         machine.writers = {}
-        self._begin(machine)
+        self._begin_ledger(machine)
         for other in self.machines.values():
             if other is not machine and other.up:
-                self._reach(machine, other.name, True)
-                self._reach(other, machine.name, True)
+                self._set_reachable(machine, other.name, True)
+                self._set_reachable(other, machine.name, True)
 
-    def _begin(self, machine: Machine) -> None:
+    def _begin_ledger(self, machine: Machine) -> None:
         if not machine.records:
-            self.lives += 1
-            machine.before, machine.elected = logs.NO_POSITION, True
+            self.ledger_count += 1
+            machine.elected_position, machine.elected = logs.NO_POSITION, True
             machine.own_log, machine.epoch = (
-                (machine.name, bytes([self.lives // 256, self.lives % 256])),
-                1000 * self.lives,
+                (machine.name, bytes([self.ledger_count // 256, self.ledger_count % 256])),
+                1000 * self.ledger_count,
             )
         else:
             machine.epoch = machine.records[-1][0] + 1
-        machine.before = place(machine.records) if machine.elected else machine.before
-        machine.elected, machine.heart.own_log = False, machine.own_log
-        machine.records.append((machine.epoch, NOTHING, b""))
+        machine.elected_position = last_position(machine.records) if machine.elected else machine.elected_position
+        machine.elected, machine.replicas.own_log = False, machine.own_log
+        machine.records.append((machine.epoch, EMPTY_KIND, b""))
         others = tuple(name for name in self.placement.log_holders(machine.name) if name != machine.name)
         machine.writers[machine.own_log] = self.new_writer(
-            machine.own_log, machine.epoch, place(machine.records), others, 1, 100.0, machine.before
+            machine.own_log, machine.epoch, last_position(machine.records), others, 1, 100.0, machine.elected_position
         )
 
-    def alive(self, identity: str) -> bool:
-        return any(one.up and not one.paused and one.identity == identity for one in self.machines.values())
+    def is_alive(self, identity: str) -> bool:
+        return any(
+            machine.up and not machine.paused and machine.identity == identity for machine in self.machines.values()
+        )
 
-    # Steps.
+    # The steps of a scenario.
 
     def write_record(self, name: str) -> None:
         machine = self.machines[name]
         if machine.up and not machine.paused:
-            self.counted += 1
-            self._append(machine, machine.own_log, machine.records, 1, str(self.counted).encode())
+            self.record_count += 1
+            self._append(machine, machine.own_log, machine.records, 1, str(self.record_count).encode())
 
     def crash(self, name: str, disk_lost: bool) -> None:
         machine = self.machines[name]
@@ -128,40 +150,41 @@
             machine.records, machine.disk, machine.elected = [], {}, True
         for other in self.machines.values():
             if other.up and other is not machine:
-                self._reach(other, name, False)
+                self._set_reachable(other, name, False)
 
     def restart(self, name: str) -> None:
         self._boot(self.machines[name])
 
-    def deliver(self, at: int, duplicate: bool = False) -> None:
-        sender, to, word = self.sent[at] if duplicate else self.sent.pop(at)
+    def deliver(self, index: int, duplicate: bool = False) -> None:
+        """Deliver a message that was sent. ``duplicate``: it stays in the network and is delivered once more."""
+        sender, to, message = self.sent[index] if duplicate else self.sent.pop(index)
         source, member = sender.partition("#")[0], to.partition("#")[0]
         machine = self.machines[member]
         if not machine.up or (source, member) in self.cut_links or to not in (member, machine.identity):
             return
         if machine.paused:
-            self.sent.append((sender, to, word))
-        elif isinstance(word, logs.ReplicaStatus):
-            writer = machine.writers.get(word.log)
+            self.sent.append((sender, to, message))
+        elif isinstance(message, logs.ReplicaStatus):
+            writer = machine.writers.get(message.log)
             if writer is not None:
-                self._write(machine, writer, writer.handle_status(self.now, source, word))
+                self._perform_writer_actions(machine, writer, writer.handle_status(self.now, source, message))
             else:
-                self._hold(machine, machine.heart.handle_status(source, word))
+                self._perform_holder_actions(machine, machine.replicas.handle_status(source, message))
         else:
-            self._hold(machine, machine.heart.handle_message(sender, word))  # type: ignore[arg-type]
+            self._perform_holder_actions(machine, machine.replicas.handle_message(sender, message))  # type: ignore[arg-type]
 
     def tick(self, by_ms: float) -> None:
         self.now += by_ms
         for machine in self.machines.values():
             if machine.up and not machine.paused:
-                self._hold(machine, machine.heart.tick(self.now))
+                self._perform_holder_actions(machine, machine.replicas.tick(self.now))
                 for writer in list(machine.writers.values()):
-                    self._write(machine, writer, writer.tick(self.now))
-                    if self.draw.random() < 0.2:
-                        self._write(machine, writer, writer.rejoin_replicas())
+                    self._perform_writer_actions(machine, writer, writer.tick(self.now))
+                    if self.rng.random() < 0.2:
+                        self._perform_writer_actions(machine, writer, writer.rejoin_replicas())
 
     def settle(self) -> None:
-        """All are up and hear each other; deliver all, and let time pass."""
+        """Start and connect all machines, deliver all messages, and let time pass."""
         self.cut_links.clear()
         for machine in self.machines.values():
             machine.paused = False
@@ -174,89 +197,102 @@
                 self.deliver(0)
             self.tick(100.0)
 
-    # What the hearts answer.
+    # The actions of the state machines.
 
-    def _reach(self, machine: Machine, member: str, up: bool) -> None:
+    def _set_reachable(self, machine: Machine, member: str, up: bool) -> None:
         for writer in list(machine.writers.values()):
-            self._write(machine, writer, writer.set_reachable(member, up))
+            self._perform_writer_actions(machine, writer, writer.set_reachable(member, up))
 
     def _append(self, machine: Machine, log: LogId, records: Records, kind: int, payload: bytes) -> None:
         writer = machine.writers[log]
         records.append((writer.epoch, kind, payload))
         if log != machine.own_log:
-            machine.heart.table[log].last = place(records)
-        self._write(machine, writer, writer.handle_written(self.now, len(records), ((kind, payload),), kind == 1))
+            machine.replicas.table[log].last = last_position(records)
+        self._perform_writer_actions(
+            machine, writer, writer.handle_written(self.now, len(records), ((kind, payload),), kind == 1)
+        )
 
-    def _write(self, machine: Machine, writer: LogWriter, actions: list[logs.WriterAction]) -> None:
-        own = writer.log == machine.own_log
-        records = machine.records if own else machine.disk[writer.log].records
+    def _perform_writer_actions(self, machine: Machine, writer: LogWriter, actions: list[logs.WriterAction]) -> None:
+        is_own = writer.log == machine.own_log
+        records = machine.records if is_own else machine.disk[writer.log].records
         for action in actions:
             match action:
-                case logs.SendTo(member, word):
-                    self.sent.append((machine.identity, member, word))
+                case logs.SendTo(member, message):
+                    self.sent.append((machine.identity, member, message))
                 case logs.SnapshotNeeded(member):
-                    self._write(machine, writer, writer.send_snapshot(member, msgspec.msgpack.encode(records)))
-                case logs.Replicated(upto) if upto <= len(records):
-                    self._now_held(machine, writer, records[: int(upto)])
+                    self._perform_writer_actions(
+                        machine, writer, writer.send_snapshot(member, msgspec.msgpack.encode(records))
+                    )
+                case logs.Replicated(count) if count <= len(records):
+                    self._handle_replicated(machine, writer, records[: int(count)])
                 case logs.Elected():
                     machine.elected = True
-                case logs.EpochRaised(_, before):
-                    machine.before, machine.elected = before, False
-                    self._append(machine, writer.log, records, NOTHING, b"")
-                case logs.Fenced() if own:
+                case logs.EpochRaised(_, elected_position):
+                    machine.elected_position, machine.elected = elected_position, False
+                    self._append(machine, writer.log, records, EMPTY_KIND, b"")
+                case logs.Fenced() if is_own:
                     machine.records, machine.elected = [], True
                     del machine.writers[writer.log]
-                    self._begin(machine)
+                    self._begin_ledger(machine)
                     for other in self.machines.values():
                         if other.up and other is not machine:
-                            self._reach(machine, other.name, True)
+                            self._set_reachable(machine, other.name, True)
                 case logs.Fenced():
                     machine.writers.pop(writer.log, None)
-                    machine.heart.table[writer.log].writer = ""
+                    machine.replicas.table[writer.log].writer = ""
 
-    def _now_held(self, machine: Machine, writer: LogWriter, records: Records) -> None:
+    def _handle_replicated(self, machine: Machine, writer: LogWriter, records: Records) -> None:
         known = self.replicated.setdefault(writer.log, {})
         for number, (_, _, payload) in enumerate(records):
             if known.setdefault(number, payload) != payload:
-                self.violations.append(f"{writer.log}: record {number} stood as {known[number]!r}, and now {payload!r}")
+                self.violations.append(
+                    f"{writer.log}: record {number} was {known[number]!r} at a majority, and is {payload!r} now"
+                )
         missing = [number for number in known if number >= len(records)]
         if writer.log != machine.own_log and len(records) == len(machine.disk[writer.log].records):
             if missing:
-                self.violations.append(f"{writer.log}: {machine.identity} ends it without {len(missing)} records")
-            first = self.ended.setdefault(writer.log, records)
-            if [one[1:] for one in first if one[1] == 1] != [one[1:] for one in records if one[1] == 1]:
-                self.violations.append(f"{writer.log}: is ended in two ways")
-
-    def _hold(self, machine: Machine, actions: list[logs.HolderAction]) -> None:
+                self.violations.append(
+                    f"{writer.log}: {machine.identity} ends it without {len(missing)} records that a majority had"
+                )
+            first_ended = self.ended.setdefault(writer.log, records)
+            if [record[1:] for record in first_ended if record[1] == 1] != [
+                record[1:] for record in records if record[1] == 1
+            ]:
+                self.violations.append(f"{writer.log}: two processes end it differently")
+
+    def _perform_holder_actions(self, machine: Machine, actions: list[logs.HolderAction]) -> None:
         for action in actions:
             match action:
-                case logs.Promise(log, epoch, by):
-                    copy = machine.disk.setdefault(log, Replica(epoch, by))
-                    copy.promised, copy.by = epoch, by
+                case logs.Promise(log, epoch, promised_to):
+                    replica = machine.disk.setdefault(log, Replica(epoch, promised_to))
+                    replica.promised_epoch, replica.promised_to = epoch, promised_to
                 case logs.WriteRecords(log, epoch, _, records):
-                    machine.disk[log].records += [(epoch, *one) for one in records]
+                    machine.disk[log].records += [(epoch, *record) for record in records]
                 case logs.InstallSnapshot(log, (epoch, _), data):
-                    told: list[tuple[int, int, bytes]] = msgspec.msgpack.decode(data, type=list[tuple[int, int, bytes]])
-                    machine.disk[log].records, machine.disk[log].complete = told, True
-                case logs.Answer(to, word):
-                    self.sent.append((machine.identity, to, word))
-                case logs.SendToHolder(member, word):
-                    self.sent.append((machine.identity, member, word))
+                    snapshot: list[tuple[int, int, bytes]] = msgspec.msgpack.decode(
+                        data, type=list[tuple[int, int, bytes]]
+                    )
+                    machine.disk[log].records, machine.disk[log].complete = snapshot, True
+                case logs.Answer(to, message):
+                    self.sent.append((machine.identity, to, message))
+                case logs.SendToHolder(member, message):
+                    self.sent.append((machine.identity, member, message))
                 case logs.TakenOver(log, epoch, last):
                     others = tuple(name for name in self.placement.log_holders(log[0]) if name != machine.name)
                     writer = self.new_writer(log, epoch, last, others, 1, 100.0, None)
                     machine.writers[log] = writer
-                    self._append(machine, log, machine.disk[log].records, TAKEN, machine.identity.encode())
+                    self._append(machine, log, machine.disk[log].records, TAKEOVER_KIND, machine.identity.encode())
                     for other in self.machines.values():
                         if other.up and other is not machine:
-                            self._write(machine, writer, writer.set_reachable(other.name, True))
+                            self._perform_writer_actions(machine, writer, writer.set_reachable(other.name, True))
                 case logs.MarkFinished(log):
                     machine.disk[log].finished = True
                 case logs.AbandonLog(log) | logs.DeleteReplica(log):
                     del machine.disk[log]
 
 
-def place(records: Records) -> logs.LogPosition:
+def last_position(records: Records) -> logs.LogPosition:
+    """Return the position of the last record."""
     return (records[-1][0], len(records)) if records else logs.NO_POSITION
 
 
