--- a/flintshift/lab/replication_model.py
+++ b/flintshift/lab/replication_model.py
@@ -1,8 +1,10 @@
-"""A fleet's copies on a clock of their own, without sockets: the production hearts of registers, proposals and
-refill, with a network that loses, doubles and reorders, and machines that die with or without their disk.
+"""Simulates the replication of keys among members on a virtual clock and without sockets.
 
-Whoever plays it chooses each step, so that a property test, an exhaustive walk and a simulation of hundreds of
-members play the same world. `violations` holds what was promised and not kept, as soon as it happens.
+It has the production state machines of registers, proposals and refill, a network that loses, duplicates and reorders
+messages, and machines that crash with or without loss of their disk.
+
+The caller chooses each step, so that a property test, an exhaustive walk and a simulation of hundreds of members use
+the same model. `World.violations` lists each broken guarantee as soon as it is detected.
 """
 
 from __future__ import annotations
@@ -42,24 +44,28 @@
 from flintshift.replication.refill import FillAsk, Page, Refill, build_page
 from flintshift.replication.registers import Entry, HolderBounds, Registers
 
-KEEP_MS = 30_000.0
+REPEAT_WINDOW_MS = 30_000.0
 Payload = Ask | Vote | Ended | FillAsk | Page
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    sender: str  # identities
-    to: str  # a member, or one process of it: what was sent over a link goes with that process
+    """A message in the network."""
+
+    sender: str  # an identity
+    to: str  # a member, or the identity of a process; the message is lost if that process ends
     payload: Payload
 
 
 @dataclass
 class Machine:
+    """A member's machine: its disk and its present process."""
+
     name: str
     store: int
     disk: dict[Key, Entry] = field(default_factory=dict)
     votes: bool = True
-    life: int = 0
+    incarnation: int = 0
     up: bool = False
     registers: Registers = field(init=False)
     proposals: Proposals = field(init=False)
@@ -67,11 +73,14 @@
 
     @property
     def identity(self) -> str:
-        return f"{self.name}#{self.life}"
+        return f"{self.name}#{self.incarnation}"
 
 
 class World:
-    """``mutant`` makes a registers' rule wrong, to show that the checks see it."""
+    """The machines, the messages between them and the clock.
+
+    ``registers`` and ``proposals`` may be classes with a broken rule, to show that the checks detect it.
+    """
 
     def __init__(
         self,
@@ -79,32 +88,34 @@
         copies: int = 3,
         seed: int = 1,
         registers: Callable[..., Registers] = Registers,
-        window_ms: float = KEEP_MS,
+        window_ms: float = REPEAT_WINDOW_MS,
         proposals: Callable[..., Proposals] = Proposals,
     ) -> None:
-        self.now, self.draw, self.window_ms = 0.0, random.Random(seed), window_ms
+        self.now, self.rng, self.window_ms = 0.0, random.Random(seed), window_ms
         self.placement = Placement(halls, copies)
         self.new_registers, self.new_proposals = registers, proposals
         self.sent: list[Message] = []
         self.violations: list[str] = []
-        self.running: dict[Key, tuple[str, str]] = {}  # who was granted it: owner, identity
-        self.granted_owners: dict[Key, list[str]] = {}  # owners that were granted, and not freed
+        # The owner that was granted the key, and the identity of its process.
+        self.running: dict[Key, tuple[str, str]] = {}
+        self.granted_owners: dict[Key, list[str]] = {}  # owners that were granted the key and didn't free it
         self.results: dict[Key, set[tuple[Outcome, bytes]]] = {}
-        self.answers: dict[str, str] = {}  # what each try was told
-        self.taken_over: list[str] = []  # owners of claims whose runner died, as operators are told of them
+        self.answers: dict[str, str] = {}  # the answer to each owner
+        self.taken_over: list[str] = []  # owners of claims whose runner died, as reported to operators
         self.counts: Counter[str] = Counter()
-        self.stores = 0
-        self.cut_links: set[tuple[str, str]] = set()  # ordered pairs of members that do not hear each other
-        self.machines = {name: Machine(name, self._store()) for name in self.placement.halls}
+        self.store_count = 0
+        # Ordered pairs: messages from the first member to the second are lost.
+        self.cut_links: set[tuple[str, str]] = set()
+        self.machines = {name: Machine(name, self._new_store()) for name in self.placement.halls}
         for machine in self.machines.values():
             self._boot(machine)
 
-    def _store(self) -> int:
-        self.stores += 1
-        return self.stores
+    def _new_store(self) -> int:
+        self.store_count += 1
+        return self.store_count
 
     def _boot(self, machine: Machine) -> None:
-        machine.life += 1
+        machine.incarnation += 1
         machine.up = True
         machine.registers = self.new_registers(
             machine.name,
@@ -117,32 +128,34 @@
         for entry in machine.disk.values():
             machine.registers.merge(self.now, entry)
         machine.proposals = self.new_proposals(
-            machine.identity, self.placement, self.lives, self.draw, ProposalTiming()
+            machine.identity, self.placement, self.is_alive, self.rng, ProposalTiming()
         )
         machine.refill = None if machine.votes else Refill(name for name in self.machines if name != machine.name)
         for other in self.machines.values():
             if other.up:
-                self._reach(machine, other, True)
+                self._set_reachable(machine, other, True)
                 if other is not machine:
-                    self._reach(other, machine, True)
+                    self._set_reachable(other, machine, True)
 
-    def _reach(self, machine: Machine, other: Machine, up: bool) -> None:
+    def _set_reachable(self, machine: Machine, other: Machine, up: bool) -> None:
         if not up and machine.refill is not None:
             machine.refill.handle_link_lost(other.name)
         self._handle_event(machine, ReachabilityChanged(other.name, up, other.registers.store if up else 0))
 
-    def lives(self, identity: str) -> bool:
+    def is_alive(self, identity: str) -> bool:
         return any(machine.up and machine.identity == identity for machine in self.machines.values())
 
-    # Steps.
+    # The steps of a scenario.
 
-    def claim(self, name: str, key: Key, owner: str, again: bool = False) -> None:
-        self._handle_event(self.machines[name], Claim(key, owner, b"p", self.window_ms, self.now + 1000.0, again))
+    def claim(self, name: str, key: Key, owner: str, may_be_repeat: bool = False) -> None:
+        self._handle_event(
+            self.machines[name], Claim(key, owner, b"p", self.window_ms, self.now + 1000.0, may_be_repeat)
+        )
 
     def finish(self, key: Key, outcome: Outcome = Outcome.OK) -> bool:
-        """The run that was granted ends, where its machine lives."""
+        """End the run that was granted the key. Returns whether its process is still up."""
         owner, identity = self.running.get(key, ("", ""))
-        machine = next((one for one in self.machines.values() if one.up and one.identity == identity), None)
+        machine = next((found for found in self.machines.values() if found.up and found.identity == identity), None)
         if machine is None:
             return False
         del self.running[key]
@@ -152,9 +165,9 @@
         return True
 
     def free(self, key: Key) -> bool:
-        """The try that was granted is turned away: it does not run."""
+        """Free the key without a run. Returns whether the process that was granted it is still up."""
         owner, identity = self.running.get(key, ("", ""))
-        machine = next((one for one in self.machines.values() if one.up and one.identity == identity), None)
+        machine = next((found for found in self.machines.values() if found.up and found.identity == identity), None)
         if machine is None:
             return False
         del self.running[key]
@@ -166,21 +179,21 @@
         machine = self.machines[name]
         machine.up = False
         if disk_lost:
-            machine.disk, machine.votes, machine.store = {}, False, self._store()
+            machine.disk, machine.votes, machine.store = {}, False, self._new_store()
         for other in self.machines.values():
             if other.up:
-                self._reach(other, machine, False)
+                self._set_reachable(other, machine, False)
 
     def restart(self, name: str) -> None:
         self._boot(self.machines[name])
 
-    def deliver(self, place: int, duplicate: bool = False) -> None:
-        """``duplicate``: it will come a second time."""
-        message = self.sent[place] if duplicate else self.sent.pop(place)
+    def deliver(self, index: int, duplicate: bool = False) -> None:
+        """Deliver a message that was sent. ``duplicate``: it stays in the network and is delivered once more."""
+        message = self.sent[index] if duplicate else self.sent.pop(index)
         member, sender = message.to.partition("#")[0], message.sender.partition("#")[0]
         machine = self.machines[member]
         if not machine.up or message.to not in (member, machine.identity) or (sender, member) in self.cut_links:
-            self._link_lost(message)
+            self._handle_link_lost(message)
             return
         self.counts["delivered"] += 1
         match message.payload:
@@ -195,22 +208,23 @@
                 self._handle_event(machine, Voted(sender, vote))
             case Ended() as ended:
                 self._handle_event(machine, ended)
-            case FillAsk() as fill:
-                self._send(machine, message.sender, build_page(self.now, machine.registers, sender, fill))
-            case Page() as told if machine.refill is not None:
-                for entry in machine.refill.receive_page(self.now, machine.registers, sender, told):
+            case FillAsk() as fill_request:
+                self._send(machine, message.sender, build_page(self.now, machine.registers, sender, fill_request))
+            case Page() as page if machine.refill is not None:
+                for entry in machine.refill.receive_page(self.now, machine.registers, sender, page):
                     machine.disk[entry.key] = entry
                 machine.store = machine.registers.store
                 machine.votes = machine.votes or machine.registers.votes_on_all_keys
 
-    def drop(self, place: int) -> None:
-        self._link_lost(self.sent.pop(place))
+    def drop(self, index: int) -> None:
+        """Lose a message that was sent, and its link."""
+        self._handle_link_lost(self.sent.pop(index))
 
-    def _link_lost(self, message: Message) -> None:
-        """A link loses nothing but what was under way as it broke: the store that is filled hears of that."""
-        ends = [one.partition("#")[0] for one in (message.sender, message.to)]
-        for one, other in (ends, ends[::-1]):
-            refill = self.machines[one].refill
+    def _handle_link_lost(self, message: Message) -> None:
+        """Report the loss of a link to stores that are being refilled, as a link loses messages only when it breaks."""
+        ends = [identity.partition("#")[0] for identity in (message.sender, message.to)]
+        for member, other in (ends, ends[::-1]):
+            refill = self.machines[member].refill
             if refill is not None:
                 refill.handle_link_lost(other)
 
@@ -221,25 +235,29 @@
                 continue
             machine.registers.purge(self.now)
             self._handle_event(machine, Tick())
-            for key, owner in machine.registers.find_orphaned_claims(self.now, self.lives, 400.0):
+            for key, owner in machine.registers.find_orphaned_claims(self.now, self.is_alive, 400.0):
                 if key not in machine.proposals.active:
                     self._handle_event(machine, TakeOver(key, owner))
             if machine.refill is not None:
-                others = [one.name for one in self.machines.values() if one.up and one is not machine]
+                others = [other.name for other in self.machines.values() if other.up and other is not machine]
                 for name, ask in machine.refill.due_requests(self.now, machine.registers.store, others):
                     self._send(machine, name, ask)
 
-    def settle(self, most: int = 100_000) -> None:
-        """Deliver all that is on its way, and go on until nothing more happens."""
-        for _ in range(most):
+    def settle(self, max_steps: int = 100_000) -> None:
+        """Deliver messages and let time pass until no proposal is active and no key is followed."""
+        for _ in range(max_steps):
             if self.sent:
-                self.deliver(self.draw.randrange(len(self.sent)))
-            elif any(one.proposals.active or one.proposals.followed for one in self.machines.values() if one.up):
+                self.deliver(self.rng.randrange(len(self.sent)))
+            elif any(
+                machine.proposals.active or machine.proposals.followed
+                for machine in self.machines.values()
+                if machine.up
+            ):
                 self.tick(50.0)
             else:
                 return
 
-    # What the hearts answer.
+    # The actions of the state machines.
 
     def _send(self, machine: Machine, to: str, payload: Payload) -> None:
         self.counts[type(payload).__name__] += 1
@@ -247,14 +265,14 @@
 
     def _handle_event(self, machine: Machine, event: Event) -> None:
         for action in machine.proposals.handle(self.now, event):
-            self._act(machine, action)
+            self._perform(machine, action)
 
-    def _act(self, machine: Machine, action: Action) -> None:
+    def _perform(self, machine: Machine, action: Action) -> None:
         match action:
             case Send(to, ask):
                 self._send(machine, to, ask)
             case Granted(owner):
-                key = next(key for key, one in machine.proposals.granted_claims.items() if one == owner)
+                key = next(key for key, claimant in machine.proposals.granted_claims.items() if claimant == owner)
                 if self.granted_owners.get(key):
                     self.violations.append(f"{key}: {owner} is granted after {self.granted_owners[key]}")
                 self.granted_owners.setdefault(key, []).append(owner)
@@ -263,22 +281,22 @@
             case ClaimedByOther(waiting, key, value):
                 for owner in waiting:
                     self.answers[owner] = value.stage.name
-                self._result(key, value)
+                self._record_result(key, value)
             case MajorityUnavailable(owner, may_have_run, _):
                 self.answers[owner] = "unsure" if may_have_run else "refused"
                 self.counts["no_word"] += 1
             case Settled(key, owner, outcome, result):
-                self._result(key, Value(Stage.FINISHED, owner, "", b"p", 0.0, outcome, result))
+                self._record_result(key, Value(Stage.FINISHED, owner, "", b"p", 0.0, outcome, result))
             case FollowedKeyEnded(key, value):
-                self._result(key, value)
+                self._record_result(key, value)
             case TookOver(_, value):
                 self.taken_over.append(value.owner)
 
-    def _result(self, key: Key, value: Value) -> None:
+    def _record_result(self, key: Key, value: Value) -> None:
         if value.stage is Stage.FINISHED and value.outcome is not None:
-            told = self.results.setdefault(key, set())
-            told.add((value.outcome, value.result))
-            if len(told) > 1:
-                self.violations.append(f"{key}: told with {told}")
+            reported = self.results.setdefault(key, set())
+            reported.add((value.outcome, value.result))
+            if len(reported) > 1:
+                self.violations.append(f"{key}: reported with {reported}")
         if value.stage is Stage.FREE and value.owner in self.granted_owners.get(key, ()):
-            self.violations.append(f"{key}: {value.owner} runs and is told as free")
+            self.violations.append(f"{key}: {value.owner} runs and is reported as free")
--- a/tests/replication/test_agreement.py
+++ b/tests/replication/test_agreement.py
@@ -162,14 +162,14 @@
         for restarted, name in enumerate(order):
             world.restart(name)
             for number, key in enumerate(KEYS[:1]):
-                world.claim(name, key, f"again-{restarted}-{number}", again=True)
+                world.claim(name, key, f"again-{restarted}-{number}", may_be_repeat=True)
             for _ in range(30):  # there may be no answer yet: a majority may not be up
                 if world.sent:
                     world.deliver(0)
         assert settle_all(world).violations == [] and world.results == reported, (order, diskless)
         for number, key in enumerate(KEYS[:1]):
             for name in HALLS:
-                world.claim(name, key, f"last-{name}-{number}", again=True)
+                world.claim(name, key, f"last-{name}-{number}", may_be_repeat=True)
                 world.settle()
                 assert world.answers[f"last-{name}-{number}"] == "FINISHED", (order, diskless)
         assert world.granted_owners == {key: [f"r{number}"] for number, key in enumerate(KEYS[:1])}
@@ -377,7 +377,7 @@
     assert world.counts["Ask"] == world.counts["Vote"] == 6 and world.counts["Ended"] == 0
     world.claim("n1", KEYS[1], "r2")
     world.settle()
-    world.claim("n2", KEYS[1], "r3", again=True)
+    world.claim("n2", KEYS[1], "r3", may_be_repeat=True)
     for _ in range(20):
         if world.sent:
             world.deliver(0)
