--- a/flintshift/lab/node_model.py
+++ b/flintshift/lab/node_model.py
@@ -1,12 +1,12 @@
-"""A node's decisions on a clock of their own, with a worker pool that is a number of cores: for experiments and tests.
+"""Simulates a node's decisions on a virtual clock, with a worker pool of a number of cores, for experiments and tests.
 
-No socket, no process and no waiting: a second of a node takes some milliseconds, and plays the same each time. The
-planner, the module and the fair queues are those of a node; callers, fronts and links are not there.
+There are no sockets, processes or waits: a second of a node takes some milliseconds, and is reproducible. The planner,
+the module and the fair queues are those of a node; callers, fronts and links are left out.
 
     node = ModelNode(build_settings({"a": 10.0, "b": 10.0}), fair=True, took_ms={"look": 20.0})
-    asked = [node.submit("a") for _ in range(5)]
+    attempts = [node.submit("a") for _ in range(5)]
     node.advance(1000.0)
-    print([one.answer for one in asked])
+    print([attempt.answer for attempt in attempts])
 """
 
 from __future__ import annotations
@@ -24,17 +24,20 @@
 from flintshift.core.limits import Limits
 from flintshift.lifecycle.fair_door import FairDoor
 
-BEGINS_MS = 1000.0  # the clock, at the start
+START_MS = 1000.0  # of the clock
 
 
-def build_settings(clubs: dict[str, float], **more: Any) -> api.Settings:
-    """Two classes, a read ``look`` and a keyed write ``pay``, with an aim of 1 s; two cores; clubs by their quota."""
-    kinds = [
+def build_settings(clubs: dict[str, float], **overrides: Any) -> api.Settings:
+    """Return settings with two cores, clubs with these quotas, and two classes with an aim of 1 s.
+
+    The classes are a read ``look`` and a keyed write ``pay``.
+    """
+    classes = [
         api.RequestClass("look", 1000.0, 3000.0, 1.0, api.Effect.SAFE),
         api.RequestClass("pay", 1000.0, 3000.0, 1.0, api.Effect.KEYED, repeat_window_ms=8000.0),
     ]
-    given: dict[str, Any] = {
-        "classes": kinds,
+    settings: dict[str, Any] = {
+        "classes": classes,
         "cores": 2,
         "memory_kb": 1e6,
         "run_factor": 4.0,
@@ -44,69 +47,73 @@
         "advice_allowed": True,
         "advice_max_ms": 1000.0,
     }
-    return api.Settings(**given | more)
+    return api.Settings(**settings | overrides)
 
 
 class ModelNode:
-    """``took_ms`` of a class: what a run of it takes on a core; one that is not named runs until ``end``."""
+    """A node with a simulated worker pool.
+
+    ``took_ms`` is the time on a core that a run takes, by class. A run of any other class lasts until ``finish_run``.
+    """
 
     def __init__(self, settings: api.Settings, fair: bool = True, took_ms: dict[str, float] | None = None) -> None:
-        self.settings, self.took_ms, self.now_ms = settings, took_ms or {}, BEGINS_MS
+        self.settings, self.took_ms, self.now_ms = settings, took_ms or {}, START_MS
         self.counters, self.log = Counters(), list[tuple[str, str, dict[str, Any]]]()
-        self.due: list[tuple[float, int, str, bool]] = []  # when, a number, a token or a request, whether it is a run
+        # Time, a sequence number, a timer's token or a run's request, whether it is a run.
+        self.scheduled: list[tuple[float, int, str, bool]] = []
         self.numbers = itertools.count(1)
-        self.runs: list[Attempt] = []  # in the order of their begin
-        self.queue: deque[Attempt] = deque()  # begun, and waits for a core
-        self.busy = 0
+        self.runs: list[Attempt] = []  # in the order in which they were spawned
+        self.queue: deque[Attempt] = deque()  # spawned, and waiting for a core
+        self.busy_cores = 0
         limits = Limits()
         self.decisions = Decisions(
-            Catalogue(settings, limits), 1, limits, self.counters, self.clock, self._wake_at, lambda: None
+            Catalogue(settings, limits), 1, limits, self.counters, self.clock, self._schedule_tick, lambda: None
         )
         self.decisions.runs.workers = {"pool": self}
         self.fair: FairDoor | None = None
         if fair:
             self.fair = FairDoor(settings, limits, self.counters, self.clock)
-            self.fair.log = lambda level, event, **more: self.log.append((level, event, more))
+            self.fair.log = lambda level, event, **fields: self.log.append((level, event, fields))
             self.decisions.use_ranking(self.fair)
         self.decisions.handle(WorkersUp())
 
     def clock(self) -> float:
         return self.now_ms
 
-    def _wake_at(self, at_ms: float, token: str) -> None:
-        heapq.heappush(self.due, (at_ms, next(self.numbers), token, False))
+    def _schedule_tick(self, at_ms: float, token: str) -> None:
+        heapq.heappush(self.scheduled, (at_ms, next(self.numbers), token, False))
 
-    # The worker pool.
+    # The worker pool, as the decisions call it.
 
     def spawn(self, attempt: Attempt) -> bool:
         self.runs.append(attempt)
         if attempt.class_name in self.took_ms:
             self.queue.append(attempt)
-            self._begin()
+            self._start_queued_runs()
         return True
 
     def supply(self, request: str, no: int, reply: bytes) -> bool:
-        return False  # there are no calls here
+        return False  # simulated runs make no calls
 
     def continue_run(self, request: str, no: int) -> bool:
         return False
 
-    def _begin(self) -> None:
-        while self.queue and self.busy < self.settings.cores:
+    def _start_queued_runs(self) -> None:
+        while self.queue and self.busy_cores < self.settings.cores:
             attempt = self.queue.popleft()
-            self.busy += 1
+            self.busy_cores += 1
             at_ms = self.now_ms + self.took_ms[attempt.class_name]
-            heapq.heappush(self.due, (at_ms, next(self.numbers), attempt.id, True))
+            heapq.heappush(self.scheduled, (at_ms, next(self.numbers), attempt.id, True))
 
     def finish_run(self, attempt: Attempt, took_ms: float = 100.0) -> None:
-        """The run of a class that ends by itself never, ends now."""
+        """End the run of a class that has no time in ``took_ms``."""
         self.decisions.handle(RunFinished(attempt.id, api.Outcome.OK, took_ms, b"done"))
 
     # Callers and time.
 
-    def submit(self, club: str = "a", **more: Any) -> Attempt:
-        """A request is read now."""
-        given: dict[str, Any] = {
+    def submit(self, club: str = "a", **overrides: Any) -> Attempt:
+        """Submit a request that arrives now, and return its attempt."""
+        fields: dict[str, Any] = {
             "id": f"{next(self.numbers):016x}",
             "class_name": "look",
             "body": b"",
@@ -115,12 +122,12 @@
             "tenant": club,
             "memory_kb": 1.0,
         }
-        attempt = Attempt(**given | more)
+        attempt = Attempt(**fields | overrides)
         self.decisions.handle(Submitted(attempt))
         return attempt
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """New settings, as on SIGHUP."""
+        """Apply new settings, as on SIGHUP."""
         self.settings = settings
         fault = self.decisions.change(settings)
         assert fault is None, fault
@@ -128,29 +135,33 @@
             self.fair.change(settings)
 
     def advance(self, by_ms: float) -> None:
-        """Let so much time pass, with all that falls due in it."""
-        until = self.now_ms + by_ms
-        while self.due and self.due[0][0] <= until:
-            at_ms, _, name, run = heapq.heappop(self.due)
+        """Let time pass, and handle the timers and ends of runs that fall due in it."""
+        until_ms = self.now_ms + by_ms
+        while self.scheduled and self.scheduled[0][0] <= until_ms:
+            at_ms, _, name, is_run = heapq.heappop(self.scheduled)
             self.now_ms = max(self.now_ms, at_ms)
-            if run:
-                self.busy -= 1
+            if is_run:
+                self.busy_cores -= 1
                 took_ms = self.took_ms[self.decisions.attempts.by_id[name].class_name]
                 self.decisions.handle(RunFinished(name, api.Outcome.OK, took_ms, b"done"))
-                self._begin()
+                self._start_queued_runs()
             else:
-                wanting = self.busy + len(self.queue)
-                self.decisions.handle(Tick(name, api.Gauges(min(1.0, wanting / self.settings.cores), wanting)))
-        self.now_ms = until
+                occupancy = self.busy_cores + len(self.queue)
+                self.decisions.handle(Tick(name, api.Gauges(min(1.0, occupancy / self.settings.cores), occupancy)))
+        self.now_ms = until_ms
 
 
-def served_share(asked: list[Attempt]) -> float:
-    """The share of them that was served."""
-    return sum(one.answer is not None and one.answer.verdict is Verdict.SERVED for one in asked) / max(1, len(asked))
+def served_share(attempts: list[Attempt]) -> float:
+    """Return the share of these attempts that was served."""
+    return sum(attempt.answer is not None and attempt.answer.verdict is Verdict.SERVED for attempt in attempts) / max(
+        1, len(attempts)
+    )
 
 
-def retry_delays_ms(asked: list[Attempt]) -> list[float]:
-    """What those that were turned away were told."""
+def retry_delays_ms(attempts: list[Attempt]) -> list[float]:
+    """Return the retry delays that rejected attempts were given."""
     return [
-        one.answer.retry_after_ms for one in asked if one.answer is not None and one.answer.verdict is Verdict.REFUSED
+        attempt.answer.retry_after_ms
+        for attempt in attempts
+        if attempt.answer is not None and attempt.answer.verdict is Verdict.REFUSED
     ]
