--- a/flintshift/lab/history.py
+++ b/flintshift/lab/history.py
@@ -1,7 +1,7 @@
-"""What crossed the sockets, and the judge of it: which promises of a fleet were broken. Without I/O.
+"""Checks the history of a fleet for broken guarantees. It has no I/O.
 
-The judge knows callers' requests and answers, and what worker pools were told to run; nothing that a member says of
-itself. Times are Unix milliseconds of one clock, the rig's.
+The history has callers' requests and answers, and the runs that worker pools were told to start, but nothing that a
+member reports about itself. Times are Unix milliseconds of one clock, that of the test cluster.
 """
 
 from __future__ import annotations
@@ -10,13 +10,15 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-REFUSED = (429, 503)
+REJECTION_STATUSES = (429, 503)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestSent:
+    """A caller sent a try of a request."""
+
     at_ms: float
-    rid: str  # of this try
+    rid: str  # id of this try
     key: str | None  # the same for all tries of one keyed request; None: a read
     body: bytes
     member: str
@@ -24,6 +26,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseReceived:
+    """A caller received the answer to a try."""
+
     at_ms: float
     rid: str
     status: int
@@ -40,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunStarted:
-    """A worker pool was told to run this try."""
+    """A worker pool was told to start a run for a try."""
 
     at_ms: float
     rid: str
@@ -49,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberInterrupted:
-    """A member's process was killed, or its machine paused: answers owed then may not come."""
+    """A member's process was killed, paused or resumed: answers that were due then may be late or missing."""
 
     at_ms: float
     member: str
@@ -60,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that was not kept; ``guarantee`` is a key of ``GUARANTEES``."""
+    """A broken guarantee; ``guarantee`` is a key of ``GUARANTEES``."""
 
     guarantee: str
     key: str
@@ -69,98 +73,114 @@
 
 GUARANTEES = {
     "second run": "a keyed request ran twice within its window",
-    "refused after a run": "a try was refused that was sent after its request had run",
-    "differing results": "a try was served with another result than that of the run in whose window it came",
+    "refused after a run": "a try was rejected that was sent after its request had run",
+    "differing results": "a try was served with another result than that of the run in whose window it was sent",
     "unknown result": "a try was served with a result that no run of its request made",
     "other body served": "a try with another body than the one that ran was not answered 409",
-    "late": "an answer came after its due time",
-    "missing": "no answer came, though the member lived",
-    "run of nothing": "a pool ran what no caller asked for",
-    "use lost": "an answer that its caller read is in no document, and not in doubt",
-    "use doubled": "more is billed than was asked",
+    "late": "an answer came after its deadline",
+    "missing": "no answer came, although the member was up",
+    "run of nothing": "a pool ran what no caller requested",
+    "use lost": "an answered try is in no document, and not listed as in doubt",
+    "use doubled": "more requests are billed than were sent",
 }
 
 
 @dataclass(slots=True)
 class CheckResult:
+    """The violations in a history, and its figures."""
+
     violations: list[Violation]
-    answers: Counter[str] = field(default_factory=Counter)  # served, refused, failed, conflict, none
+    answers: Counter[str] = field(default_factory=Counter)  # by outcome: served, refused, failed, conflict, none
     runs: int = 0
-    latencies_ms: list[float] = field(default_factory=list)  # of keyed tries that were served
+    latencies_ms: list[float] = field(default_factory=list)  # of served keyed tries
 
     def count_by_guarantee(self) -> dict[str, int]:
-        counted = Counter(one.guarantee for one in self.violations)
-        return {what: counted[what] for what in GUARANTEES if counted[what]}
+        """Return the number of violations of each broken guarantee."""
+        counts = Counter(violation.guarantee for violation in self.violations)
+        return {guarantee: counts[guarantee] for guarantee in GUARANTEES if counts[guarantee]}
 
 
 def run_result(rid: str) -> bytes:
-    """What the lab's worker pool makes of a run."""
+    """Return the result that the lab's worker pool gives for a run."""
     return f"result of {rid}\n".encode()
 
 
-def word(status: int) -> str:
-    return {200: "served", 409: "conflict"}.get(status, "refused" if status in REFUSED else "failed")
+def outcome_name(status: int) -> str:
+    """Return the name under which an answer with this status is counted."""
+    return {200: "served", 409: "conflict"}.get(status, "refused" if status in REJECTION_STATUSES else "failed")
+
 
+def check_history(events: list[Event], window_ms: float, deadline_ms: float, slack_ms: float = 80.0) -> CheckResult:
+    """Check a history for violations.
 
-def check_history(events: list[Event], window_ms: float, due_ms: float, slack_ms: float = 80.0) -> CheckResult:
-    """``due_ms``: within which an answer is due; ``window_ms``: within which no second try of a key may run, counted
-    from when the first of them was asked."""
-    asked: dict[str, RequestSent] = {}
+    Args:
+        events: the history, in order.
+        window_ms: the time after the first try of a key was sent within which no second one may run.
+        deadline_ms: the time within which each try is answered.
+        slack_ms: the extra time that an answer may take before it counts as late.
+    """
+    requests: dict[str, RequestSent] = {}
     answers: dict[str, ResponseReceived] = {}
-    died: dict[str, list[float]] = defaultdict(list)
+    interruptions_ms: dict[str, list[float]] = defaultdict(list)
     runs: dict[str, list[tuple[RunStarted, RequestSent]]] = defaultdict(list)
     tries: dict[str, list[RequestSent]] = defaultdict(list)
-    told = CheckResult([])
+    result = CheckResult([])
     for event in events:
         match event:
             case RequestSent(rid=rid, key=key):
-                asked[rid] = event
+                requests[rid] = event
                 if key is not None:
                     tries[key].append(event)
             case ResponseReceived(rid=rid):
                 answers[rid] = event
             case RunStarted(rid=rid):
-                told.runs += 1
-                known = asked.get(rid)
-                if known is None:
-                    told.violations.append(Violation("run of nothing", "", f"{event.member} ran {rid}"))
-                elif known.key is not None:
-                    runs[known.key].append((event, known))
+                result.runs += 1
+                request = requests.get(rid)
+                if request is None:
+                    result.violations.append(Violation("run of nothing", "", f"{event.member} ran {rid}"))
+                elif request.key is not None:
+                    runs[request.key].append((event, request))
             case MemberInterrupted(at_ms, member):
-                died[member].append(at_ms)
-    for rid, one in asked.items():
+                interruptions_ms[member].append(at_ms)
+    for rid, sent in requests.items():
         answer = answers.get(rid)
-        excused = any(one.at_ms - due_ms <= at <= one.at_ms + due_ms + slack_ms for at in died[one.member])
+        excused = any(
+            sent.at_ms - deadline_ms <= at <= sent.at_ms + deadline_ms + slack_ms
+            for at in interruptions_ms[sent.member]
+        )
         if answer is None:
-            told.answers["none"] += 1
+            result.answers["none"] += 1
             if not excused:
-                told.violations.append(Violation("missing", one.key or "", f"{rid} at {one.member}"))
+                result.violations.append(Violation("missing", sent.key or "", f"{rid} at {sent.member}"))
             continue
-        told.answers[word(answer.status)] += 1
-        took = answer.at_ms - one.at_ms
-        if took > due_ms + slack_ms and not excused:
-            told.violations.append(Violation("late", one.key or "", f"{rid} at {one.member} after {took:.0f} ms"))
-        if answer.status == 200 and one.key is not None:
-            told.latencies_ms.append(took)
+        result.answers[outcome_name(answer.status)] += 1
+        latency_ms = answer.at_ms - sent.at_ms
+        if latency_ms > deadline_ms + slack_ms and not excused:
+            result.violations.append(
+                Violation("late", sent.key or "", f"{rid} at {sent.member} after {latency_ms:.0f} ms")
+            )
+        if answer.status == 200 and sent.key is not None:
+            result.latencies_ms.append(latency_ms)
     for key, all_tries in tries.items():
-        told.violations += _of_key(key, all_tries, runs[key], answers, window_ms)
-    return told
+        result.violations += _check_key(key, all_tries, runs[key], answers, window_ms)
+    return result
 
 
-def _of_key(
+def _check_key(
     key: str,
     tries: list[RequestSent],
-    ran: list[tuple[RunStarted, RequestSent]],
+    runs: list[tuple[RunStarted, RequestSent]],
     answers: dict[str, ResponseReceived],
     window_ms: float,
 ) -> list[Violation]:
-    broken = []
-    ran = sorted(ran, key=lambda one: one[0].at_ms)
-    for (first, asked_first), (second, asked_second) in pairwise(ran):
+    """Check the tries and the runs of one key."""
+    violations = []
+    runs = sorted(runs, key=lambda pair: pair[0].at_ms)
+    for (first, first_request), (second, second_request) in pairwise(runs):
         if first.rid == second.rid and first.member == second.member:
-            continue  # the pool was told again, over a link that broke: it begins nothing
-        if asked_second.at_ms <= asked_first.at_ms + window_ms:
-            broken.append(
+            continue  # the pool was told again after its link broke: it starts no second run
+        if second_request.at_ms <= first_request.at_ms + window_ms:
+            violations.append(
                 Violation(
                     "second run",
                     key,
@@ -169,76 +189,94 @@
                 )
             )
     differing: set[bytes] = set()
-    made = {run_result(one.rid) for one, _ in ran}
-    for one in tries:
-        answer = answers.get(one.rid)
-        before = [run for run, asked in ran if run.at_ms < one.at_ms and one.at_ms <= asked.at_ms + window_ms]
+    known_results = {run_result(run.rid) for run, _ in runs}
+    for attempt in tries:
+        answer = answers.get(attempt.rid)
+        before = [
+            run for run, request in runs if run.at_ms < attempt.at_ms and attempt.at_ms <= request.at_ms + window_ms
+        ]
         if answer is None:
             continue
-        if answer.status in REFUSED and before:
-            broken.append(
+        if answer.status in REJECTION_STATUSES and before:
+            violations.append(
                 Violation(
                     "refused after a run",
                     key,
-                    f"{one.rid} at {one.member}: {answer.status}, "
-                    f"{one.at_ms - before[0].at_ms:.0f} ms after {before[0].rid} ran",
+                    f"{attempt.rid} at {attempt.member}: {answer.status}, "
+                    f"{attempt.at_ms - before[0].at_ms:.0f} ms after {before[0].rid} ran",
                 )
             )
         if answer.status == 200:
-            if answer.body not in made:
-                broken.append(Violation("unknown result", key, f"{one.rid} at {one.member}: {answer.body!r}"))
-            elif (expected := _due_result(one, ran, window_ms)) not in (None, answer.body):
+            if answer.body not in known_results:
+                violations.append(
+                    Violation("unknown result", key, f"{attempt.rid} at {attempt.member}: {answer.body!r}")
+                )
+            elif (expected := _expected_result(attempt, runs, window_ms)) not in (None, answer.body):
                 differing |= {answer.body, expected}
-            bodies = {asked.body for _, asked in ran if run_result(asked.rid) == answer.body}
-            if bodies and one.body not in bodies:
-                broken.append(Violation("other body served", key, f"{one.rid} at {one.member}"))
+            bodies = {request.body for _, request in runs if run_result(request.rid) == answer.body}
+            if bodies and attempt.body not in bodies:
+                violations.append(Violation("other body served", key, f"{attempt.rid} at {attempt.member}"))
     if differing:
-        broken.append(Violation("differing results", key, f"{sorted(differing)!r}"))
-    return broken
+        violations.append(Violation("differing results", key, f"{sorted(differing)!r}"))
+    return violations
 
 
-def _due_result(one: RequestSent, ran: list[tuple[RunStarted, RequestSent]], window_ms: float) -> bytes | None:
-    """What a try is due: the result of the first run whose window, from when that was asked, had not passed when the
-    try was asked. None: all had, and nothing ran for it."""
-    within = [run.rid for run, asked in ran if one.at_ms <= asked.at_ms + window_ms]
+def _expected_result(
+    attempt: RequestSent, runs: list[tuple[RunStarted, RequestSent]], window_ms: float
+) -> bytes | None:
+    """Return the result that a try is due: that of the first run within whose window it was sent.
+
+    The window of a run begins when the run's own try was sent. None: all windows had passed, and no run was started for
+    the try.
+    """
+    within = [run.rid for run, request in runs if attempt.at_ms <= request.at_ms + window_ms]
     return run_result(within[0]) if within else None
 
 
 @dataclass(slots=True)
 class MemberUsage:
-    """Of one member, as its callers saw it."""
+    """The use of one member, as its callers saw it."""
 
-    answered: set[str] = field(default_factory=set)  # tries that were answered
-    unanswered: set[str] = field(default_factory=set)  # that broke off: the member may have booked them all the same
+    answered: set[str] = field(default_factory=set)  # ids of tries
+    # Ids of tries whose connection ended. The member may have recorded them nevertheless.
+    unanswered: set[str] = field(default_factory=set)
 
 
 def collect_usage(events: list[Event]) -> dict[str, MemberUsage]:
-    """By member."""
-    asked = {event.rid: event.member for event in events if isinstance(event, RequestSent)}
-    answered = {event.rid for event in events if isinstance(event, ResponseReceived)}
-    found: dict[str, MemberUsage] = defaultdict(MemberUsage)
-    for rid, member in asked.items():
-        (found[member].answered if rid in answered else found[member].unanswered).add(rid)
-    return found
+    """Return the use of each member."""
+    members_by_rid = {event.rid: event.member for event in events if isinstance(event, RequestSent)}
+    answered_rids = {event.rid for event in events if isinstance(event, ResponseReceived)}
+    usage: dict[str, MemberUsage] = defaultdict(MemberUsage)
+    for rid, member in members_by_rid.items():
+        (usage[member].answered if rid in answered_rids else usage[member].unanswered).add(rid)
+    return usage
 
 
 def check_usage(
-    members: dict[str, MemberUsage], booked: dict[str, int], doubted: dict[str, list[str]]
+    members: dict[str, MemberUsage], billed: dict[str, int], in_doubt: dict[str, list[str]]
 ) -> list[Violation]:
-    """``booked``: requests by member in all documents; ``doubted``: ids by member that they list as in doubt."""
-    broken = []
-    for member, use in sorted(members.items()):
-        told = doubted.get(member, [])
-        certain, count = len(use.answered - set(told)), booked.get(member, 0)
+    """Check that each member's use is billed once.
+
+    Args:
+        members: the use by member.
+        billed: the requests by member in all documents.
+        in_doubt: the ids by member that the documents list as in doubt.
+    """
+    violations = []
+    for member, usage in sorted(members.items()):
+        doubtful = in_doubt.get(member, [])
+        certain, count = len(usage.answered - set(doubtful)), billed.get(member, 0)
         if count < certain:
-            broken.append(Violation("use lost", "", f"{member}: {certain} answered and not in doubt, {count} billed"))
-        if count > certain + len(use.unanswered - set(told)) or len(told) > len(set(told)):
-            broken.append(
+            violations.append(
+                Violation("use lost", "", f"{member}: {certain} answered and not in doubt, {count} billed")
+            )
+        if count > certain + len(usage.unanswered - set(doubtful)) or len(doubtful) > len(set(doubtful)):
+            violations.append(
                 Violation(
                     "use doubled",
                     "",
-                    f"{member}: {certain} answered and {len(use.unanswered)} broken off, "
-                    f"{count} billed, {len(told)} in doubt",
+                    f"{member}: {certain} answered and {len(usage.unanswered)} broken off, "
+                    f"{count} billed, {len(doubtful)} in doubt",
                 )
             )
-    return broken
+    return violations
