--- a/flintshift/lab/chaos_replication.py
+++ b/flintshift/lab/chaos_replication.py
@@ -1,9 +1,8 @@
-"""Chaos for the copies: rounds of faults by seed on a fleet under load, each with a machine that is lost with its
-disk.
+"""Chaos test of replication: rounds of seeded faults and of lost machines, on a fleet under load.
 
-One round: keyed load with repeats at random members; a fault out of the table; a machine and its disk gone in the
-middle of it; the machine back, empty; then, for every key of the round, one more repeat at a member that is up.
-The judge sees only what crossed the sockets.
+A round has keyed load with repeats at random members, a fault of the table, the loss of a machine and its disk in the
+middle of it, the return of the machine without its data, and then one more repeat of each key of the round at a member
+that is up. The checks use only what crossed the sockets.
 """
 
 from __future__ import annotations
@@ -27,87 +26,87 @@
 HALLS = {"ruwi-hall": 3, "seeb-hall": 2}
 COPIES = "  copies: 3\n  take-over-use: 1s\n"
 PERIOD = "2s"  # of the ledgers
-QUIET_S = 0.3  # under load before the fault
-HURT_S = 0.9  # with it
-BILLED_S = 25.0  # until all is billed, in the end
-PAUSE_S = 0.004  # of a caller between two requests
+BEFORE_FAULT_S = 0.3  # of load before the fault
+MAX_FAULT_WAIT_S = 0.9  # of load with the fault before the machine is lost, and again after it
+BILLING_TIMEOUT_S = 25.0  # until all use is billed at the end
+PAUSE_S = 0.004  # between two requests of a caller
 
 
-async def nothing(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
-    """The lost machine alone."""
+async def nothing(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    """No fault besides the lost machine."""
 
 
-async def slow_link(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
-    one, other = draw.sample(others, 2)
-    fleet.links[one, other].forward = Fault(delay_ms=200.0, jitter_ms=50.0)
-    fleet.add_to_timeline(f"{one} to {other}: 200 ms late")
+async def slow_link(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    source, target = rng.sample(others, 2)
+    fleet.links[source, target].forward = Fault(delay_ms=200.0, jitter_ms=50.0)
+    fleet.add_to_timeline(f"{source} to {target}: delayed by 200 ms")
 
 
-async def one_way_cut(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
-    one, other = draw.sample(others, 2)
-    fleet.links[one, other].forward = Fault(drops=True)
-    fleet.add_to_timeline(f"{one} to {other}: nothing passes, the other way all does")
+async def one_way_cut(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    source, target = rng.sample(others, 2)
+    fleet.links[source, target].forward = Fault(drops=True)
+    fleet.add_to_timeline(f"{source} to {target}: one-way cut")
 
 
-async def cut_off(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
-    """A further member behind a cut: callers are still with it."""
-    one = draw.choice(others)
-    fleet.cut([one], [name for name in fleet.members if name != one])
+async def cut_off(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    """A second member is cut off from the others, but not from its callers."""
+    member = rng.choice(others)
+    fleet.cut([member], [name for name in fleet.members if name != member])
 
 
-async def hall_cut(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
+async def hall_cut(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
     fleet.cut(fleet.members_in_hall("ruwi-hall"), fleet.members_in_hall("seeb-hall"))
 
 
-async def flapping(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
-    one = draw.choice(others)
+async def flapping(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    member = rng.choice(others)
     for _ in range(4):
-        for link in fleet.links_between([one], [name for name in fleet.members if name != one]):
+        for link in fleet.links_between([member], [name for name in fleet.members if name != member]):
             link.reset()
         await asyncio.sleep(0.15)
-    fleet.add_to_timeline(f"links of {one} were reset four times")
+    fleet.add_to_timeline(f"links of {member} were reset four times")
 
 
-async def paused(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
-    one = draw.choice(others)
-    fleet.pause(one)
+async def paused(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    member = rng.choice(others)
+    fleet.pause(member)
     await asyncio.sleep(1.8)
-    fleet.resume(one)
+    fleet.resume(member)
 
 
-async def process_killed(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
-    """A second member dies, with its disk kept, and comes back."""
-    one = draw.choice(others)
-    await fleet.kill(one)
+async def process_killed(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    """A second member's process is killed, and restarted on its disk."""
+    member = rng.choice(others)
+    await fleet.kill(member)
     await asyncio.sleep(0.3)
-    await fleet.start(one)
+    await fleet.start(member)
 
 
-async def torn_frames(fleet: Fleet, draw: random.Random, others: list[str]) -> None:
+async def torn_frames(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
     for _ in range(6):
-        one, other = draw.sample(others, 2)
-        fleet.links[one, other].forward = Fault(reset_after=draw.randrange(2000), duplicates=draw.random() < 0.3)
-    fleet.add_to_timeline("six links are cut in the middle of a frame, some after junk")
+        source, target = rng.sample(others, 2)
+        fleet.links[source, target].forward = Fault(reset_after=rng.randrange(2000), duplicates=rng.random() < 0.3)
+    fleet.add_to_timeline("six links are reset within a frame, some after duplicated bytes")
 
 
 FAULTS: dict[str, Callable[[Fleet, random.Random, list[str]], Awaitable[None]]] = {
-    one.__name__: one
-    for one in (nothing, slow_link, one_way_cut, cut_off, hall_cut, flapping, paused, process_killed, torn_frames)
+    fault.__name__: fault
+    for fault in (nothing, slow_link, one_way_cut, cut_off, hall_cut, flapping, paused, process_killed, torn_frames)
 }
 
 
 @dataclass(frozen=True, slots=True)
 class DiskRefusal:
-    """Of each member's writes and syncs some fail, for a span of the play."""
+    """A share of each member's writes and syncs fails, for some time."""
 
-    rate: int  # of 1,000
+    rate: int  # failures of 1,000 writes and syncs
     from_s: float = 0.0  # after the fleet is linked
     lasts_s: float = math.inf
 
 
 @dataclass
 class Tally:
-    """What the rounds came to."""
+    """The results of the rounds."""
 
     rounds: int = 0
     violations: Counter[str] = field(default_factory=Counter)
@@ -117,20 +116,21 @@
     runs: int = 0
     keys: int = 0
     took_s: float = 0.0
-    use: dict[str, MemberUsage] = field(default_factory=lambda: defaultdict(MemberUsage))  # by member
+    usage: dict[str, MemberUsage] = field(default_factory=lambda: defaultdict(MemberUsage))  # by member
     billed: int = 0
     in_doubt: int = 0
-    complete_after_s: list[float] = field(
-        default_factory=list
-    )  # by round: from its end, or the disks' recovery after it
-    lost_in_gaps: int = 0  # booked while no copy answered, as was told, by a machine that was lost then
+    # For each round, the time from its end or from the disks' later recovery until all ledgers had all replicas.
+    complete_after_s: list[float] = field(default_factory=list)
+    # Requests recorded while no replica answered, which was reported, by a machine that was lost then.
+    lost_in_gaps: int = 0
 
     @property
     def not_served(self) -> float:
-        """The share of answers that were refused or failed, or that never came."""
+        """The share of tries that were rejected, failed or not answered."""
         return 1.0 - self.answers["served"] / max(1, sum(self.answers.values()))
 
     def to_dict(self) -> dict[str, Any]:
+        """Return the results under the names that reports use."""
         return {
             "rounds": self.rounds,
             "keys": self.keys,
@@ -149,85 +149,89 @@
 
 
 class Load:
-    """Callers with keyed requests, of which some come a second time at another member."""
+    """Callers that send keyed requests, and repeat some of them at another member."""
 
-    def __init__(self, fleet: Fleet, draw: random.Random, callers: int, prefix: str) -> None:
-        self.fleet, self.draw, self.callers, self.prefix = fleet, draw, callers, prefix
+    def __init__(self, fleet: Fleet, rng: random.Random, callers: int, prefix: str) -> None:
+        self.fleet, self.rng, self.callers, self.prefix = fleet, rng, callers, prefix
         self.keys: list[str] = []
         self.stopped = asyncio.Event()
 
     async def run(self) -> None:
+        """Run the callers until ``stopped`` is set."""
         async with asyncio.TaskGroup() as tasks:
             for _ in range(self.callers):
-                tasks.create_task(self._caller(random.Random(self.draw.getrandbits(32))))
+                tasks.create_task(self._caller(random.Random(self.rng.getrandbits(32))))
 
-    async def _caller(self, draw: random.Random) -> None:
+    async def _caller(self, rng: random.Random) -> None:
         while not self.stopped.is_set():
             key = f"{self.prefix}-{len(self.keys)}"
             self.keys.append(key)
             names = list(self.fleet.members)
-            first = self.fleet.send_request(draw.choice(names), key)
-            if draw.random() < 0.3:  # a second copy in the same moment
-                await asyncio.gather(first, self.fleet.send_request(draw.choice(names), key, is_repeat=True))
+            first_try = self.fleet.send_request(rng.choice(names), key)
+            if rng.random() < 0.3:  # a repeat at the same time
+                await asyncio.gather(first_try, self.fleet.send_request(rng.choice(names), key, is_repeat=True))
             else:
-                await first
-                if draw.random() < 0.6:
-                    await self.fleet.send_request(draw.choice(names), key, is_repeat=True)
+                await first_try
+                if rng.random() < 0.6:
+                    await self.fleet.send_request(rng.choice(names), key, is_repeat=True)
             await asyncio.sleep(PAUSE_S)
 
 
-async def one_round(fleet: Fleet, number: int, seed: int, tally: Tally, callers: int) -> None:
-    draw = random.Random(seed * 100_003 + number)
-    fault = list(FAULTS)[number % len(FAULTS)] if number < len(FAULTS) else draw.choice(list(FAULTS))
-    lost = draw.choice(list(fleet.members))
+async def run_round(fleet: Fleet, number: int, seed: int, tally: Tally, callers: int) -> None:
+    """Run one round, and add its results to the tally."""
+    rng = random.Random(seed * 100_003 + number)
+    fault = list(FAULTS)[number % len(FAULTS)] if number < len(FAULTS) else rng.choice(list(FAULTS))
+    lost = rng.choice(list(fleet.members))
     others = [name for name in fleet.members if name != lost]
     fleet.add_to_timeline(f"round {number}: {fault}, and {lost} is lost")
     tally.faults[fault] += 1
-    load = Load(fleet, draw, callers, f"r{number}")
-    loading = asyncio.ensure_future(load.run())
-    await asyncio.sleep(QUIET_S)
-    hurting = asyncio.ensure_future(FAULTS[fault](fleet, draw, others))
-    await asyncio.sleep(HURT_S * draw.random())
+    load = Load(fleet, rng, callers, f"r{number}")
+    load_task = asyncio.ensure_future(load.run())
+    await asyncio.sleep(BEFORE_FAULT_S)
+    fault_task = asyncio.ensure_future(FAULTS[fault](fleet, rng, others))
+    await asyncio.sleep(MAX_FAULT_WAIT_S * rng.random())
     await fleet.lose(lost)
-    await asyncio.sleep(HURT_S * draw.random())
-    await hurting
+    await asyncio.sleep(MAX_FAULT_WAIT_S * rng.random())
+    await fault_task
     fleet.heal()
     await fleet.start(lost)
     await asyncio.sleep(0.5)
     load.stopped.set()
-    await loading
+    await load_task
     tally.keys += len(load.keys)
-    loaded_s = time.monotonic()
+    load_ended_s = time.monotonic()
     await fleet.wait_until_refilled(lost)
-    await fleet.wait_until_ledgers_complete()  # the next machine is lost once what this one held stands at others again
-    tally.complete_after_s.append(time.monotonic() - max(loaded_s, fleet.disks_recovered_s))
-    ran = {event.rid for event in fleet.events if isinstance(event, RunStarted)}
-    # Every key that may have run, once more, wherever.
-    room = asyncio.Semaphore(16)
-
-    async def last(key: str) -> None:
-        async with room:
-            await fleet.send_request(draw.choice(list(fleet.members)), key, is_repeat=True)
-
-    await asyncio.gather(*(last(key) for key in load.keys))
-    judged = fleet.check_history()
+    # The next machine is lost only when other members have replicas of what this one held.
+    await fleet.wait_until_ledgers_complete()
+    tally.complete_after_s.append(time.monotonic() - max(load_ended_s, fleet.disks_recovered_s))
+    started_rids = {event.rid for event in fleet.events if isinstance(event, RunStarted)}
+    # Every key that may have run is sent once more, at any member.
+    semaphore = asyncio.Semaphore(16)
+
+    async def repeat(key: str) -> None:
+        async with semaphore:
+            await fleet.send_request(rng.choice(list(fleet.members)), key, is_repeat=True)
+
+    await asyncio.gather(*(repeat(key) for key in load.keys))
+    result = fleet.check_history()
     tally.rounds += 1
-    tally.violations.update(judged.count_by_guarantee())
+    tally.violations.update(result.count_by_guarantee())
     tally.violation_texts += [
-        f"seed {seed}, round {number} ({fault}, {lost} lost): {one.guarantee} of {one.key}: {one.text}"
-        for one in judged.violations
+        f"seed {seed}, round {number} ({fault}, {lost} lost): {broken.guarantee} of {broken.key}: {broken.text}"
+        for broken in result.violations
     ]
-    tally.answers.update(judged.answers)
-    tally.runs += len(ran)
-    for name, use in collect_usage(fleet.events).items():
-        tally.use[name].answered |= use.answered
-        tally.use[name].unanswered |= use.unanswered
+    tally.answers.update(result.answers)
+    tally.runs += len(started_rids)
+    for name, usage in collect_usage(fleet.events).items():
+        tally.usage[name].answered |= usage.answered
+        tally.usage[name].unanswered |= usage.unanswered
     fleet.events.clear()
     for member in fleet.members.values():
         member.pool.spawned.clear()
 
 
-async def _refuse(fleet: Fleet, disks: DiskRefusal) -> None:
+async def _inject_disk_failures(fleet: Fleet, disks: DiskRefusal) -> None:
+    """Let the fleet's disks fail for the given time."""
     await asyncio.sleep(disks.from_s)
     fleet.set_write_failure_rate(disks.rate)
     if disks.lasts_s != math.inf:
@@ -236,24 +240,27 @@
         fleet.disks_recovered_s = time.monotonic()
 
 
-async def all_billed(fleet: Fleet, tally: Tally) -> None:
-    """Wait until all that is booked is exported, and judge it. What a machine booked while it told that no copy
-    answered, and lost with its disk, is counted apart: no two machines had it."""
-    until = time.monotonic() + (BILLED_S if fleet.copies is not None else 5.0)
-    broken = [Violation("use lost", "", "nothing is billed")]
-    while broken and time.monotonic() < until:
+async def check_billing(fleet: Fleet, tally: Tally) -> None:
+    """Wait until all recorded use is exported, and check it.
+
+    Use that a machine recorded while it reported that no replica answered, and that was lost with its disk, is counted
+    separately: no two machines had it.
+    """
+    give_up_s = time.monotonic() + (BILLING_TIMEOUT_S if fleet.copies is not None else 5.0)
+    violations = [Violation("use lost", "", "nothing is billed")]
+    while violations and time.monotonic() < give_up_s:
         await asyncio.sleep(0.5)
-        broken = check_usage(tally.use, *read_billed_documents(fleet.folder))
-    counted, doubted = read_billed_documents(fleet.folder)
-    tally.billed, tally.in_doubt = sum(counted.values()), sum(map(len, doubted.values()))
-    gaps = {one["node"] for one in fleet.timeline() if one["event"] == "usage.copies_lack"}
-    for one in broken:
-        name = one.text.partition(":")[0]
-        if one.guarantee == "use lost" and name in gaps:
-            tally.lost_in_gaps += len(tally.use[name].answered - set(doubted.get(name, []))) - counted.get(name, 0)
+        violations = check_usage(tally.usage, *read_billed_documents(fleet.folder))
+    billed, in_doubt = read_billed_documents(fleet.folder)
+    tally.billed, tally.in_doubt = sum(billed.values()), sum(map(len, in_doubt.values()))
+    members_with_gaps = {entry["node"] for entry in fleet.timeline() if entry["event"] == "usage.copies_lack"}
+    for violation in violations:
+        name = violation.text.partition(":")[0]
+        if violation.guarantee == "use lost" and name in members_with_gaps:
+            tally.lost_in_gaps += len(tally.usage[name].answered - set(in_doubt.get(name, []))) - billed.get(name, 0)
         else:
-            tally.violations[one.guarantee] += 1
-            tally.violation_texts.append(f"{one.guarantee}: {one.text}")
+            tally.violations[violation.guarantee] += 1
+            tally.violation_texts.append(f"{violation.guarantee}: {violation.text}")
 
 
 async def run_rounds(
@@ -266,8 +273,12 @@
     root: Path | None = None,
     disks: DiskRefusal | None = None,
 ) -> Tally:
-    """Play so many rounds on one fleet. ``copies`` False: the members share nothing, to see what is lost then."""
-    tally, began = Tally(), time.monotonic()
+    """Run ``count`` rounds on one fleet, and return their results.
+
+    With ``copies`` False the members replicate nothing, which shows what is lost then. ``report`` is called with a text
+    after each round.
+    """
+    tally, started_s = Tally(), time.monotonic()
     async with Fleet(
         folder,
         HALLS,
@@ -278,28 +289,28 @@
         disks_refuse=disks is not None,
     ) as fleet:
         await fleet.wait_until_linked()
-        refusing = asyncio.ensure_future(_refuse(fleet, disks)) if disks is not None else None
+        disk_task = asyncio.ensure_future(_inject_disk_failures(fleet, disks)) if disks is not None else None
         try:
             for number in range(count):
-                known = len(tally.violation_texts)
-                await one_round(fleet, number, seed, tally, callers)
+                reported_count = len(tally.violation_texts)
+                await run_round(fleet, number, seed, tally, callers)
                 report(
                     "\n".join(
                         [
                             f"round {number + 1} of {count}: {dict(tally.violations)} broken, {dict(tally.answers)}, "
-                            f"{time.monotonic() - began:.0f} s",
-                            *tally.violation_texts[known : known + 3],
+                            f"{time.monotonic() - started_s:.0f} s",
+                            *tally.violation_texts[reported_count : reported_count + 3],
                         ]
                     )
                 )
-            await all_billed(fleet, tally)
+            await check_billing(fleet, tally)
             tally.violations["traceback"] += len(fleet.tracebacks())
-            tally.violation_texts += [f"traceback: {one}" for one in fleet.tracebacks()]
+            tally.violation_texts += [f"traceback: {text}" for text in fleet.tracebacks()]
         finally:
-            tally.took_s = time.monotonic() - began
-            if refusing is not None:
-                refusing.cancel()
-            if tally.violation_texts or sys.exc_info()[0] is not None:  # a fleet that never is whole again, too
+            tally.took_s = time.monotonic() - started_s
+            if disk_task is not None:
+                disk_task.cancel()
+            if tally.violation_texts or sys.exc_info()[0] is not None:  # also if the wait for all replicas failed
                 (folder / "story.txt").write_text("\n".join(map(json.dumps, fleet.timeline())))
     return tally
 
