--- a/tests/lifecycle/test_starts_under_faults.py
+++ b/tests/lifecycle/test_starts_under_faults.py
@@ -181,5 +181,5 @@
 async def test_a_configuration_that_is_still_being_written_is_read_once_it_is_whole(tmp_path):
     async with SingleNodeCluster(tmp_path / "node") as rig:
         await rig.terminate()
-        assert (await rig.start(writing_s=0.6)).returncode is None
+        assert (await rig.start(complete_config_after_s=0.6)).returncode is None
         assert await rig.terminate() == 0
