--- a/flintshift/lab/single_node_cluster.py
+++ b/flintshift/lab/single_node_cluster.py
@@ -103,7 +103,7 @@
     ) -> asyncio.subprocess.Process:
         """Start the node, also after a kill. Returns once it serves.
 
-        ``complete_config_after_s`` is the time after the start of the process when the second half of its configuration is written.
+        The second half of its configuration is written ``complete_config_after_s`` after the start of the process.
         """
         self.names.serving.clear()
         self.dns.browsed.clear()
