--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -1,8 +1,8 @@
-"""The rig of many processes: members of one fleet, each a node with a worker pool of its own, callers, and a fault
-proxy on every link between two members. What crossed the sockets is kept for the judge (`history`).
+"""A test cluster of many members, each a node process with its own worker pool, and a fault proxy on each link.
 
-All stand-ins run in this process, the members in processes of their own. A member's machine is its process, its pool
-and its folder: ``kill`` ends the process, ``lose`` all three.
+All stand-ins run in this process, the members in processes of their own. What crosses the sockets is recorded as a
+history that `history` checks. A member's machine is its process, its pool and its folder: ``kill`` ends the process,
+``lose`` all three.
 """
 
 from __future__ import annotations
@@ -46,16 +46,17 @@
 from flintshift.usage import documents
 
 KEYED_CLASS = "submit-time"
-DUE_MS, WINDOW_MS = 1500.0, 8000.0  # of the embedded settings
-START_S = 20.0
+DEADLINE_MS, WINDOW_MS = 1500.0, 8000.0  # of requests and of repeats, in the embedded settings
+START_TIMEOUT_S = 20.0
 
 
 def now_ms() -> float:
+    """Return the Unix time in milliseconds."""
     return time.time() * 1000
 
 
 def usage_settings(folder: Path, period: str = "1h") -> str:
-    """The operators' part that has each member book use and export it to one billing folder."""
+    """Return operators' settings with which members record their use and export it to the fleet's billing folder."""
     return (
         f"usage: {{enabled: true, folder: usage, period: {period}, grace: 0ms, "
         f"export: {{folder: {folder / 'billed'}, backoff: 100ms}}}}\n"
@@ -63,30 +64,32 @@
 
 
 def count_billed_requests(folder: Path) -> dict[str, int]:
-    """Requests by member, as the documents in the billing folder add up."""
+    """Return the number of requests in the documents of the billing folder, by member."""
     return read_billed_documents(folder)[0]
 
 
 def read_billed_documents(folder: Path) -> tuple[dict[str, int], dict[str, list[str]]]:
-    """Requests by member, and the ids in doubt, of all documents in the billing folder."""
-    counted: Counter[str] = Counter()
-    doubted: dict[str, list[str]] = {}
+    """Read all documents of the billing folder. Returns the number of requests and the ids in doubt, both by member."""
+    request_counts: Counter[str] = Counter()
+    in_doubt: dict[str, list[str]] = {}
     for path in sorted((folder / "billed").glob("*.usage")):
         document = documents.parse(path.read_bytes())
-        counted[document.node] += sum(row.amounts.requests for row in document.rows)
-        doubted.setdefault(document.node, []).extend(entry.id.hex() for entry in document.in_doubt)
-    return {node: count for node, count in counted.items() if count}, doubted
+        request_counts[document.node] += sum(row.amounts.requests for row in document.rows)
+        in_doubt.setdefault(document.node, []).extend(entry.id.hex() for entry in document.in_doubt)
+    return {node: count for node, count in request_counts.items() if count}, in_doubt
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
+    """The answer to a request."""
+
     status: int
     body: bytes
-    retry_after_ms: float | None  # how long a refusal asks to stay away
+    retry_after_ms: float | None  # the retry delay of a rejection
 
 
 class RecordingPool(Pool):
-    """A worker pool that says what it was told to run."""
+    """A worker pool that records the runs that it is told to start."""
 
     def __init__(self, member: str, events: list[Event], cores: int, took_ms: dict[str, float]) -> None:
         super().__init__(cores=cores, took_ms=took_ms)
@@ -98,17 +101,19 @@
 
 @dataclass
 class Member:
+    """A member's settings, and its present process and pool."""
+
     name: str
     hall: str
     home: Path  # its disk
     ports: dict[str, int]
     pool: RecordingPool
     process: asyncio.subprocess.Process | None = None
-    lives: int = 0
-    clock_offset_ms: float = 0.0  # of its clock
+    incarnation: int = 0  # of its process
+    clock_offset_ms: float = 0.0
     paused: bool = False
     logs: list[Path] = field(default_factory=list)
-    faults: SyscallFaults | None = None  # of its present process
+    syscall_faults: SyscallFaults | None = None  # of its present process
 
     @property
     def up(self) -> bool:
@@ -116,8 +121,12 @@
 
 
 class Fleet:
-    """``halls`` says how many members stand in each. ``copies`` is the text of the operators' ``copies:`` part, as
-    lines under that key; None: members share nothing. ``root`` is the folder that the program is imported from."""
+    """The members, their links and their stand-ins.
+
+    ``halls`` gives the number of members in each hall. ``copies`` is the text of the operators' ``copies:`` part, as
+    lines under that key; None: the members replicate nothing. ``extra_settings`` is added to the operators' settings, and
+    ``platform`` to the platform's. ``root`` is the folder that the program is imported from.
+    """
 
     def __init__(
         self,
@@ -135,12 +144,12 @@
         disks_fail: bool = False,
         disks_refuse: bool = False,
     ) -> None:
-        self.disks_refuse = disks_refuse  # by `set_write_failure_rate`
-        self.disks_recovered_s = 0.0  # monotonic; 0: they have not refused
-        self.refused_writes = 0  # of 1,000 writes and syncs of regular files
-        self.disks_fail = disks_fail  # by `set_disk_failing`
-        self.control = control  # members have a control door, and can be upgraded
-        self.direct = direct  # members are linked without proxies between, for measurements
+        self.disks_refuse = disks_refuse  # members can be given failing system calls, by `set_write_failure_rate`
+        self.disks_recovered_s = 0.0  # in monotonic time; 0: they didn't fail
+        self.write_failure_rate = 0  # of 1,000 writes and syncs of regular files
+        self.disks_fail = disks_fail  # members can be given failing disks, by `set_disk_failing`
+        self.control = control  # members have a control address, and can be upgraded
+        self.direct = direct  # members are linked without proxies, for measurements
         self.folder, self.copies, self.root, self.extra_settings, self.platform = (
             folder,
             copies,
@@ -148,63 +157,65 @@
             extra_settings,
             platform,
         )
-        self.draw, self.took_ms, self.cores = random.Random(seed), {KEYED_CLASS: took_ms}, cores
+        self.rng, self.took_ms, self.cores = random.Random(seed), {KEYED_CLASS: took_ms}, cores
         self.events: list[Event] = []
-        self.faults: list[tuple[float, str]] = []  # what was done to the fleet, for its story
+        self.actions: list[tuple[float, str]] = []  # what was done to the fleet and when (ms), for its timeline
         self.vault, self.names = Vault(), Names()
         self.members: dict[str, Member] = {}
-        self.ids = itertools.count(1)
-        placed = [hall for hall, count in halls.items() for _ in range(count)]
-        ports = free_ports(3 * len(placed) + len(placed) * (len(placed) - 1))
-        for number, hall in enumerate(placed, 1):
+        self.request_numbers = itertools.count(1)
+        member_halls = [hall for hall, count in halls.items() for _ in range(count)]
+        ports = free_ports(3 * len(member_halls) + len(member_halls) * (len(member_halls) - 1))
+        for number, hall in enumerate(member_halls, 1):
             name = f"n{number}"
-            own = dict(zip(("http", "control", "peer"), (ports.pop() for _ in range(3)), strict=True))
-            self.members[name] = Member(name, hall, folder / name, own, self._pool(name))
+            member_ports = dict(zip(("http", "control", "peer"), (ports.pop() for _ in range(3)), strict=True))
+            self.members[name] = Member(name, hall, folder / name, member_ports, self._new_pool(name))
         self.links = {
-            (one, other): FaultProxy(ports.pop(), self.members[other].ports["peer"], self.draw.getrandbits(32))
-            for one in self.members
-            for other in self.members
-            if one != other
+            (source, target): FaultProxy(ports.pop(), self.members[target].ports["peer"], self.rng.getrandbits(32))
+            for source in self.members
+            for target in self.members
+            if source != target
         }
 
-    def _pool(self, name: str) -> RecordingPool:
+    def _new_pool(self, name: str) -> RecordingPool:
         return RecordingPool(name, self.events, self.cores, self.took_ms)
 
-    def _parts(self) -> list[Vault | Names | FaultProxy]:
+    def _stand_ins(self) -> list[Vault | Names | FaultProxy]:
         return [self.vault, self.names, *self.links.values()]
 
     async def __aenter__(self) -> Fleet:
         (self.folder / "logs").mkdir(parents=True, exist_ok=True)
         try:
-            for part in self._parts():
-                await part.start()
+            for stand_in in self._stand_ins():
+                await stand_in.start()
             await self._start_all()
-        except BaseException:  # nobody else ends what was started
+        except BaseException:  # otherwise what was started would remain
             await self.__aexit__()
             raise
         return self
 
     async def _start_all(self) -> None:
-        """All members at once; where one does not serve, after the others were waited for too."""
-        ends = await asyncio.gather(*(self.start(name, founding=True) for name in self.members), return_exceptions=True)
-        for end in ends:
-            if isinstance(end, BaseException):
-                raise end
+        """Start all members at once. If one fails to serve, raise its error after all starts have ended."""
+        results = await asyncio.gather(
+            *(self.start(name, founding=True) for name in self.members), return_exceptions=True
+        )
+        for result in results:
+            if isinstance(result, BaseException):
+                raise result
 
     async def __aexit__(self, *_: object) -> None:
         for member in self.members.values():
             if member.up:
-                await self._end(member)
+                await self._kill_process(member)
             await member.pool.stop()
-        for part in self._parts():
-            await part.stop()
+        for stand_in in self._stand_ins():
+            await stand_in.stop()
 
     # Members.
 
     def write_files(self, member: Member) -> list[str]:
-        """The files of a member, and the command that starts it on them."""
+        """Write a member's files, and return the command that starts it."""
         member.home.mkdir(parents=True, exist_ok=True)
-        told = configuration(
+        config = configuration(
             member.name,
             {
                 "listen": member.ports["http"],
@@ -214,40 +225,43 @@
             },
             self.cores,
         )
-        told["settings"] |= self.platform or {}
+        config["settings"] |= self.platform or {}
         if self.control:
-            told["control"] = f"127.0.0.1:{member.ports['control']}"
-        (member.home / "config.json").write_text(json.dumps(told))
+            config["control"] = f"127.0.0.1:{member.ports['control']}"
+        (member.home / "config.json").write_text(json.dumps(config))
         text = "log: {enabled: true, repeats: 0ms}\n" + self.extra_settings
         if self.copies is not None:
-            others = "".join(
-                f"    {name}: {{hall: {one.hall}, address: 127.0.0.1:"
-                f"{one.ports['peer'] if self.direct or name == member.name else self.links[member.name, name].port}}}\n"
-                for name, one in self.members.items()
+            addresses = "".join(
+                f"    {to}: {{hall: {peer.hall}, address: 127.0.0.1:"
+                f"{peer.ports['peer'] if self.direct or to == member.name else self.links[member.name, to].port}}}\n"
+                for to, peer in self.members.items()
             )
             text += (
-                f"peers:\n  enabled: true\n  listen: 127.0.0.1:{member.ports['peer']}\n  members:\n{others}"
+                f"peers:\n  enabled: true\n  listen: 127.0.0.1:{member.ports['peer']}\n  members:\n{addresses}"
                 f"copies:\n  enabled: true\n{self.copies}"
             )
         (member.home / "flintshift.yaml").write_text(text)
-        hurt = member.clock_offset_ms or self.disks_fail
+        needs_faults = member.clock_offset_ms or self.disks_fail
         program = (
             ["flintshift.lab.fault_injection", str(member.clock_offset_ms), str(member.home / "failing")]
-            if hurt
+            if needs_faults
             else ["flintshift"]
         )
         return [sys.executable, "-m", *program, "--settings", str(member.home / "flintshift.yaml")]
 
     async def start(self, name: str, founding: bool = False) -> None:
-        """Start a member, after a death too; returns once it is listed. ``founding``: the fleet begins with it."""
+        """Start a member, also after its process has ended. Returns once it is listed.
+
+        ``founding``: it is one of the fleet's first members, and its replica store is created.
+        """
         member = self.members[name]
-        member.lives += 1
-        if member.lives > 1:  # notices are numbered anew for each life
+        member.incarnation += 1
+        if member.incarnation > 1:  # each process numbers its notices from the start
             await member.pool.stop()
-            member.pool = self._pool(name)
+            member.pool = self._new_pool(name)
         await member.pool.start()
         if founding and self.copies is not None:
-            found = await asyncio.create_subprocess_exec(
+            found_process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "flintshift.cli",
@@ -257,65 +271,68 @@
                 cwd=self.root or Path.cwd(),
                 stdout=asyncio.subprocess.DEVNULL,
             )
-            if await found.wait():
-                raise RuntimeError(f"{name}: its folder of copies could not be founded")
-        await self._begin(member)
-        self.add_to_timeline(f"{name} started, life {member.lives}")
-        until = time.monotonic() + START_S
+            if await found_process.wait():
+                raise RuntimeError(f"{name}: its replica store could not be created")
+        await self._spawn_process(member)
+        self.add_to_timeline(f"{name} started, incarnation {member.incarnation}")
+        give_up_s = time.monotonic() + START_TIMEOUT_S
         while self.names.listed.get(name) != "yes":
-            if not member.up or time.monotonic() > until:
+            if not member.up or time.monotonic() > give_up_s:
                 raise RuntimeError(f"{name} did not serve: {member.logs[-1].read_text()[-2000:]}")
             await asyncio.sleep(0.02)
 
-    async def _begin(self, member: Member) -> None:
-        """Start its process, on files as they are now."""
+    async def _spawn_process(self, member: Member) -> None:
+        """Write the member's files, and start its process."""
         name, command = member.name, self.write_files(member)
         self.names.listed.pop(name, None)
-        log = self.folder / "logs" / f"{name}.{member.lives}.log"
+        log = self.folder / "logs" / f"{name}.{member.incarnation}.log"
         member.logs.append(log)
-        environment: dict[str, str] = {}
+        fault_environment: dict[str, str] = {}
         if self.disks_refuse:
-            rates = Rates(disk=self.refused_writes)
-            member.faults = SyscallFaults(log.with_suffix(".faults"), rates, self.draw.getrandbits(32))
-            environment = member.faults.environment
+            rates = Rates(disk=self.write_failure_rate)
+            member.syscall_faults = SyscallFaults(log.with_suffix(".faults"), rates, self.rng.getrandbits(32))
+            fault_environment = member.syscall_faults.environment
         with log.open("wb") as stderr:
             member.process = await asyncio.create_subprocess_exec(
                 *command,
                 cwd=self.root or Path.cwd(),
                 stderr=stderr,
                 env={**os.environ, "LB_CONFIG": str(member.home / "config.json"), "TMPDIR": str(member.home)}
-                | environment,
+                | fault_environment,
             )
 
-    async def upgrade(self, name: str, until_done: Awaitable[None] | None = None) -> int:
-        """A new process of this member takes over from the one that serves, as an operator does it; returns the older
-        one's exit code. The older one's pool stays until then. ``until_done`` is waited for between the two steps."""
+    async def upgrade(self, name: str, before_stop: Awaitable[None] | None = None) -> int:
+        """Upgrade a member as an operator does: a new process takes over, and the older one is stopped.
+
+        Returns the older process's exit code; its pool stays until then. ``before_stop`` is awaited once the new process
+        is ready, and before the older one is stopped.
+        """
         member = self.members[name]
         older, pool = member.process, member.pool
         assert older is not None and self.control
-        member.lives += 1
+        member.incarnation += 1
         member.ports["control"] = free_ports(1)[0]
-        member.pool = self._pool(name)
+        member.pool = self._new_pool(name)
         await member.pool.start()
-        await self._begin(member)
-        self.add_to_timeline(f"{name}: a new process beside the one that serves")
-        until = time.monotonic() + START_S
-        while not await self._ready(member):
-            if not member.up or time.monotonic() > until:
-                older.kill()  # the fleet ends the newest process of each member alone
+        await self._spawn_process(member)
+        self.add_to_timeline(f"{name}: a new process started for an upgrade")
+        give_up_s = time.monotonic() + START_TIMEOUT_S
+        while not await self._is_ready(member):
+            if not member.up or time.monotonic() > give_up_s:
+                older.kill()  # the fleet itself ends only the newest process of each member
                 await older.wait()
                 raise RuntimeError(f"{name}: the new process was not ready: {member.logs[-1].read_text()[-2000:]}")
             await asyncio.sleep(0.02)
-        if until_done is not None:
-            await until_done
+        if before_stop is not None:
+            await before_stop
         older.send_signal(signal.SIGTERM)
-        code = await asyncio.wait_for(older.wait(), START_S)
+        code = await asyncio.wait_for(older.wait(), START_TIMEOUT_S)
         await pool.stop()
         self.add_to_timeline(f"{name}: the older process ended with {code}")
         return code
 
     @staticmethod
-    async def _ready(member: Member) -> bool:
+    async def _is_ready(member: Member) -> bool:
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", member.ports["control"])
         except OSError:
@@ -325,20 +342,20 @@
         writer.close()
         return b" 200 " in status
 
-    async def _end(self, member: Member) -> None:
+    async def _kill_process(self, member: Member) -> None:
         assert member.process is not None
         member.process.kill()
         await member.process.wait()
         member.paused = False
 
     async def kill(self, name: str) -> None:
-        """End its process; what runs in its pool runs on."""
+        """Kill a member's process. The runs in its pool continue."""
         self.events.append(MemberInterrupted(now_ms(), name))
         self.add_to_timeline(f"{name} killed")
-        await self._end(self.members[name])
+        await self._kill_process(self.members[name])
 
     async def lose(self, name: str) -> None:
-        """The machine is gone: its process, what ran there, and its disk."""
+        """Lose a member's machine: its process, its pool and its disk."""
         await self.kill(name)
         member = self.members[name]
         await member.pool.stop()
@@ -346,6 +363,7 @@
         self.add_to_timeline(f"{name} lost its disk")
 
     def pause(self, name: str) -> None:
+        """Stop a member's process with SIGSTOP."""
         member = self.members[name]
         assert member.process is not None
         self.events.append(MemberInterrupted(now_ms(), name))
@@ -354,6 +372,7 @@
         self.add_to_timeline(f"{name} paused")
 
     def resume(self, name: str) -> None:
+        """Continue a paused member's process."""
         member = self.members[name]
         assert member.process is not None
         self.events.append(MemberInterrupted(now_ms(), name))
@@ -361,140 +380,157 @@
         member.paused = False
         self.add_to_timeline(f"{name} resumed")
 
-    def _log_of(self, name: str) -> str:
-        """Of its present life."""
+    def _read_log(self, name: str) -> str:
+        """Return the log of the member's present process."""
         return self.members[name].logs[-1].read_text(errors="replace")
 
     async def wait_until_logged(self, name: str, *texts: str, within_s: float = 30.0) -> None:
-        """Until its log holds one of these.
+        """Wait until the log of the member's process has one of these texts.
 
         Raises:
-            RuntimeError: it did not in time.
+            RuntimeError: it had none in time.
         """
-        until = time.monotonic() + within_s
-        while not any(text in self._log_of(name) for text in texts):
-            if time.monotonic() > until:
+        give_up_s = time.monotonic() + within_s
+        while not any(text in self._read_log(name) for text in texts):
+            if time.monotonic() > give_up_s:
                 raise RuntimeError(f"{name} did not log any of {texts} within {within_s} s")
             await asyncio.sleep(0.02)
 
     async def wait_until_linked(self) -> None:
-        """Until every member has a link to every other."""
-        until = time.monotonic() + START_S
-        while self.copies is not None and any(self._reached(name) < len(self.members) - 1 for name in self.members):
-            if time.monotonic() > until:
-                raise RuntimeError(f"links are missing: { {name: self._reached(name) for name in self.members} }")
+        """Wait until each member has a link to each other one.
+
+        Raises:
+            RuntimeError: links were missing for too long.
+        """
+        give_up_s = time.monotonic() + START_TIMEOUT_S
+        while self.copies is not None and any(
+            self._linked_count(name) < len(self.members) - 1 for name in self.members
+        ):
+            if time.monotonic() > give_up_s:
+                raise RuntimeError(f"links are missing: { {name: self._linked_count(name) for name in self.members} }")
             await asyncio.sleep(0.02)
 
-    def _reached(self, name: str) -> int:
-        """Members that this one has a link to, by its log."""
-        return int(([0, *re.findall(r'"reached": (\d+)', self._log_of(name))])[-1])
+    def _linked_count(self, name: str) -> int:
+        """Return the number of members that this one has a link to, by its log."""
+        return int(([0, *re.findall(r'"reached": (\d+)', self._read_log(name))])[-1])
 
     async def wait_until_refilled(self, name: str) -> None:
-        """Until this member's store votes on every key."""
+        """Wait until the member's replica store votes on every key."""
         if self.copies is not None:
             await self.wait_until_logged(name, '"votes": true', '"copies.votes"')
 
     async def wait_until_billed(self, count: int, within_s: float = 30.0) -> None:
-        """Until the billing folder holds so many requests.
+        """Wait until the documents of the billing folder have at least this many requests.
 
         Raises:
-            RuntimeError: it did not in time.
+            RuntimeError: they didn't in time.
         """
-        until = time.monotonic() + within_s
+        give_up_s = time.monotonic() + within_s
         while sum(count_billed_requests(self.folder).values()) < count:
-            if time.monotonic() > until:
+            if time.monotonic() > give_up_s:
                 raise RuntimeError(
-                    f"{count_billed_requests(self.folder)} were billed within {within_s} s, and {count} were wanted"
+                    f"{count_billed_requests(self.folder)} were billed within {within_s} s instead of {count}"
                 )
             await asyncio.sleep(0.05)
 
     async def wait_until_ledgers_complete(self, within_s: float = 30.0) -> None:
-        """Until each ledger of use has all its copies, and those of dead members are exported.
+        """Wait until each usage ledger has all its replicas, and those of dead members are exported.
 
         Raises:
-            RuntimeError: it did not in time.
+            RuntimeError: that took too long.
         """
-        until = time.monotonic() + within_s
+        give_up_s = time.monotonic() + within_s
         while self.copies is not None and self.extra_settings:
-            left = [
-                f"{name}: {one}"
+            incomplete = [
+                f"{name}: {ledger}"
                 for name in self.members
-                for one in await self._ledger_statuses(name)
+                for ledger in await self._ledger_statuses(name)
                 if (
-                    one["role"] == "took over"
-                    or one.get("writer_dead")
-                    or one.get("sure") is False
-                    or set(one.get("copies", {"": "following"}).values()) != {"following"}
+                    ledger["role"] == "took over"
+                    or ledger.get("writer_dead")
+                    or ledger.get("sure") is False
+                    or set(ledger.get("copies", {"": "following"}).values()) != {"following"}
                 )
             ]
-            if not left:
+            if not incomplete:
                 return
-            if time.monotonic() > until:
-                raise RuntimeError(f"ledgers are not whole after {within_s} s: {'; '.join(left)}")
+            if time.monotonic() > give_up_s:
+                raise RuntimeError(f"ledgers are not complete after {within_s} s: {'; '.join(incomplete)}")
             await asyncio.sleep(0.1)
 
     async def _ledger_statuses(self, name: str) -> list[dict[str, Any]]:
-        """What a member tells of them to its operators."""
+        """Return what a member reports of its ledgers to operators."""
         try:
             return list(
                 json.loads(await asyncio.to_thread(ask, self.members[name].home / "copies" / STATUS_SOCKET))["use"]
             )
         except (OSError, ValueError):
-            return [{"role": "tells nothing", "copies": {}}]
+            return [{"role": "no status", "copies": {}}]
 
-    def set_disk_full(self, name: str, refuse: bool = True) -> None:
-        """No file of its process grows any more, as on a full disk; or they do again."""
+    def set_disk_full(self, name: str, full: bool = True) -> None:
+        """Prevent the files of a member's process from growing, as on a full disk, or allow it again."""
         member = self.members[name]
         assert member.process is not None
         _, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
-        resource.prlimit(member.process.pid, resource.RLIMIT_FSIZE, (1 if refuse else hard, hard))
-        self.add_to_timeline(f"the disk of {name} {'is full' if refuse else 'takes again'}")
+        resource.prlimit(member.process.pid, resource.RLIMIT_FSIZE, (1 if full else hard, hard))
+        self.add_to_timeline(f"the disk of {name} {'is full' if full else 'accepts writes again'}")
 
     def set_write_failure_rate(self, rate: int, names: Iterable[str] | None = None) -> None:
-        """Of 1,000 writes and syncs of files so many fail, each process drawing for itself; of the whole fleet, then of
-        processes that start later too, or of these members."""
+        """Let this many of 1,000 writes and syncs of files fail, at random in each process.
+
+        Without ``names`` that holds for the whole fleet, and for processes that start later too.
+        """
         if names is None:
-            self.refused_writes = rate
+            self.write_failure_rate = rate
         for name in self.members if names is None else names:
-            faults = self.members[name].faults
+            faults = self.members[name].syscall_faults
             if faults is not None:
                 faults.set(Rates(disk=rate))
-        self.add_to_timeline(f"disks of {'all' if names is None else ','.join(names)} refuse {rate} of 1,000 writes")
+        self.add_to_timeline(f"disks of {'all' if names is None else ','.join(names)} fail {rate} of 1,000 writes")
 
-    def set_disk_failing(self, name: str, fail: bool = True) -> None:
-        """Each write of its process fails with an input/output error; or they are taken again."""
-        failing = self.members[name].home / "failing"
-        failing.touch() if fail else failing.unlink()
-        self.add_to_timeline(f"the disk of {name} {'fails' if fail else 'takes again'}")
+    def set_disk_failing(self, name: str, fails: bool = True) -> None:
+        """Let each write and sync of a member's process fail with an input/output error, or succeed again."""
+        marker = self.members[name].home / "failing"
+        marker.touch() if fails else marker.unlink()
+        self.add_to_timeline(f"the disk of {name} {'fails' if fails else 'accepts writes again'}")
 
     # Links.
 
-    def links_between(self, one: Iterable[str], other: Iterable[str]) -> list[FaultProxy]:
-        """The links between two groups, both ways."""
-        left, right = set(one), set(other)
-        return [link for (a, b), link in self.links.items() if (a in left and b in right) or (a in right and b in left)]
+    def links_between(self, first: Iterable[str], second: Iterable[str]) -> list[FaultProxy]:
+        """Return the links between two groups of members, in both directions."""
+        first_group, second_group = set(first), set(second)
+        return [
+            link
+            for (source, target), link in self.links.items()
+            if (source in first_group and target in second_group) or (source in second_group and target in first_group)
+        ]
 
     def members_in_hall(self, name: str) -> list[str]:
-        return [one.name for one in self.members.values() if one.hall == name]
+        """Return the names of the hall's members."""
+        return [member.name for member in self.members.values() if member.hall == name]
 
-    def cut(self, one: Iterable[str], other: Iterable[str]) -> None:
-        one, other = list(one), list(other)
-        for link in self.links_between(one, other):
+    def cut(self, first: Iterable[str], second: Iterable[str]) -> None:
+        """Cut the links between two groups of members, in both directions."""
+        first, second = list(first), list(second)
+        for link in self.links_between(first, second):
             link.cut()
-        self.add_to_timeline(f"cut between {','.join(one)} and {','.join(other)}")
+        self.add_to_timeline(f"cut between {','.join(first)} and {','.join(second)}")
 
     def heal(self) -> None:
+        """Remove the faults of all links."""
         for link in self.links.values():
             link.heal()
         self.add_to_timeline("all links healed")
 
     def add_to_timeline(self, text: str) -> None:
-        self.faults.append((now_ms(), text))
+        """Record an action on the fleet for its timeline."""
+        self.actions.append((now_ms(), text))
 
     # Callers.
 
     def new_request_id(self) -> str:
-        return f"{next(self.ids):016x}"
+        """Return an id that no other request of this fleet has."""
+        return f"{next(self.request_numbers):016x}"
 
     async def send_request(
         self,
@@ -505,19 +541,19 @@
         class_name: str | None = None,
         within_s: float = 10.0,
     ) -> Answer | None:
-        """One try at a member over a connection of its own; None: it ended without an answer."""
+        """Send one try to a member over a new connection. None: the connection ended without an answer."""
         rid = self.new_request_id()
         class_name = class_name or (KEYED_CLASS if key is not None else "standings")
-        told = fields_of(rid, next(iter(CLUBS)), class_name, 1, is_repeat)
+        fields = fields_of(rid, next(iter(CLUBS)), class_name, 1, is_repeat)
         if key is not None:
-            told["X-Unique"] = key
+            fields["X-Unique"] = key
         member = self.members[name]
         writer = None
         try:
             async with asyncio.timeout(within_s):
                 reader, writer = await asyncio.open_connection("127.0.0.1", member.ports["http"])
                 self.events.append(RequestSent(now_ms(), rid, key, body, name))
-                writer.write(http_request(class_name, body, told))
+                writer.write(http_request(class_name, body, fields))
                 status, result, head = await reply_with_head(reader)
         except (OSError, asyncio.IncompleteReadError):
             self.events.append(ConnectionLost(now_ms(), rid))
@@ -526,41 +562,45 @@
             if writer is not None:
                 writer.transport.abort()
         self.events.append(ResponseReceived(now_ms(), rid, status, result))
-        _, found, rest = head.partition(b"x-wait-ms: ")
-        return Answer(status, result, float(rest.split(b"\r\n")[0]) if found else None)
+        _, has_delay, rest = head.partition(b"x-wait-ms: ")
+        return Answer(status, result, float(rest.split(b"\r\n")[0]) if has_delay else None)
 
     def check_history(self) -> CheckResult:
-        return check_history(self.events, WINDOW_MS, DUE_MS)
+        """Check the fleet's history for violations."""
+        return check_history(self.events, WINDOW_MS, DEADLINE_MS)
 
     def tracebacks(self) -> list[str]:
-        """The last lines of exceptions that members' processes told of."""
-        found = []
+        """Return the last lines of the exceptions in the members' logs."""
+        last_lines = []
         for member in self.members.values():
             for log in member.logs:
-                _, *told = log.read_text(errors="replace").split("Traceback (most recent call last)")
-                found += [next((line for line in one.splitlines() if "Error" in line), one[:200]) for one in told]
-        return found
+                _, *traces = log.read_text(errors="replace").split("Traceback (most recent call last)")
+                last_lines += [
+                    next((line for line in trace.splitlines() if "Error" in line), trace[:200]) for trace in traces
+                ]
+        return last_lines
 
-    # The story.
+    # The timeline.
 
     def timeline(self) -> list[dict[str, Any]]:
-        """The events of all members' logs and what was done to them, in the order of time."""
-        found: list[dict[str, Any]] = [{"at": at / 1000, "member": "rig", "event": text} for at, text in self.faults]
+        """Return the events of all members' logs and the actions on the fleet, in order of time."""
+        entries: list[dict[str, Any]] = [{"at": at / 1000, "member": "rig", "event": text} for at, text in self.actions]
         for member in self.members.values():
             for log in member.logs:
                 for line in log.read_text(errors="replace").splitlines():
                     with contextlib.suppress(ValueError):
-                        told = json.loads(line)
-                        if isinstance(told, dict):
-                            found.append({"member": member.name, "life": log.name, **told})
-        return sorted(found, key=lambda one: _moment(one))
+                        logged = json.loads(line)
+                        if isinstance(logged, dict):
+                            entries.append({"member": member.name, "life": log.name, **logged})
+        return sorted(entries, key=lambda entry: _timestamp_s(entry))
 
 
-def _moment(told: dict[str, Any]) -> float:
-    if "at" in told:
-        return float(told["at"])
+def _timestamp_s(entry: dict[str, Any]) -> float:
+    """Return the Unix time of a timeline entry in seconds; 0 if it has none."""
+    if "at" in entry:
+        return float(entry["at"])
     from datetime import datetime
 
     with contextlib.suppress(ValueError, KeyError):
-        return datetime.fromisoformat(str(told["timestamp"])).timestamp()
+        return datetime.fromisoformat(str(entry["timestamp"])).timestamp()
     return 0.0
