--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -124,8 +124,8 @@
     """The members, their links and their stand-ins.
 
     ``halls`` gives the number of members in each hall. ``copies`` is the text of the operators' ``copies:`` part, as
-    lines under that key; None: the members replicate nothing. ``extra_settings`` is added to the operators' settings, and
-    ``platform`` to the platform's. ``root`` is the folder that the program is imported from.
+    lines under that key; None: the members replicate nothing. ``extra_settings`` is added to the operators' settings,
+    and ``platform`` to the platform's. ``root`` is the folder that the program is imported from.
     """
 
     def __init__(
@@ -304,8 +304,8 @@
     async def upgrade(self, name: str, before_stop: Awaitable[None] | None = None) -> int:
         """Upgrade a member as an operator does: a new process takes over, and the older one is stopped.
 
-        Returns the older process's exit code; its pool stays until then. ``before_stop`` is awaited once the new process
-        is ready, and before the older one is stopped.
+        Returns the older process's exit code; its pool stays until then. ``before_stop`` is awaited once the new
+        process is ready, and before the older one is stopped.
         """
         member = self.members[name]
         older, pool = member.process, member.pool
