--- a/tests/fleet/test_losses.py
+++ b/tests/fleet/test_losses.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes loses machines with their disks: what was promised is kept by the others."""
+"""A fleet of real processes loses machines with their disks, and the other members keep all guarantees."""
 
 from __future__ import annotations
 
@@ -29,44 +29,46 @@
         assert fleet.check_history().violations == []
 
 
-async def test_three_rounds_of_chaos(tmp_path):
+async def test_three_rounds_of_chaos_break_no_guarantee(tmp_path):
     tally = await run_rounds(tmp_path, 3, seed=11)
     assert tally.violation_texts == []
     assert tally.runs > 100
 
 
-async def test_the_same_rounds_without_copies_break_promises(tmp_path):
+async def test_the_same_rounds_without_replication_break_guarantees(tmp_path):
     tally = await run_rounds(tmp_path, 1, seed=11, copies=False)
     assert tally.violations["second run"] > 10
 
 
-async def test_operators_see_who_is_missing_and_what_may_have_run(tmp_path):
-    async def command(*words: str) -> tuple[int, dict]:
+async def test_operators_see_dead_members_stored_keys_and_damaged_files(tmp_path):
+    async def run_command(*arguments: str) -> tuple[int, dict]:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "flintshift.cli", *words, "--json", stdout=asyncio.subprocess.PIPE
+            sys.executable, "-m", "flintshift.cli", *arguments, "--json", stdout=asyncio.subprocess.PIPE
         )
-        out, _ = await process.communicate()
-        return process.returncode, json.loads(out)
+        stdout, _ = await process.communicate()
+        return process.returncode, json.loads(stdout)
 
     async with Fleet(tmp_path, HALLS, copies=COPIES) as fleet:
         await fleet.wait_until_linked()
         await fleet.send_request("n1", "k1")
         folders = {name: str(member.home / "copies") for name, member in fleet.members.items()}
-        code, told = await command("peers", "status", folders["n2"])
-        assert code == 0 and {one["processes"][0]["state"] for one in told["members"]} == {"alive"}
-        code, told = await command("copies", "status", folders["n2"])
-        assert code == 0 and told["votes"] and not told["may_have_run"]
-        whole = [await command("copies", "verify", folder) for folder in folders.values()]
-        assert [code for code, _ in whole] == [0] * 5 and sum(told["keys"] for _, told in whole) == 3
+        code, report = await run_command("peers", "status", folders["n2"])
+        assert code == 0 and {member["processes"][0]["state"] for member in report["members"]} == {"alive"}
+        code, report = await run_command("copies", "status", folders["n2"])
+        assert code == 0 and report["votes"] and not report["may_have_run"]
+        verified = [await run_command("copies", "verify", folder) for folder in folders.values()]
+        assert [code for code, _ in verified] == [0] * 5 and sum(report["keys"] for _, report in verified) == 3
         await fleet.lose("n1")
         await asyncio.sleep(1.6)
-        code, told = await command("peers", "status", folders["n2"])
+        code, report = await run_command("peers", "status", folders["n2"])
         assert code == 3
-        assert [one["processes"][0]["state"] for one in told["members"] if not one["linked"]] == ["dead"]
-        holder = next(name for name, (_, told) in zip(folders, whole, strict=True) if told["keys"] and name != "n1")
+        assert [member["processes"][0]["state"] for member in report["members"] if not member["linked"]] == ["dead"]
+        holder = next(
+            name for name, (_, report) in zip(folders, verified, strict=True) if report["keys"] and name != "n1"
+        )
         log = next((fleet.members[holder].home / "copies" / "log").iterdir())
         data = bytearray(log.read_bytes())
         data[50] ^= 1  # in the first record
         log.write_bytes(data)
-        code, told = await command("copies", "verify", folders[holder])
-        assert code == 3 and log.name in told["damage"]
+        code, report = await run_command("copies", "verify", folders[holder])
+        assert code == 3 and log.name in report["damage"]
