--- a/flintshift/lab/chaos_replication.py
+++ b/flintshift/lab/chaos_replication.py
@@ -305,7 +305,7 @@
                 )
             await check_billing(fleet, tally)
             tally.violations["traceback"] += len(fleet.tracebacks())
-            tally.violation_texts += [f"traceback: {text}" for text in fleet.tracebacks()]
+            tally.violation_texts += [f"traceback: {last_line}" for last_line in fleet.tracebacks()]
         finally:
             tally.took_s = time.monotonic() - started_s
             if disk_task is not None:
--- a/flintshift/lab/replication_model.py
+++ b/flintshift/lab/replication_model.py
@@ -85,14 +85,14 @@
     def __init__(
         self,
         halls: dict[str, str],
-        copies: int = 3,
+        replica_count: int = 3,
         seed: int = 1,
         registers: Callable[..., Registers] = Registers,
         window_ms: float = REPEAT_WINDOW_MS,
         proposals: Callable[..., Proposals] = Proposals,
     ) -> None:
         self.now, self.rng, self.window_ms = 0.0, random.Random(seed), window_ms
-        self.placement = Placement(halls, copies)
+        self.placement = Placement(halls, replica_count)
         self.new_registers, self.new_proposals = registers, proposals
         self.sent: list[Message] = []
         self.violations: list[str] = []
