--- a/flintshift/cli/copies.py
+++ b/flintshift/cli/copies.py
@@ -10,7 +10,7 @@
 
 import click
 
-from flintshift.cli.asking import told
+from flintshift.cli.status_client import load_status
 
 ADVICE = "name the folder that `copies.folder` in a running member's file names, as the user that the member runs as"
 FOLDER = click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
@@ -20,7 +20,7 @@
 def shown(folder: Path) -> dict[str, Any]:
     from flintshift.replication.store import STATUS_SOCKET
 
-    return told(folder / STATUS_SOCKET, "members", ADVICE)
+    return load_status(folder / STATUS_SOCKET, "members", ADVICE)
 
 
 def disk_told(found: dict[str, Any]) -> str:
--- a/flintshift/cli/door.py
+++ b/flintshift/cli/door.py
@@ -9,7 +9,7 @@
 
 import click
 
-from flintshift.cli.asking import told
+from flintshift.cli.status_client import load_status
 
 # Heading, width, and how a club's entry is written.
 COLUMNS: tuple[tuple[str, int, Callable[[dict[str, Any]], str]], ...] = (
@@ -53,7 +53,7 @@
       1  the node can't be reached
       2  the command line can't be used
     """
-    found = told(
+    found = load_status(
         path,
         "clubs",
         "name the socket that `door.socket` in the file of a running node names, as the user that the node runs as",
--- a/flintshift/cli/startup.py
+++ b/flintshift/cli/startup.py
@@ -8,7 +8,7 @@
 
 import click
 
-from flintshift.cli.asking import told
+from flintshift.cli.status_client import load_status
 
 
 @click.group()
@@ -37,7 +37,7 @@
       2  the command line can't be used
       3  it is not ready: the phase and what it waits for are printed
     """
-    found = told(
+    found = load_status(
         path,
         "phase",
         "name the socket that `startup.socket` in the file of a running node names, as the user that the node runs as",
--- a/flintshift/cli/asking.py
+++ b/flintshift/cli/status_client.py
@@ -17,7 +17,7 @@
 MOST = 16 << 20  # bytes
 
 
-def ask(path: Path) -> bytes:
+def query_status(path: Path) -> bytes:
     """What the node tells at its socket.
 
     Raises:
@@ -34,10 +34,10 @@
     return data
 
 
-def told(path: Path, key: str, advice: str) -> dict[str, Any]:
+def load_status(path: Path, key: str, advice: str) -> dict[str, Any]:
     """The same as JSON with this key; else the command ends with 1 and says what to do."""
     try:
-        found: dict[str, Any] = json.loads(ask(path))
+        found: dict[str, Any] = json.loads(query_status(path))
         found[key]
     except (OSError, ValueError, KeyError, TypeError) as error:
         click.echo(f"flintshift: {path}: {error}: {advice}", err=True)
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -25,7 +25,7 @@
 from pathlib import Path
 from typing import Any
 
-from flintshift.cli.asking import ask
+from flintshift.cli.status_client import query_status
 from flintshift.lab.callers import fields_of, http_request, reply_with_head
 from flintshift.lab.faults import FaultProxy
 from flintshift.lab.history import Answered, Asked, Broke, Died, Event, Ran, Result, judge
@@ -418,7 +418,9 @@
         """What a member tells of them to its operators."""
         try:
             return list(
-                json.loads(await asyncio.to_thread(ask, self.members[name].home / "copies" / STATUS_SOCKET))["use"]
+                json.loads(await asyncio.to_thread(query_status, self.members[name].home / "copies" / STATUS_SOCKET))[
+                    "use"
+                ]
             )
         except (OSError, ValueError):
             return [{"role": "tells nothing", "copies": {}}]
--- a/tests/fleet/test_refusing_disks.py
+++ b/tests/fleet/test_refusing_disks.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from flintshift.cli.asking import ask
+from flintshift.cli.status_client import query_status
 from flintshift.lab.chaos_copies import COPIES, HALLS, DiskRefusal, Load, rounds
 from flintshift.lab.fleet import Fleet, booking
 from flintshift.replication.store import STATUS_SOCKET
@@ -45,7 +45,7 @@
 
 
 async def status(fleet, name):
-    return json.loads(await asyncio.to_thread(ask, fleet.members[name].home / "copies" / STATUS_SOCKET))
+    return json.loads(await asyncio.to_thread(query_status, fleet.members[name].home / "copies" / STATUS_SOCKET))
 
 
 async def test_while_one_members_disk_is_full_the_others_serve_and_it_comes_back_by_itself(tmp_path):
