--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -75,7 +75,9 @@
     return sorted(delays)[int(len(delays) * share)] if delays else 0.0
 
 
-async def measure(upgrades: int, callers: int, uwsgi: bool = False, steady_s: float = STEADY_S) -> dict[str, float]:
+async def measure_upgrades(
+    upgrades: int, callers: int, uwsgi: bool = False, steady_s: float = STEADY_S
+) -> dict[str, float]:
     rows: list[dict[str, float]] = []
     windows: list[tuple[float, float]] = []
     with tempfile.TemporaryDirectory(prefix="flintshift-bench-") as name, ProcessPoolExecutor(WORKERS) as executor:
@@ -137,7 +139,7 @@
     parser.add_argument("--callers", type=int, default=24)
     parser.add_argument("--out", type=Path, help="write the result here as JSON")
     given = parser.parse_args()
-    told = await measure(given.upgrades, given.callers)
+    told = await measure_upgrades(given.upgrades, given.callers)
     for name, value in told.items():
         print(f"{name:<20}{value:>12}")
     if given.out:
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -10,7 +10,7 @@
 from handover.site import Site, ask, submit
 from standins import REQUEST_BYTES
 
-from benchmarks.upgrade import measure
+from benchmarks.upgrade import measure_upgrades
 from flintshift.wire.handover import handover_socket_path
 
 pytestmark = pytest.mark.anyio
@@ -244,7 +244,7 @@
 
 
 async def test_twenty_upgrades_in_a_row_on_both_fronts_lose_no_connection_and_run_nothing_twice():
-    result = await measure(20, 12, uwsgi=True, steady_s=0.0)
+    result = await measure_upgrades(20, 12, uwsgi=True, steady_s=0.0)
     assert result["upgrades"] == 20 and result["lost_at_the_door"] == result["failed"] == result["second_runs"] == 0
     assert result["served"] > 400 and result["writes_served"] == result["results_of_writes"] <= result["writes_run"]
 
