--- a/flintshift/cli/__init__.py
+++ b/flintshift/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line for operators: sub-commands that parse, call and print; no rule of their own."""
+"""The operators' command line: its commands parse arguments, call the other packages and print results."""
--- a/flintshift/cli/__main__.py
+++ b/flintshift/cli/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m flintshift.cli`` is the ``flintshift`` command."""
+"""Runs the ``flintshift`` command as ``python -m flintshift.cli``."""
 
 from flintshift.cli.entry import main
 
--- a/flintshift/cli/control.py
+++ b/flintshift/cli/control.py
@@ -1,4 +1,4 @@
-"""``flintshift control``: the calls of a node's control door."""
+"""``flintshift control``: the calls of a node's control endpoint."""
 
 from __future__ import annotations
 
@@ -11,34 +11,35 @@
 
 from flintshift.settings import units
 
-WITHIN_S = 2.0  # a node answers within 1 s
+TIMEOUT_S = 2.0  # a node answers within 1 s
 
 
-def address(at: str | None) -> str:
-    """Where the door is: as named, or by LB_CONTROL, or by the file that LB_CONFIG names."""
-    found = at or os.environ.get("LB_CONTROL")
+def find_control_address(at: str | None) -> str:
+    """Return HOST:PORT of the control endpoint: from ``at``, from LB_CONTROL, or from the file that LB_CONFIG names."""
+    configured = at or os.environ.get("LB_CONTROL")
     path = os.environ.get("LB_CONFIG")
-    if not found and path:
+    if not configured and path:
         try:
             with open(path, encoding="utf-8") as file:
-                found = json.load(file).get("control")
+                configured = json.load(file).get("control")
         except (OSError, ValueError, AttributeError) as error:
             raise click.UsageError(f"{path}: {error}") from error
-    if not found:
+    if not configured:
         raise click.UsageError("name the control address by --at HOST:PORT, LB_CONTROL or LB_CONFIG")
     try:
-        host, port = units.address(str(found))
+        host, port = units.address(str(configured))
     except ValueError as error:
         raise click.UsageError(str(error)) from error
     return f"{host}:{port}" if ":" not in host else f"[{host}]:{port}"
 
 
-def call(at: str | None, method: str, name: str) -> None:
+def call_control(at: str | None, method: str, name: str) -> None:
+    """Send the call ``name`` to the control endpoint, print the reply and exit: 0 yes, 1 unreachable, 3 no."""
     import httpx
 
-    url = f"http://{address(at)}/control/{name}"
+    url = f"http://{find_control_address(at)}/control/{name}"
     try:
-        reply = httpx.request(method, url, timeout=WITHIN_S, trust_env=False)
+        reply = httpx.request(method, url, timeout=TIMEOUT_S, trust_env=False)
     except httpx.HTTPError as error:
         click.echo(f"flintshift: {url}: {str(error) or type(error).__name__}", err=True)
         sys.exit(1)
@@ -48,7 +49,7 @@
 
 @click.group()
 def control() -> None:
-    """Ask a running node whether it is ready, empty it, or have it take clients again.
+    """Ask a running node whether it is ready, take it out of service, or put it back into service.
 
     \b
     Exit codes:
@@ -59,20 +60,26 @@
     """
 
 
-def add(name: str, method: str, text: str) -> Callable[..., None]:
-    @control.command(name, help=text)
+def add_command(name: str, method: str, help_text: str) -> Callable[..., None]:
+    @control.command(name, help=help_text)
     @click.option("--at", metavar="HOST:PORT", help="The control address; else LB_CONTROL, else LB_CONFIG's `control`.")
     def command(at: str | None) -> None:
-        call(at, method, name)
+        call_control(at, method, name)
 
     return command
 
 
-add("ready", "GET", "Whether this process takes clients: its pool is linked, it listens, and it is in service.")
-add(
+add_command(
+    "ready", "GET", "Report whether this process accepts clients: its pool is linked, it listens, and it is in service."
+)
+add_command(
     "out-of-service",
     "POST",
-    "Empty the node: health checks are bad from now on, all that arrives is answered as "
-    "always. It stays so over upgrades until `in-service`. Calling it twice changes nothing.",
+    "Take the node out of service: its health checks fail from now on, and requests that arrive are answered as "
+    "before. This state outlasts upgrades and ends with `in-service`. Calling it twice changes nothing.",
+)
+add_command(
+    "in-service",
+    "POST",
+    "Put the node back into service: its health checks succeed as long as the node itself is healthy.",
 )
-add("in-service", "POST", "Take clients again: health checks are good, as far as the node itself is well.")
--- a/flintshift/cli/copies.py
+++ b/flintshift/cli/copies.py
@@ -1,4 +1,4 @@
-"""``flintshift copies``: what a member holds for others."""
+"""``flintshift copies`` and ``flintshift peers``: a member's replica store, and the links to the other members."""
 
 from __future__ import annotations
 
@@ -12,31 +12,32 @@
 
 from flintshift.cli.status_client import load_status
 
-ADVICE = "name the folder that `copies.folder` in a running member's file names, as the user that the member runs as"
+ADVICE = "give the folder that is `copies.folder` in the running member's settings file, as the user the member runs as"
 FOLDER = click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print what is told as JSON.")
+AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print the status as JSON.")
 
 
-def shown(folder: Path) -> dict[str, Any]:
+def load_replica_status(folder: Path) -> dict[str, Any]:
+    """Return the status of the running member whose replica store is ``folder``; exit with 1 if it can't be read."""
     from flintshift.replication.store import STATUS_SOCKET
 
     return load_status(folder / STATUS_SOCKET, "members", ADVICE)
 
 
-def disk_told(found: dict[str, Any]) -> str:
-    """How the member's disk stands, what that costs, and what to do."""
-    if found["disk"] == "takes":
-        return "takes what is written"
-    since_s = found["disk_refuses_for_ms"] / 1000
+def describe_disk(report: dict[str, Any]) -> str:
+    """Describe the state of the member's disk, its effect, and what an operator can do."""
+    if report["disk"] == "takes":
+        return "accepts writes"
+    refused_s = report["disk_refuses_for_ms"] / 1000
     return (
-        f"refuses for {since_s:.0f} s ({found['disk_cause']}): this member does not vote, the others serve without it; "
-        "make room or see to the disk, it is tried again by itself"
+        f"rejects writes for {refused_s:.0f} s ({report['disk_cause']}): this member does not vote, the others "
+        "serve without it; free space or repair the disk, the member retries by itself"
     )
 
 
 @click.group()
 def copies() -> None:
-    """What a member of a fleet holds for others.
+    """The replica store of a member of a fleet.
 
     \b
     Exit codes:
@@ -50,10 +51,10 @@
 @copies.command()
 @FOLDER
 def found(folder: Path) -> None:
-    """Make the empty store of a fleet that begins, at FOLDER (copies.folder in the operators' file).
+    """Create the empty replica store of a new fleet at FOLDER (copies.folder in the operators' file).
 
-    Once in a fleet's life, on each of its machines, before the first start. A store that was not founded is
-    taken for one that lost its disk: it votes only when the others have told it what they know, or one
+    Run it once for a fleet, on each of its machines, before the first start. A member without such a store is
+    treated as one that lost its disk: it votes only once the others have sent it what they know, or once one
     longest window has passed.
     """
     from flintshift.replication.store import boot_id, create_empty_store
@@ -64,58 +65,59 @@
     except OSError as error:
         click.echo(f"flintshift: {error}", err=True)
         sys.exit(1)
-    click.echo(f"{folder}: founded; this member votes from its first start on")
+    click.echo(f"{folder}: created; this member votes from its first start on")
 
 
 @copies.command()
 @FOLDER
 @AS_JSON
 def status(folder: Path, as_json: bool) -> None:
-    """How the copies stand at the running member whose copies.folder is FOLDER.
+    """Show the state of the replicas at the running member whose copies.folder is FOLDER.
 
     \b
-    votes         on every key; else how long until it does by itself, and who has filled it
-    under-copied  keys of which another holder is out of reach now
+    votes         whether the member votes on every key; if not, how long until it does by
+                  itself, and which members have filled it
+    under-copied  keys of which another replica holder is unreachable now
     may have run  writes whose runner died without an outcome: they fail, and never run again
                   in their window. Look them up in the results ledger
 
-    Exit code 3: the member does not vote, its disk refuses, or a write may have run.
+    Exit code 3: the member does not vote, its disk rejects writes, or a write may have run.
     """
-    found = shown(folder)
+    report = load_replica_status(folder)
     if as_json:
-        click.echo(json.dumps(found))
+        click.echo(json.dumps(report))
     else:
         votes = (
             "yes"
-            if found["votes"]
+            if report["votes"]
             else (
-                f"no, at the latest in {found['votes_in_ms'] / 1000:.0f} s; filled by "
-                f"{', '.join(found['filled_by']) or 'nobody yet'}"
+                f"no, at the latest in {report['votes_in_ms'] / 1000:.0f} s; filled by "
+                f"{', '.join(report['filled_by']) or 'nobody yet'}"
             )
         )
-        stages = ", ".join(f"{count:,} {stage}" for stage, count in found["stages"].items())
-        for name, text in (
-            ("member", f"{found['member']} ({found['identity']}), store {found['store']}"),
+        stages = ", ".join(f"{count:,} {stage}" for stage, count in report["stages"].items())
+        for label, text in (
+            ("member", f"{report['member']} ({report['identity']}), store {report['store']}"),
             ("votes", votes),
-            ("disk", disk_told(found)),
-            ("keys", f"{found['keys']:,}: {stages}; {found['bytes'] / 1024:,.0f} KiB"),
-            ("under-copied", f"{found['under_copied']:,}"),
-            ("under way", f"{found['proposals']:,} proposals, {found['followed']:,} keys followed"),
-            ("may have run", f"{len(found['may_have_run'])}"),
+            ("disk", describe_disk(report)),
+            ("keys", f"{report['keys']:,}: {stages}; {report['bytes'] / 1024:,.0f} KiB"),
+            ("under-copied", f"{report['under_copied']:,}"),
+            ("under way", f"{report['proposals']:,} proposals, {report['followed']:,} keys followed"),
+            ("may have run", f"{len(report['may_have_run'])}"),
         ):
-            click.echo(f"{name:<14}{text}")
-        for one in found["may_have_run"]:
-            click.echo(f"  {one['class']} {one['key']}, claimed by request {one['request']}")
-    sys.exit(0 if found["votes"] and found["disk"] == "takes" and not found["may_have_run"] else 3)
+            click.echo(f"{label:<14}{text}")
+        for write in report["may_have_run"]:
+            click.echo(f"  {write['class']} {write['key']}, claimed by request {write['request']}")
+    sys.exit(0 if report["votes"] and report["disk"] == "takes" and not report["may_have_run"] else 3)
 
 
 @copies.command()
 @FOLDER
 @AS_JSON
 def verify(folder: Path, as_json: bool) -> None:
-    """Read the whole store at FOLDER, of a running member too, and check every record against its checksum.
+    """Read the whole store at FOLDER and check every record against its checksum; the member may be running.
 
-    Exit code 3: something is not as it was written; the file and the place are named.
+    Exit code 3: a record is damaged; the file and the offset are printed.
     """
     from flintshift.replication.store import examine_store
     from flintshift.storage.files import DiskFiles
@@ -151,7 +153,7 @@
 
 @click.group()
 def peers() -> None:
-    """The other members of a fleet, as one of them sees them.
+    """The other members of a fleet, as one member sees them.
 
     \b
     Exit codes:
@@ -166,19 +168,19 @@
 @FOLDER
 @AS_JSON
 def peers_status(folder: Path, as_json: bool) -> None:
-    """Who the others are and who lives, at the running member whose copies.folder is FOLDER."""
-    found = shown(folder)
+    """Show the other members and their processes, as seen by the running member whose copies.folder is FOLDER."""
+    report = load_replica_status(folder)
     if as_json:
-        click.echo(json.dumps({key: found[key] for key in ("member", "identity", "epoch", "members")}))
+        click.echo(json.dumps({key: report[key] for key in ("member", "identity", "epoch", "members")}))
     else:
         click.echo(f"{'member':<16}{'hall':<16}{'link':<8}processes")
-        for one in found["members"]:
-            lives = "; ".join(
-                f"{process['identity']} {process['state']}, heard {process['silent_ms'] / 1000:.1f} s ago"
-                for process in one["processes"]
+        for member in report["members"]:
+            processes = "; ".join(
+                f"{process['identity']} {process['state']}, last message {process['silent_ms'] / 1000:.1f} s ago"
+                for process in member["processes"]
             )
             click.echo(
-                f"{one['member']:<16}{one['hall']:<16}{'up' if one['linked'] else 'down':<8}"
-                f"{lives or one['cause'] or 'never heard of'}"
+                f"{member['member']:<16}{member['hall']:<16}{'up' if member['linked'] else 'down':<8}"
+                f"{processes or member['cause'] or 'no message yet'}"
             )
-    sys.exit(0 if all(one["linked"] for one in found["members"]) else 3)
+    sys.exit(0 if all(member["linked"] for member in report["members"]) else 3)
--- a/flintshift/cli/door.py
+++ b/flintshift/cli/door.py
@@ -11,41 +11,43 @@
 
 from flintshift.cli.status_client import load_status
 
-# Heading, width, and how a club's entry is written.
+# Heading, width in characters, and the formatter of a club's entry.
 COLUMNS: tuple[tuple[str, int, Callable[[dict[str, Any]], str]], ...] = (
-    ("cores", 7, lambda one: f"{one['cores']:.2f}"),
-    ("served s", 11, lambda one: f"{one['served_ms'] / 1000:.1f}"),
-    ("ahead ms", 10, lambda one: f"{one['ahead_ms']:.0f}"),
-    ("asked", 10, lambda one: str(one["asked"])),
-    ("away", 10, lambda one: str(one["turned_away"])),
-    ("not paid", 10, lambda one: str(one["not_paid"])),
-    ("waiting", 9, lambda one: str(one["waiting"])),
-    ("waiting ms", 12, lambda one: f"{one['waiting_ms']:.0f}"),
-    ("callers", 9, lambda one: str(one["callers"])),
-    ("promised", 10, lambda one: str(one["promised"])),
+    ("cores", 7, lambda club: f"{club['cores']:.2f}"),
+    ("served s", 11, lambda club: f"{club['served_ms'] / 1000:.1f}"),
+    ("ahead ms", 10, lambda club: f"{club['ahead_ms']:.0f}"),
+    ("asked", 10, lambda club: str(club["asked"])),
+    ("away", 10, lambda club: str(club["turned_away"])),
+    ("not paid", 10, lambda club: str(club["not_paid"])),
+    ("waiting", 9, lambda club: str(club["waiting"])),
+    ("waiting ms", 12, lambda club: f"{club['waiting_ms']:.0f}"),
+    ("callers", 9, lambda club: str(club["callers"])),
+    ("promised", 10, lambda club: str(club["promised"])),
 )
 
 
 @click.group()
 def door() -> None:
-    """The fair queues at the door of a running node."""
+    """The fair queues of a running node."""
 
 
 @door.command()
 @click.argument("path", type=click.Path(path_type=Path), metavar="SOCKET")
-@click.option("--json", "as_json", is_flag=True, help="Print what the node tells as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the node's status as JSON.")
 def show(path: Path, as_json: bool) -> None:
-    """Show how the clubs stand at the node whose operators' file names SOCKET as door.socket.
+    """Show each club's state in the fair queues of the node whose operators' file gives SOCKET as door.socket.
 
     \b
-    cores       the club's share of them
-    served s    time on cores that its runs took since the start
-    ahead ms    how long, at its share, it was served past the club served least of those that wait
-    asked       requests since the start; away, of these, were turned away; not paid are
-                further tries past the budget that first tries fill
-    waiting     requests that wait, and their time at the club's share
-    callers     that are known by number (64 at most; all others share)
-    promised    places that are kept for callers who were told a time
+    cores       the club's share of the cores
+    served s    core time that the club's runs took since the start
+    ahead ms    time, at its share, by which the club was served more than the least
+                served of the clubs with waiting requests
+    asked       requests since the start
+    away        those of the requests that were rejected
+    not paid    further tries beyond the budget that first tries fill
+    waiting     waiting requests, and in waiting ms their time at the club's share
+    callers     callers that are tracked by number (64 at most; all others share an entry)
+    promised    places that are reserved for callers who were given a retry time
 
     \b
     Exit codes:
@@ -53,19 +55,22 @@
       1  the node can't be reached
       2  the command line can't be used
     """
-    found = load_status(
+    status = load_status(
         path,
         "clubs",
-        "name the socket that `door.socket` in the file of a running node names, as the user that the node runs as",
+        "give the socket that is `door.socket` in the running node's settings file, as the user the node runs as",
     )
-    clubs = found["clubs"]
+    clubs = status["clubs"]
     if as_json:
-        click.echo(json.dumps(found))
+        click.echo(json.dumps(status))
         return
-    click.echo(f"{'club':<22}" + "".join(f"{name:>{width}}" for name, width, _ in COLUMNS))
-    for one in sorted(clubs, key=lambda one: -one["waiting_ms"]):
-        click.echo(f"{one['club'] or '(others)':<22.22}" + "".join(f"{of(one):>{width}}" for _, width, of in COLUMNS))
+    click.echo(f"{'club':<22}" + "".join(f"{heading:>{width}}" for heading, width, _ in COLUMNS))
+    for club in sorted(clubs, key=lambda club: -club["waiting_ms"]):
+        click.echo(
+            f"{club['club'] or '(others)':<22.22}"
+            + "".join(f"{format_value(club):>{width}}" for _, width, format_value in COLUMNS)
+        )
     click.echo(
-        f"tables: {found['places']:,} entries of {found['most_places']:,}, at the most "
-        f"{found['bytes_at_most'] / 1024:,.0f} KiB"
+        f"tables: {status['places']:,} entries of {status['most_places']:,}, at most "
+        f"{status['bytes_at_most'] / 1024:,.0f} KiB"
     )
--- a/flintshift/cli/entry.py
+++ b/flintshift/cli/entry.py
@@ -1,4 +1,4 @@
-"""What the `flintshift` command begins with: the signals of a node are held before the command line is imported."""
+"""Entry point of the `flintshift` command: holds a node's signals back before it imports the command line."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 def main() -> None:
     if sys.argv[1:2] == ["run"]:
         signals.hold_at_start()
-    from flintshift.cli.main import main as command
+    from flintshift.cli.main import main as run_command_line
 
-    command(prog_name="flintshift")
+    run_command_line(prog_name="flintshift")
--- a/flintshift/cli/main.py
+++ b/flintshift/cli/main.py
@@ -1,4 +1,4 @@
-"""``flintshift``: the command line for operators. ``python -m flintshift`` is what the platform starts."""
+"""``flintshift``: the operators' command line. The platform starts a node with ``python -m flintshift`` instead."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 @click.group(epilog=EXIT_CODES, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 @click.version_option(package_name="flintshift")
 def main() -> None:
-    """A results node: it takes requests, decides for each what to run, and keeps its books.
+    """A results node: it admits requests, decides what to run for each, and records their use in a ledger.
 
-    Begin with `flintshift demo`: a node among its stand-ins, with a little traffic, on this machine alone.
+    Start with `flintshift demo`: a node, stand-ins for its peers, and a little traffic, all on this machine.
     """
 
 
@@ -41,32 +41,32 @@
     "--settings",
     type=click.Path(path_type=Path, dir_okay=False),
     metavar="FILE",
-    help="The operators' file (see deploy/flintshift.yaml); all its parts are off without one.",
+    help="The operators' file (see deploy/flintshift.yaml); without it all its parts are off.",
 )
 def run(settings: Path | None) -> None:
     """Run one node until SIGTERM.
 
-    The file that LB_CONFIG names tells its addresses and settings. Without LB_CONFIG it runs on an embedded default:
+    Its addresses and settings come from the file that LB_CONFIG names. Without LB_CONFIG it uses embedded defaults:
     callers at 127.0.0.1:8080, a worker pool at 127.0.0.1:9300, a name service at :7946 and a vault at :5432, which
     `flintshift demo --peers-only` provides.
     """
     from flintshift.lifecycle.start import start
 
-    reread = partial(load, os.environ, settings) if os.environ.get("LB_CONFIG") else partial(embedded, settings)
-    sys.exit(start(reread))
+    load_config = partial(load, os.environ, settings) if os.environ.get("LB_CONFIG") else partial(embedded, settings)
+    sys.exit(start(load_config))
 
 
 @main.command(epilog=EXIT_CODES)
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="Print the faults as a JSON array.")
 def check(file: Path, as_json: bool) -> None:
-    """Check an operators' FILE: every fault at once, each with file, line, column, path and what was expected."""
+    """Check an operators' FILE and print every fault, with file, line, column, path and the value expected."""
     from dataclasses import asdict, fields
 
     from flintshift.settings.operators import FaultsError, read
 
     try:
-        told = read(file)
+        settings = read(file)
     except FaultsError as error:
         if as_json:
             click.echo(json.dumps([asdict(fault) for fault in error.faults]))
@@ -77,38 +77,40 @@
     if as_json:
         click.echo("[]")
     else:
-        on = [part.name for part in fields(told) if getattr(told, part.name) is not None]
-        click.echo(f"{file}: good; on: {', '.join(on) or 'nothing'}")
+        enabled_parts = [part.name for part in fields(settings) if getattr(settings, part.name) is not None]
+        click.echo(f"{file}: good; on: {', '.join(enabled_parts) or 'nothing'}")
 
 
 @main.command(epilog=EXIT_CODES)
-@click.option("--seconds", type=click.FloatRange(0.5, 3600), default=5.0, show_default=True, help="Of traffic.")
+@click.option(
+    "--seconds", type=click.FloatRange(0.5, 3600), default=5.0, show_default=True, help="Duration of the traffic."
+)
 @click.option("--callers", type=click.IntRange(1, 500), default=8, show_default=True)
 @click.option(
     "--keep",
     type=click.Path(path_type=Path, file_okay=False),
     metavar="FOLDER",
-    help="Keep the node's files here; else they go at the end.",
+    help="Keep the node's files here; without it they are deleted at the end.",
 )
 @click.option(
     "--peers-only",
     is_flag=True,
-    help="Start the stand-ins alone, at the embedded default's ports, until "
+    help="Start only the stand-ins, at the ports of the embedded defaults, until "
     "Ctrl-C: for `flintshift run` in another terminal.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print the result as JSON.")
 def demo(seconds: float, callers: int, keep: Path | None, peers_only: bool, as_json: bool) -> None:
-    """A node with stand-ins for pool, vault and name service and a little traffic, on loopback.
+    """Run a node with stand-ins for pool, vault and name service and a little traffic, on loopback.
 
-    The node keeps a ledger of use; at the end what callers counted stands beside what it booked.
+    The node keeps a usage ledger; at the end the callers' counts are compared with what it recorded.
     """
     from flintshift.lab import demo as lab
 
     if peers_only:
         sys.exit(lab.peers_only(click.echo))
-    told = lab.run(seconds, callers, keep, partial(click.echo, err=True))
-    click.echo(json.dumps(told) if as_json else lab.shown(told))
-    sys.exit(0 if told["counted"] == told["booked"] and not told["in_doubt"] else 3)
+    result = lab.run(seconds, callers, keep, partial(click.echo, err=True))
+    click.echo(json.dumps(result) if as_json else lab.shown(result))
+    sys.exit(0 if result["counted"] == result["booked"] and not result["in_doubt"] else 3)
 
 
 main.add_command(control)
--- a/flintshift/cli/startup.py
+++ b/flintshift/cli/startup.py
@@ -1,4 +1,4 @@
-"""``flintshift startup``: how a node comes up."""
+"""``flintshift startup``: the progress of a node's start."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
 
 @startup.command()
 @click.argument("path", type=click.Path(path_type=Path), metavar="SOCKET")
-@click.option("--json", "as_json", is_flag=True, help="Print what the node tells as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the node's status as JSON.")
 def status(path: Path, as_json: bool) -> None:
-    """Show how far the node has come whose operators' file names SOCKET as startup.socket.
+    """Show the start phase of the node whose operators' file gives SOCKET as startup.socket.
 
     \b
-    alone     it reads its stores and asks nobody for anything; its addresses do not listen yet
-    bound     it listens, and waits for its pool; health answers are bad
-    restored  it is ready, and waits for a start permit, if there are any, and a report that is taken
-    listed    a report was taken; callers come
-    ramping   it is cold, as its settings tell
-    steady    the start is over
+    alone     the node reads its stores and contacts no other process; it does not listen yet
+    bound     it listens, and waits for its pool; its health checks fail
+    restored  it is ready, and waits for a start permit, where there are any, and until the
+              name service accepts a report
+    listed    the name service has accepted a report, so callers can find the node
+    ramping   it is cold, as its settings define
+    steady    the start is complete
 
     \b
     Exit codes:
@@ -37,24 +38,24 @@
       2  the command line can't be used
       3  it is not ready: the phase and what it waits for are printed
     """
-    found = load_status(
+    report = load_status(
         path,
         "phase",
-        "name the socket that `startup.socket` in the file of a running node names, as the user that the node runs as",
+        "give the socket that is `startup.socket` in the running node's settings file, as the user the node runs as",
     )
     if as_json:
-        click.echo(json.dumps(found))
+        click.echo(json.dumps(report))
     else:
-        waits = f", waits for {' and '.join(found['waits_for'])}" if found["waits_for"] else ""
-        click.echo(f"{found['phase']} for {found['for_ms'] / 1000:.1f} s{waits}")
-        for one in found["entered"]:
-            waited = f" after {one['after_ms']} ms" + (
-                f" of waiting for {' and '.join(one['waited_for'])}" if one["waited_for"] else ""
+        pending_text = f", waits for {' and '.join(report['waits_for'])}" if report["waits_for"] else ""
+        click.echo(f"{report['phase']} for {report['for_ms'] / 1000:.1f} s{pending_text}")
+        for entry in report["entered"]:
+            duration_text = f" after {entry['after_ms']} ms" + (
+                f" of waiting for {' and '.join(entry['waited_for'])}" if entry["waited_for"] else ""
             )
-            click.echo(f"  {one['phase']:<9}{waited}")
-        if found["crash_loop_wait_ms"]:
+            click.echo(f"  {entry['phase']:<9}{duration_text}")
+        if report["crash_loop_wait_ms"]:
             click.echo(
-                f"  before that it stayed away for {found['crash_loop_wait_ms'] / 1000:.1f} s: it had died "
-                f"{found['lives_that_ended_badly']} times in a row"
+                f"  before that it delayed its start by {report['crash_loop_wait_ms'] / 1000:.1f} s: it had crashed "
+                f"{report['lives_that_ended_badly']} times in a row"
             )
-    sys.exit(0 if found["ready"] else 3)
+    sys.exit(0 if report["ready"] else 3)
--- a/flintshift/cli/status_client.py
+++ b/flintshift/cli/status_client.py
@@ -1,4 +1,4 @@
-"""What the commands that ask a running node at a Unix socket share."""
+"""Client of a running node's status sockets (Unix sockets), shared by the commands that read them."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 
 from flintshift.wire.unix import short_socket_path
 
-WITHIN_S = 5.0
-MOST = 16 << 20  # bytes
+TIMEOUT_S = 5.0
+MAX_RESPONSE_BYTES = 16 << 20
 
 
 def query_status(path: Path) -> bytes:
-    """What the node tells at its socket.
+    """Read the whole response of the node that listens on the Unix socket ``path``.
 
     Raises:
-        OSError: nobody listens there, it takes too long, or what listens tells too much to be a node.
+        OSError: nothing listens there, the response takes too long, or it is too large to come from a node.
     """
-    until, data = time.monotonic() + WITHIN_S, b""
-    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as raw, short_socket_path(path) as name:
-        raw.settimeout(WITHIN_S)
-        raw.connect(name)
-        while more := raw.recv(65_536):
-            data += more
-            if len(data) > MOST or time.monotonic() > until:
-                raise OSError(f"what listens there does not end its answer ({len(data):,} B)")
-    return data
+    deadline_s, response = time.monotonic() + TIMEOUT_S, b""
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection, short_socket_path(path) as name:
+        connection.settimeout(TIMEOUT_S)
+        connection.connect(name)
+        while chunk := connection.recv(65_536):
+            response += chunk
+            if len(response) > MAX_RESPONSE_BYTES or time.monotonic() > deadline_s:
+                raise OSError(f"the response does not end in time or is too large ({len(response):,} B)")
+    return response
 
 
 def load_status(path: Path, key: str, advice: str) -> dict[str, Any]:
-    """The same as JSON with this key; else the command ends with 1 and says what to do."""
+    """Return the node's status, a JSON object with ``key``; else print the error and the advice, and exit with 1."""
     try:
-        found: dict[str, Any] = json.loads(query_status(path))
-        found[key]
+        status: dict[str, Any] = json.loads(query_status(path))
+        status[key]
     except (OSError, ValueError, KeyError, TypeError) as error:
         click.echo(f"flintshift: {path}: {error}: {advice}", err=True)
         sys.exit(1)
-    return found
+    return status
--- a/flintshift/cli/usage.py
+++ b/flintshift/cli/usage.py
@@ -1,4 +1,4 @@
-"""``flintshift usage``: what was booked, corrections, export, reconciliation."""
+"""``flintshift usage``: show, correct, export and reconcile the usage ledger."""
 
 from __future__ import annotations
 
@@ -23,28 +23,32 @@
 from flintshift.usage.records import AMOUNTS, FRONTS, OUTCOMES
 
 FILES = DiskFiles()
-MOMENT = re.compile(r"\d{8}T\d{6}\.\d{3}Z")
+PERIOD_BEGIN_PATTERN = re.compile(r"\d{8}T\d{6}\.\d{3}Z")
 
 
 def fail(text: str, code: int) -> None:
+    """Print ``text`` as an error and exit with ``code``."""
     click.echo(f"flintshift: {text}", err=True)
     sys.exit(code)
 
 
 def folder_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Every command finds its ledger by --folder, or by the operators' file."""
+    """Decorate a command with --folder and --settings, and pass it the ledger's folder and the usage options.
+
+    Errors of the folder end the command with exit code 1.
+    """
 
     @click.option("--folder", type=click.Path(path_type=Path, file_okay=False), help="The ledger's folder.")
     @click.option(
         "--settings",
         type=click.Path(path_type=Path, dir_okay=False),
         metavar="FILE",
-        help="The operators' file that names the folder, where --folder does not.",
+        help="The operators' file that gives the folder, if --folder does not.",
     )
     @wraps(command)
-    def found(folder: Path | None, settings: Path | None, **more: Any) -> None:
+    def run_with_folder(folder: Path | None, settings: Path | None, **arguments: Any) -> None:
         if folder is None and settings is None:
-            raise click.UsageError("name the ledger by --folder FOLDER or --settings FILE")
+            raise click.UsageError("give the ledger by --folder FOLDER or --settings FILE")
         options = None
         if settings is not None:
             from flintshift.settings.operators import FaultsError, read
@@ -59,46 +63,50 @@
         if not (folder / "log").is_dir():
             fail(f"{folder}: holds no ledger", 1)
         try:
-            command(folder=folder, options=options, **more)
-        except BrokenPipeError:  # who reads the output has seen enough
+            command(folder=folder, options=options, **arguments)
+        except BrokenPipeError:  # the reader of the output closed its end
             raise
         except DamagedError as error:
             fail(str(error), 1)
         except (OSError, LockedError) as error:
             fail(str(error), 1)
 
-    return found
+    return run_with_folder
 
 
 @click.group()
 def usage() -> None:
-    """The ledger of use: show it, correct it, export it, reconcile it.
+    """Show, correct, export and reconcile the usage ledger.
 
-    A running node's folder can be shown, exported and corrected too.
+    The ledger of a running node can be shown, exported and corrected too.
     """
 
 
 @usage.command()
 @folder_options
-@click.option("--period", help="Only periods whose begin starts with this, such as 20261201T16.")
+@click.option("--period", help="Only periods whose start time begins with this, such as 20261201T16.")
 @click.option("--club", help="Only this club.")
 @click.option("--format", "form", type=click.Choice(["table", "json", "csv"]), default="table", show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="The same as --format json.")
 def show(folder: Path, options: Any, period: str | None, club: str | None, form: str, as_json: bool) -> None:
-    """Show what was booked, by period, club, class, front and outcome; open periods too."""
-    book, _, found = load(FILES, folder)
-    standing = {document.number: document for document in read_documents(FILES, folder).values()}
-    for made in book.state.documents:
-        standing.setdefault(made.number, documents.parse(made.data))
+    """Show the recorded use by period, club, class, front and outcome, open periods included."""
+    accounts, _, recovery = load(FILES, folder)
+    documents_by_number = {document.number: document for document in read_documents(FILES, folder).values()}
+    for pending_document in accounts.state.documents:
+        documents_by_number.setdefault(pending_document.number, documents.parse(pending_document.data))
     rows: list[dict[str, Any]] = []
-    by_period: dict[int, list[Any]] = {}
-    for document in standing.values():
-        by_period.setdefault(document.period_ms, []).append(document)
-    for begin, parts in sorted(by_period.items()):
-        state = "closed" if len(parts) == 1 else f"closed, revision {max(part.revision for part in parts)}"
-        rows += _rows(begin, state, documents.totals(parts))
-    for begin, totals in book.totals().items():
-        rows += _rows(begin, "open", totals)
+    documents_by_period: dict[int, list[Any]] = {}
+    for document in documents_by_number.values():
+        documents_by_period.setdefault(document.period_ms, []).append(document)
+    for begin, period_documents in sorted(documents_by_period.items()):
+        state = (
+            "closed"
+            if len(period_documents) == 1
+            else f"closed, revision {max(part.revision for part in period_documents)}"
+        )
+        rows += _format_rows(begin, state, documents.totals(period_documents))
+    for begin, totals in accounts.totals().items():
+        rows += _format_rows(begin, "open", totals)
     rows = [
         row
         for row in rows
@@ -106,30 +114,30 @@
         and (not club or row["club"] == club)
         and any(row[name] for name in AMOUNTS)
     ]
-    doubt = [
+    in_doubt = [
         {"id": entry.id.hex(), "period": utc(document.period_ms), "club": entry.row.club}
-        for document in standing.values()
+        for document in documents_by_number.values()
         for entry in document.in_doubt
     ]
-    doubt += [
+    in_doubt += [
         {"id": id_.hex(), "period": utc(begin), "club": split_row_key(key)[0]}
-        for begin, part in sorted(book.state.periods.items())
+        for begin, part in sorted(accounts.state.periods.items())
         for id_, key, _ in part.doubted
     ]
-    on_way = [
-        {"id": waiting.claim.id.hex(), "period": utc(waiting.period), "club": book.row_key(waiting.claim.row)[0]}
-        for waiting in book.state.waiting.values()
+    in_transit = [
+        {"id": waiting.claim.id.hex(), "period": utc(waiting.period), "club": accounts.row_key(waiting.claim.row)[0]}
+        for waiting in accounts.state.waiting.values()
     ]
     if as_json or form == "json":
         click.echo(
             json.dumps(
                 {
-                    "node": book.state.node,
-                    "epoch": book.state.epoch,
+                    "node": accounts.state.node,
+                    "epoch": accounts.state.epoch,
                     "rows": rows,
-                    "in_doubt": doubt,
-                    "on_their_way": on_way,
-                    "warnings": found.warnings,
+                    "in_doubt": in_doubt,
+                    "on_their_way": in_transit,
+                    "warnings": recovery.warnings,
                 },
                 indent=2,
             )
@@ -141,9 +149,10 @@
             click.echo(",".join(f'"{value}"' if "," in str(value) else str(value) for value in row.values()))
         return
     click.echo(
-        f"node {book.state.node}, epoch {book.state.epoch}, {len(standing)} documents, {book.state.sequence:,} records"
+        f"node {accounts.state.node}, epoch {accounts.state.epoch}, {len(documents_by_number)} documents, "
+        f"{accounts.state.sequence:,} records"
     )
-    head = (
+    headings = (
         "period",
         "state",
         "club",
@@ -158,7 +167,7 @@
         "kB in",
         "kB out",
     )
-    table = [head]
+    table = [headings]
     for row in rows:
         table.append(
             (
@@ -172,56 +181,58 @@
                 f"{row['bytes_out'] / 1000:,.1f}",
             )
         )
-    widths = [max(len(line[place]) for line in table) for place in range(len(head))]
+    widths = [max(len(line[column]) for line in table) for column in range(len(headings))]
     for line in table:
         click.echo(
             "  ".join(
-                text.ljust(width) if place < 6 else text.rjust(width)
-                for place, (text, width) in enumerate(zip(line, widths, strict=True))
+                text.ljust(width) if column < 6 else text.rjust(width)
+                for column, (text, width) in enumerate(zip(line, widths, strict=True))
             ).rstrip()
         )
-    for entry in doubt:
+    for entry in in_doubt:
         click.echo(f"in doubt: {entry['id']} of {entry['club']}, {entry['period']}")
-    if on_way:
-        click.echo(f"{len(on_way)} answers were on their way when the log was read")
-    for warning in found.warnings:
+    if in_transit:
+        click.echo(f"{len(in_transit)} answers were still in transit when the log was read")
+    for warning in recovery.warnings:
         click.echo(f"warning: {warning}", err=True)
 
 
-def _rows(begin: int, state: str, totals: dict[documents.RowKey, list[int]]) -> list[dict[str, Any]]:
+def _format_rows(begin: int, state: str, totals: dict[documents.RowKey, list[int]]) -> list[dict[str, Any]]:
     return [
         {
             "period": utc(begin),
             "state": state,
-            "club": names[0],
-            "class": names[1],
-            "front": names[2],
-            "outcome": names[3],
-            **dict(zip(AMOUNTS, row, strict=True)),
+            "club": row_key[0],
+            "class": row_key[1],
+            "front": row_key[2],
+            "outcome": row_key[3],
+            **dict(zip(AMOUNTS, amounts, strict=True)),
         }
-        for names, row in sorted(totals.items())
+        for row_key, amounts in sorted(totals.items())
     ]
 
 
-class Moment(click.ParamType):
+class PeriodBegin(click.ParamType):
+    """Begin of a period in UTC on the command line, converted to epoch milliseconds."""
+
     name = "YYYYMMDDTHHMMSS.mmmZ"
 
     def convert(self, value: Any, param: Any, ctx: Any) -> int:
-        if not MOMENT.fullmatch(str(value)):
+        if not PERIOD_BEGIN_PATTERN.fullmatch(str(value)):
             self.fail(f"{value!r} is no begin of a period, such as 20261201T160000.000Z", param, ctx)
         try:
-            at = datetime.strptime(value[:15], "%Y%m%dT%H%M%S").replace(tzinfo=UTC)
+            moment = datetime.strptime(value[:15], "%Y%m%dT%H%M%S").replace(tzinfo=UTC)
         except ValueError:
             self.fail(f"{value!r} is no date", param, ctx)
-        return int(at.timestamp()) * 1000 + int(value[16:19])
+        return int(moment.timestamp()) * 1000 + int(value[16:19])
 
 
 @usage.command()
 @folder_options
-@click.option("--id", "id_", required=True, help="Of this correction; the same one twice changes nothing.")
+@click.option("--id", "id_", required=True, help="Id of this correction; the same correction again changes nothing.")
 @click.option("--author", required=True)
 @click.option("--reason", required=True)
-@click.option("--period", type=Moment(), required=True, help="Its begin, as `usage show` prints it.")
+@click.option("--period", type=PeriodBegin(), required=True, help="Begin of the period, as `usage show` prints it.")
 @click.option("--club", required=True)
 @click.option("--class", "class_name", required=True)
 @click.option("--front", type=click.Choice(FRONTS), required=True)
@@ -231,7 +242,7 @@
     type=click.FloatRange(0, 600),
     default=10.0,
     show_default=True,
-    help="Seconds for a running node to answer.",
+    help="Seconds to wait for a running node's answer.",
 )
 @click.option(
     "--by",
@@ -239,7 +250,7 @@
     multiple=True,
     metavar="AMOUNT=N",
     required=True,
-    help=f"What to add, negative to take away: {', '.join(AMOUNTS)}. May be given more than once.",
+    help=f"Amount to add, negative to subtract: {', '.join(AMOUNTS)}. May be given more than once.",
 )
 def correct(
     folder: Path,
@@ -257,8 +268,8 @@
 ) -> None:
     """Correct a row of a period.
 
-    An open period is changed. A period that has closed gets a numbered revision with the difference; its documents
-    stay as they are. While a node runs on the folder the correction is handed to it; else it is booked here.
+    A row of an open period is changed. A closed period gets a numbered revision with the difference; its documents
+    stay as they are. If a node runs on the folder, it is sent the correction; otherwise it is recorded here.
     """
     import anyio
 
@@ -267,69 +278,73 @@
 
     amounts = [0] * len(AMOUNTS)
     for text in by:
-        name, found, value = text.partition("=")
-        if name not in AMOUNTS or not found or not re.fullmatch(r"[+-]?\d{1,19}", value):
+        name, separator, value = text.partition("=")
+        if name not in AMOUNTS or not separator or not re.fullmatch(r"[+-]?\d{1,19}", value):
             raise click.UsageError(f"--by {text}: expected one of {', '.join(AMOUNTS)}, = and a whole number")
         amounts[AMOUNTS.index(name)] += int(value)
-    asked = to_json(CorrectionRequested(id_, author, reason, period, club, class_name, front, outcome, tuple(amounts)))
+    correction = to_json(
+        CorrectionRequested(id_, author, reason, period, club, class_name, front, outcome, tuple(amounts))
+    )
     if not re.fullmatch(r"[A-Za-z0-9._-]{1,64}", id_):
         raise click.UsageError("--id is 1 to 64 of A-Z a-z 0-9 . _ -")
     try:
-        taken, text = anyio.run(_correct_here, folder, asked)
+        accepted, text = anyio.run(_correct_offline, folder, correction)
     except LockedError:
-        taken, text = _hand_in(folder, id_, asked, wait)
-    click.echo(text, err=not taken)
-    sys.exit(0 if taken else 3)
+        accepted, text = _submit_to_node(folder, id_, correction, wait)
+    click.echo(text, err=not accepted)
+    sys.exit(0 if accepted else 3)
 
 
-async def _correct_here(folder: Path, asked: bytes) -> tuple[bool, str]:
+async def _correct_offline(folder: Path, correction: bytes) -> tuple[bool, str]:
+    """Record the correction in a folder on which no node runs; return whether it was accepted, and the reply."""
     from flintshift.storage.commit import CommitLimits
     from flintshift.usage.ledger import Ledger
     from flintshift.usage.periods import LedgerClock
 
-    holder = LedgerFolder(FILES, folder)
+    ledger_folder = LedgerFolder(FILES, folder)
     try:
-        wall = time.time() * 1000
+        wall_ms = time.time() * 1000
         ledger = Ledger(
-            holder,
+            ledger_folder,
             0,
             CommitLimits(sync_enabled=False),
             False,
             0.0,
             [],
-            LedgerClock(wall, 0.0, holder.accounts.state.last_ms),
-            lambda: wall,
+            LedgerClock(wall_ms, 0.0, ledger_folder.accounts.state.last_ms),
+            lambda: wall_ms,
             lambda: 0.0,
             lambda *_, **__: None,
         )
-        reply = ledger.correct(asked)
+        reply = ledger.correct(correction)
         if ledger.commit.gap is not None:
             return False, f"could not be written: {ledger.commit.gap.cause}"
-        holder.log.sync()
-        if holder.accounts.state.documents:
-            holder.write_documents(holder.accounts.state.documents)
+        ledger_folder.log.sync()
+        if ledger_folder.accounts.state.documents:
+            ledger_folder.write_documents(ledger_folder.accounts.state.documents)
         return reply.taken, reply.text
     finally:
-        holder.close()
-
-
-def _hand_in(folder: Path, id_: str, asked: bytes, wait: float) -> tuple[bool, str]:
-    reply = folder / "replies" / f"{id_}.json"
-    reply.unlink(missing_ok=True)
-    publish(FILES, folder / "inbox" / reply.name, asked)
-    until = time.monotonic() + wait
-    while not reply.exists():
-        if time.monotonic() >= until:
-            fail(f"handed in; the node has not answered in {wait:g} s: look for {reply}", 1)
+        ledger_folder.close()
+
+
+def _submit_to_node(folder: Path, id_: str, correction: bytes, wait: float) -> tuple[bool, str]:
+    """Put the correction into the inbox of the running node; return whether it was accepted, and the reply."""
+    reply_path = folder / "replies" / f"{id_}.json"
+    reply_path.unlink(missing_ok=True)
+    publish(FILES, folder / "inbox" / reply_path.name, correction)
+    deadline_s = time.monotonic() + wait
+    while not reply_path.exists():
+        if time.monotonic() >= deadline_s:
+            fail(f"handed in; the node has not answered within {wait:g} s: its answer will be in {reply_path}", 1)
         time.sleep(0.05)
-    told = json.loads(reply.read_bytes())
-    reply.unlink(missing_ok=True)
-    return bool(told["taken"]), str(told["text"])
+    reply = json.loads(reply_path.read_bytes())
+    reply_path.unlink(missing_ok=True)
+    return bool(reply["taken"]), str(reply["text"])
 
 
 @usage.command()
 @folder_options
-@click.option("--to-folder", type=click.Path(path_type=Path, file_okay=False), help="Publish documents here.")
+@click.option("--to-folder", type=click.Path(path_type=Path, file_okay=False), help="Publish documents in this folder.")
 @click.option("--to-url", help="Send documents to the billing system at this address.")
 @click.option("--timeout", type=click.FloatRange(0.01, 300), default=10.0, show_default=True, help="Seconds.")
 @click.option(
@@ -337,16 +352,16 @@
     type=click.FloatRange(0, 86_400),
     default=60.0,
     show_default=True,
-    help="Seconds until what is left is given up on, to be delivered by a later run.",
+    help="Seconds after which the export stops; a later run delivers the remaining documents.",
 )
 @click.option(
     "--backoff",
     type=click.FloatRange(0.001, 3600),
     default=1.0,
     show_default=True,
-    help="Seconds: the first wait after an attempt that failed.",
+    help="Seconds to wait after the first failed attempt.",
 )
-@click.option("--quiet", is_flag=True, help="No progress.")
+@click.option("--quiet", is_flag=True, help="Print no progress.")
 def export(
     folder: Path,
     options: Any,
@@ -357,48 +372,48 @@
     backoff: float,
     quiet: bool,
 ) -> None:
-    """Deliver each closed period once to each sink; a running node that exports does this by itself.
+    """Deliver each closed period once to each sink; a running node with export enabled does this by itself.
 
-    The sinks are those of the operators' file, or --to-folder and --to-url. It ends once all is delivered (0), or
-    with 3 where documents are left or were put aside.
+    The sinks are those of the operators' file, or --to-folder and --to-url. The exit code is 0 once all documents
+    are delivered, and 3 if documents remain or were set aside.
     """
     import anyio
 
     from flintshift.lifecycle.exports import create_export
     from flintshift.settings.options import ExportOptions, HttpSinkOptions
 
-    told = options.export if options is not None else None
+    export_options = options.export if options is not None else None
     if to_folder is not None or to_url is not None:
-        http = HttpSinkOptions(to_url, timeout * 1000) if to_url is not None else None
-        told = ExportOptions(to_folder, http, backoff * 1000, max(backoff * 1000, 300_000.0), 100_000)
-    if told is None:
+        http_sink = HttpSinkOptions(to_url, timeout * 1000) if to_url is not None else None
+        export_options = ExportOptions(to_folder, http_sink, backoff * 1000, max(backoff * 1000, 300_000.0), 100_000)
+    if export_options is None:
         raise click.UsageError("no sink: give --to-folder, --to-url, or usage.export in the operators' file")
-    count = 0
+    delivered = 0
 
-    def say(level: str, event: str, **more: Any) -> None:
-        nonlocal count
+    def print_event(level: str, event: str, **event_fields: Any) -> None:
+        nonlocal delivered
         if event == "export.delivered":
-            count += 1
+            delivered += 1
             if not quiet:
-                click.echo(f"{count}: {more['name']} -> {more['sink']}", err=True)
+                click.echo(f"{delivered}: {event_fields['name']} -> {event_fields['sink']}", err=True)
         elif level in ("warning", "error"):
-            click.echo(f"{event}: " + " ".join(f"{name}={value}" for name, value in more.items()), err=True)
+            click.echo(f"{event}: " + " ".join(f"{name}={value}" for name, value in event_fields.items()), err=True)
 
-    runs = create_export(folder, told, say, until_done=True)
+    exporter = create_export(folder, export_options, print_event, until_done=True)
 
-    async def deliver() -> None:
+    async def run_export() -> None:
         with anyio.move_on_after(wait):
-            await runs.run()
+            await exporter.run()
 
     try:
-        anyio.run(deliver)
+        anyio.run(run_export)
     except* LockedError as errors:
         fail(str(errors.exceptions[0]), 1)
     except* (OSError, DamagedError) as errors:
         fail("; ".join(map(str, errors.exceptions)), 1)
-    left = sum(map(len, unacknowledged(FILES, folder, list(runs.sinks)).values()))
-    click.echo(f"{count} delivered, {left} left", err=quiet)
-    sys.exit(3 if left else 0)
+    remaining = sum(map(len, unacknowledged(FILES, folder, list(exporter.sinks)).values()))
+    click.echo(f"{delivered} delivered, {remaining} left", err=quiet)
+    sys.exit(3 if remaining else 0)
 
 
 @usage.command()
@@ -407,38 +422,42 @@
     "--counted",
     type=click.Path(path_type=Path, dir_okay=False),
     metavar="CSV",
-    help="A count of the callers' side: requests, and any of node, period, club.",
+    help="Counts taken by the callers: a column requests, and any of node, period, club.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print the findings as a JSON array.")
 def reconcile(files: tuple[Path, ...], counted: Path | None, as_json: bool) -> None:
-    """Compare documents of any number of nodes: FILES are documents, or folders that hold them.
+    """Check the documents of any number of nodes: FILES are documents, or folders of documents.
 
-    Finds gaps, overlaps, broken chains, two lives with one epoch, and totals that differ from a count.
+    Reports gaps, overlaps, broken chains, two incarnations with one epoch, and totals that differ from a count.
     """
     from dataclasses import asdict
 
     from flintshift.usage.reconcile import check_documents, compare_totals, parse_caller_counts
 
     paths = [
-        inner for path in files for inner in (sorted(path.rglob(f"*{documents.SUFFIX}")) if path.is_dir() else [path])
+        document_path
+        for path in files
+        for document_path in (sorted(path.rglob(f"*{documents.SUFFIX}")) if path.is_dir() else [path])
     ]
     if not paths:
-        fail("no documents there", 1)
-    found, faults = [], []
+        fail("no documents found", 1)
+    parsed_documents, read_errors = [], []
     with click.progressbar(paths, label="reading", file=sys.stderr, hidden=not sys.stderr.isatty()) as progress:
         for path in progress:
             try:
                 data = path.read_bytes()
-                found.append((str(path), data, documents.parse(data)))
+                parsed_documents.append((str(path), data, documents.parse(data)))
             except (OSError, documents.DocumentError) as error:
-                faults.append(f"{path}: {error}")
-    for fault in faults:
-        click.echo(f"flintshift: {fault}", err=True)
-    findings = check_documents(found)
+                read_errors.append(f"{path}: {error}")
+    for read_error in read_errors:
+        click.echo(f"flintshift: {read_error}", err=True)
+    findings = check_documents(parsed_documents)
     if counted is not None:
-        once = {documents.compute_digest(data): document for _, data, document in found}
+        distinct_documents = {documents.compute_digest(data): document for _, data, document in parsed_documents}
         try:
-            findings += compare_totals(once.values(), parse_caller_counts(counted.read_text(encoding="utf-8")))
+            findings += compare_totals(
+                distinct_documents.values(), parse_caller_counts(counted.read_text(encoding="utf-8"))
+            )
         except (OSError, ValueError) as error:
             fail(f"{counted}: {error}", 2)
     if as_json:
@@ -446,5 +465,5 @@
     else:
         for finding in findings:
             click.echo(str(finding))
-        click.echo(f"{len(found)} documents, {len(findings)} findings")
-    sys.exit(1 if faults else 3 if findings else 0)
+        click.echo(f"{len(parsed_documents)} documents, {len(findings)} findings")
+    sys.exit(1 if read_errors else 3 if findings else 0)
