--- a/benchmarks/drain_soak.py
+++ b/benchmarks/drain_soak.py
@@ -1,10 +1,10 @@
-"""Drains a real node under load and faults, once a seed, and judges what its callers saw.
+"""Drains a real node under load and faults, once per seed, and checks what its callers received.
 
     python benchmarks/drain_soak.py [--runs 60] [--parallel 2] [--seed 1] [--out FILE]
 
-Each seed draws callers, faults of system calls, steps of the wall clock, signals in series and resets of the worker
-pool's link (`flintshift/lab/drain_soak.py`). ``broken`` counts what no rule allows, by rule; ``seen`` all else. Each
-node is killed at the longest deadline plus 0.7 s after the notice. Exit code 3 where a rule was broken.
+Each seed determines the callers, system call faults, wall clock adjustments, repeated signals and resets of the worker
+pool's link (`flintshift/lab/drain_soak.py`). ``broken`` counts violations by rule, ``seen`` everything else. Each node
+is killed at the longest deadline plus 0.7 s after the notice. Exit code 3 if a rule was violated.
 """
 
 from __future__ import annotations
@@ -21,38 +21,40 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks")]
 
-from kills import command  # noqa: E402
+from kills import run_from_command_line  # noqa: E402
 
 from flintshift.lab.drain_soak import play  # noqa: E402
 
 
-def one(seed: int) -> dict[str, Any]:
+def run_drain(seed: int) -> dict[str, Any]:
+    """Run the drain of one seed in this process; return its report."""
     with tempfile.TemporaryDirectory(prefix="flintshift-drain-") as folder:
         return asyncio.run(play(seed, Path(folder)))
 
 
 async def soak(runs: int, parallel: int, seed: int) -> dict[str, Any]:
+    """Run the drains of all seeds in parallel; return the sum of their reports."""
     broken, seen, failed = Counter[str](), Counter[str](), []
-    began, loop = time.monotonic(), asyncio.get_running_loop()
+    began_s, loop = time.monotonic(), asyncio.get_running_loop()
     with ProcessPoolExecutor(parallel) as processes:
-        plays = [loop.run_in_executor(processes, one, number) for number in range(seed, seed + runs)]
-        for done in asyncio.as_completed(plays):
-            told = await done
-            broken.update(told["broken"])
-            seen.update(told["seen"])
-            if told["broken"]:
-                failed.append(told)
-                print(told["plan"]["seed"], told["broken"], told["examples"][:3], file=sys.stderr, flush=True)
+        drains = [loop.run_in_executor(processes, run_drain, number) for number in range(seed, seed + runs)]
+        for done in asyncio.as_completed(drains):
+            report = await done
+            broken.update(report["broken"])
+            seen.update(report["seen"])
+            if report["broken"]:
+                failed.append(report)
+                print(report["plan"]["seed"], report["broken"], report["examples"][:3], file=sys.stderr, flush=True)
     return {
         "runs": runs,
         "first_seed": seed,
-        "took_s": round(time.monotonic() - began, 1),
+        "took_s": round(time.monotonic() - began_s, 1),
         "wrong": len(failed),
         "broken": dict(broken),
         "seen": dict(sorted(seen.items())),
-        "failed": sorted(failed, key=lambda told: told["plan"]["seed"]),
+        "failed": sorted(failed, key=lambda report: report["plan"]["seed"]),
     }
 
 
 if __name__ == "__main__":
-    sys.exit(command(__doc__, soak, runs=60, parallel=2))
+    sys.exit(run_from_command_line(__doc__, soak, runs=60, parallel=2))
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -1,4 +1,4 @@
-"""What both kill runs share: many runs at once with progress, their options, and the exit code."""
+"""Shared by the benchmarks that do many runs: concurrent runs with progress, command-line options, exit code."""
 
 from __future__ import annotations
 
@@ -13,41 +13,47 @@
 from typing import Any
 
 
-async def many(runs: int, parallel: int, seed: int, every: int, one: Callable[[int, Path], Awaitable[int]]) -> float:
-    """Run ``one(number, folder)`` for each number from the seed on; it returns how much is wrong so far. Returns the
-    seconds that all took."""
-    room, began, done = asyncio.Semaphore(parallel), time.monotonic(), 0
+async def run_many(
+    runs: int, parallel: int, seed: int, progress_interval: int, run_one: Callable[[int, Path], Awaitable[int]]
+) -> float:
+    """Run ``run_one(number, folder)`` for each number from the seed on, up to ``parallel`` at once; return the seconds.
+
+    ``run_one`` returns the number of violations so far. Progress is printed after every ``progress_interval`` runs.
+    """
+    slots, began_s, done = asyncio.Semaphore(parallel), time.monotonic(), 0
     with tempfile.TemporaryDirectory(prefix="flintshift-kill-") as name:
 
         async def run(number: int) -> None:
             nonlocal done
-            async with room:
-                wrong = await one(number, Path(name))
+            async with slots:
+                wrong = await run_one(number, Path(name))
             done += 1
-            if done % every == 0:
+            if done % progress_interval == 0:
                 print(
-                    f"{done} of {runs} runs, {wrong} wrong, {time.monotonic() - began:.0f} s",
+                    f"{done} of {runs} runs, {wrong} wrong, {time.monotonic() - began_s:.0f} s",
                     file=sys.stderr,
                     flush=True,
                 )
 
-        async with asyncio.TaskGroup() as tasks:  # where one fails, none goes on in a folder that is removed
+        async with asyncio.TaskGroup() as tasks:  # if one run fails, all are cancelled before the folder is removed
             for number in range(runs):
                 tasks.create_task(run(seed + number))
-    return round(time.monotonic() - began, 1)
+    return round(time.monotonic() - began_s, 1)
 
 
-def command(doc: str | None, play: Callable[[int, int, int], Any], runs: int, parallel: int) -> int:
-    """The command line; exit code 3 where something is wrong."""
-    parser = argparse.ArgumentParser(description=doc, formatter_class=argparse.RawDescriptionHelpFormatter)
+def run_from_command_line(
+    description: str | None, play: Callable[[int, int, int], Any], runs: int, parallel: int
+) -> int:
+    """Parse the command line, run ``play`` and print its result; return exit code 3 if the result has violations."""
+    parser = argparse.ArgumentParser(description=description, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--runs", type=int, default=runs)
     parser.add_argument("--parallel", type=int, default=parallel)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--out", type=Path, help="write the result here too")
-    given = parser.parse_args()
-    told = asyncio.run(play(given.runs, given.parallel, given.seed))
-    text = json.dumps(told, indent=1)
+    parser.add_argument("--out", type=Path, help="also write the result to this file")
+    options = parser.parse_args()
+    result = asyncio.run(play(options.runs, options.parallel, options.seed))
+    text = json.dumps(result, indent=1)
     print(text)
-    if given.out:
-        given.out.write_text(text + "\n")
-    return 3 if told["wrong"] else 0
+    if options.out:
+        options.out.write_text(text + "\n")
+    return 3 if result["wrong"] else 0
