--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -1,9 +1,9 @@
-"""What the door's heart costs a request, and its memory, by how many callers are active and how much waits.
+"""CPU and memory of the fair queues per request, by the number of active callers and of waiting requests.
 
     python benchmarks/door_cost.py [--requests N] [--out FILE]
 
-The heart alone, in this process: each request arrives, is ranked with all that waits (as the decisions do at each
-fill), begins and ends. ``results/request_cost.json`` tells a request's whole CPU, to set it beside.
+Only the state machine runs, in this process: each request arrives, is ranked among all waiting requests (as the
+decisions do at each fill), begins and ends. Compare with a request's whole CPU in ``results/request_cost.json``.
 """
 
 from __future__ import annotations
@@ -22,47 +22,47 @@
 from flintshift.door.shares import PLACE_BYTES, Shares  # noqa: E402
 
 CLUBS = [f"club{number}" for number in range(5)]
-WEIGHED = Weighed(dict.fromkeys(CLUBS, 1.0), 2, {"look": 20.0}, True)
+WEIGHTS = Weighed(dict.fromkeys(CLUBS, 1.0), 2, {"look": 20.0}, True)
 
 
-def play(callers: int, waiting: int, requests: int) -> tuple[float, int]:
-    """Microseconds a request, and the places of its tables at the end."""
-    draw, shares = random.Random(1), Shares(WEIGHED, b"k" * 16)
-    asked = [(f"{number:016x}", draw.choice(CLUBS), draw.randrange(callers)) for number in range(requests)]
+def measure(callers: int, waiting: int, requests: int) -> tuple[float, int]:
+    """Return the microseconds per request, and the entries in the tables at the end."""
+    rng, shares = random.Random(1), Shares(WEIGHTS, b"k" * 16)
+    arrivals = [(f"{number:016x}", rng.choice(CLUBS), rng.randrange(callers)) for number in range(requests)]
     queue: list[str] = []
-    began = time.perf_counter()
-    for at, (request, club, caller) in enumerate(asked):
-        shares.handle(at * 2.0, Arrived(request, club, caller, "look"))
+    began_s = time.perf_counter()
+    for number_arrived, (request, club, caller) in enumerate(arrivals):
+        shares.handle(number_arrived * 2.0, Arrived(request, club, caller, "look"))
         queue.append(request)
         if len(queue) > waiting:
             first = min(queue, key=shares.rank_ms)
             queue.remove(first)
-            shares.handle(at * 2.0, Began(first))
-            shares.handle(at * 2.0, Ended(first, 20.0))
-    return (time.perf_counter() - began) / requests * 1e6, shares.places
+            shares.handle(number_arrived * 2.0, Began(first))
+            shares.handle(number_arrived * 2.0, Ended(first, 20.0))
+    return (time.perf_counter() - began_s) / requests * 1e6, shares.places
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--requests", type=int, default=20_000)
-    parser.add_argument("--out", type=Path, help="write the result here as JSON")
-    given = parser.parse_args()
+    parser.add_argument("--out", type=Path, help="write the result to this file as JSON")
+    options = parser.parse_args()
     rows = []
     for waiting in (0, 10, 100):
         for callers in (5, 500, 50_000):
-            us, places = min(play(callers, waiting, given.requests) for _ in range(3))
+            request_us, places = min(measure(callers, waiting, options.requests) for _ in range(3))
             rows.append(
                 {
                     "waiting": waiting,
                     "callers": callers,
-                    "us": round(us, 1),
+                    "us": round(request_us, 1),
                     "places": places,
                     "kb_at_most": round(places * PLACE_BYTES / 1024),
                 }
             )
             print(rows[-1])
-    if given.out:
-        given.out.write_text(json.dumps(rows, indent=1) + "\n")
+    if options.out:
+        options.out.write_text(json.dumps(rows, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/door_model.py
+++ b/benchmarks/door_model.py
@@ -1,11 +1,12 @@
-"""A model of a node with the fair queues, by its own clock: is a told time true, and what does a flood cost whom?
+"""Simulation of a node with fair queues: are the retry times kept, and how does an overload affect each club?
 
     python benchmarks/door_model.py [--seeds N] [--out FILE]
 
-One core, runs of 10 ms, two clubs of one weight: "a" floods, "b" asks for 0.8 of its share. What is not among the next
-five of the order is turned away and told when to come back. ``heeds``: who was told comes at that time, else after a
-quarter of it. Tables how many of those who came back were let in, how much later than they were told their runs began,
-how many of the first tries of "a" were served, and the share of "b" that was.
+The node has one core, runs of 10 ms and two clubs of equal weight: "a" overloads the node, "b" asks for 0.8 of its
+share. Requests that are not among the next five of the order are rejected with a retry time. With ``heeds`` the callers
+come back at that time, without it after a quarter of the wait. The table gives the share of returning callers that were
+let in, how much later than the retry time their runs began, the number of served first tries of "a", and the share of
+the requests of "b" that were served.
 """
 
 from __future__ import annotations
@@ -26,85 +27,90 @@
 from flintshift.door.messages import Arrived, Began, ComeBack, Ended, TurnedAway, Weighed  # noqa: E402
 from flintshift.door.shares import Shares  # noqa: E402
 
-RUN_MS, NEXT, MOST_MS = 10.0, 5, 1000.0
+RUN_MS, QUEUE_LIMIT, MAX_WAIT_MS = 10.0, 5, 1000.0
 
 
 @dataclass
-class Told:
-    """What became of those who came back, and of both clubs."""
-
-    kept: int = 0
-    broken: int = 0
-    first_kept: int = 0  # of first tries
-    first_broken: int = 0
-    asked_b: int = 0
+class ReturnCounts:
+    """Counts of the returning callers and of the requests of both clubs."""
+
+    served_returns: int = 0
+    rejected_returns: int = 0
+    served_first_tries: int = 0
+    rejected_first_tries: int = 0
+    requests_of_b: int = 0
     served: Counter[str] = field(default_factory=Counter)
     late_ms: list[float] = field(default_factory=list)
 
     @property
-    def let_in(self) -> float:
-        return self.kept / max(1, self.kept + self.broken)
+    def returns_served_share(self) -> float:
+        """The share of the returning callers that were served."""
+        return self.served_returns / max(1, self.served_returns + self.rejected_returns)
 
-    def late(self, share: float) -> float:
-        return sorted(self.late_ms)[int(len(self.late_ms) * share)] if self.late_ms else 0.0
+    def late_quantile_ms(self, quantile: float) -> float:
+        """Return the given quantile of the delays of returning callers, in ms after their retry time."""
+        return sorted(self.late_ms)[int(len(self.late_ms) * quantile)] if self.late_ms else 0.0
 
 
-def play(heeds: bool, seed: int, flood: int = 3, storm: int = 0, ticks: int = 2000) -> Told:
-    """``flood``: first tries of club "a" in the time of a run, by callers that never come twice by themselves;
-    ``storm``: further ones, which nobody told to come; "b" has one caller."""
+def simulate(heeds: bool, seed: int, flood: int = 3, storm: int = 0, ticks: int = 2000) -> ReturnCounts:
+    """Simulate ``ticks`` runs of the node.
+
+    ``flood`` is the number of first tries of club "a" per run, by callers that come back only at a retry time.
+    ``storm`` is the number of its further tries per run that come without a retry time. "b" has one caller.
+    """
     shares = Shares(Weighed({"a": 1.0, "b": 1.0}, 1, {"look": RUN_MS}, True), b"model".ljust(16))
-    draw, told = random.Random(seed), Told()
-    back: list[tuple[float, str, int]] = []
-    waiting: dict[str, float | None] = {}  # by request: the time that it was told, of those who come back
+    rng, counts = random.Random(seed), ReturnCounts()
+    returning: list[tuple[float, str, int]] = []
+    waiting: dict[str, float | None] = {}  # by request: the retry time of a returning caller; infinite without one
     for tick in range(ticks):
         now = tick * RUN_MS
-        come: list[tuple[str, int, float | None]] = [("a", draw.randrange(10_000), None) for _ in range(flood)]
-        come += [("a", draw.randrange(10_000), math.inf) for _ in range(storm)]
-        come += [("b", 1, None)] * (tick % 5 in (0, 2))
-        told.asked_b += tick % 5 in (0, 2)
-        come += [(club, caller, at) for at, club, caller in back if at <= now]
-        back = [one for one in back if one[0] > now]
-        draw.shuffle(come)
-        for number, (club, caller, at) in enumerate(come):
+        arrivals: list[tuple[str, int, float | None]] = [("a", rng.randrange(10_000), None) for _ in range(flood)]
+        arrivals += [("a", rng.randrange(10_000), math.inf) for _ in range(storm)]
+        arrivals += [("b", 1, None)] * (tick % 5 in (0, 2))
+        counts.requests_of_b += tick % 5 in (0, 2)
+        arrivals += [(club, caller, retry_at_ms) for retry_at_ms, club, caller in returning if retry_at_ms <= now]
+        returning = [one for one in returning if one[0] > now]
+        rng.shuffle(arrivals)
+        for number, (club, caller, retry_at_ms) in enumerate(arrivals):
             request = f"{tick}-{number}-{club}"
-            shares.handle(now, Arrived(request, club, caller, "look", at is not None))
-            waiting[request] = at
+            shares.handle(now, Arrived(request, club, caller, "look", retry_at_ms is not None))
+            waiting[request] = retry_at_ms
         order = sorted(waiting, key=shares.rank_ms)
-        for request in order[NEXT:]:
-            at = waiting.pop(request)
-            told.broken += at is not None and at < math.inf
-            told.first_broken += at is None
+        for request in order[QUEUE_LIMIT:]:
+            retry_at_ms = waiting.pop(request)
+            counts.rejected_returns += retry_at_ms is not None and retry_at_ms < math.inf
+            counts.rejected_first_tries += retry_at_ms is None
             caller, club = shares.open[request].caller, request[-1]
-            (answer,) = shares.handle(now, TurnedAway(request, 0.0, MOST_MS, draw.random()))
-            assert isinstance(answer, ComeBack) and answer.wait_ms <= MOST_MS
-            if answer.promised and at != math.inf:
-                back.append((now + answer.wait_ms * (1.0 if heeds else 0.25), club, caller))
+            (response,) = shares.handle(now, TurnedAway(request, 0.0, MAX_WAIT_MS, rng.random()))
+            assert isinstance(response, ComeBack) and response.wait_ms <= MAX_WAIT_MS
+            if response.promised and retry_at_ms != math.inf:
+                returning.append((now + response.wait_ms * (1.0 if heeds else 0.25), club, caller))
         shares.handle(now, Began(order[0]))
         shares.handle(now, Ended(order[0], RUN_MS))
-        at = waiting.pop(order[0])
-        told.first_kept += at is None
-        told.served[order[0][-1]] += 1
-        if at is not None and at < math.inf:
-            told.kept += 1
-            told.late_ms.append(now - at)
-    return told
-
-
-FIGURES: dict[str, Callable[[Told], float]] = {
-    "let_in": lambda told: told.let_in,
-    "late_p50_ms": lambda told: told.late(0.5),
-    "late_p95_ms": lambda told: told.late(0.95),
-    "late_p99_ms": lambda told: told.late(0.99),
-    "other_club_served": lambda told: told.served["b"] / told.asked_b,
-    "first_tries_served": lambda told: float(told.first_kept),
+        retry_at_ms = waiting.pop(order[0])
+        counts.served_first_tries += retry_at_ms is None
+        counts.served[order[0][-1]] += 1
+        if retry_at_ms is not None and retry_at_ms < math.inf:
+            counts.served_returns += 1
+            counts.late_ms.append(now - retry_at_ms)
+    return counts
+
+
+FIGURES: dict[str, Callable[[ReturnCounts], float]] = {
+    "let_in": lambda counts: counts.returns_served_share,
+    "late_p50_ms": lambda counts: counts.late_quantile_ms(0.5),
+    "late_p95_ms": lambda counts: counts.late_quantile_ms(0.95),
+    "late_p99_ms": lambda counts: counts.late_quantile_ms(0.99),
+    "other_club_served": lambda counts: counts.served["b"] / counts.requests_of_b,
+    "first_tries_served": lambda counts: float(counts.served_first_tries),
 }
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--seeds", type=int, default=5)
-    parser.add_argument("--out", type=Path, help="write the result here as JSON")
-    given = parser.parse_args()
+    parser.add_argument("--out", type=Path, help="write the result to this file as JSON")
+    options = parser.parse_args()
     rows = []
     for flood, heeds, storm in (
         (2, True, 0),
@@ -114,19 +120,19 @@
         (6, True, 20),
         (6, True, 100),
     ):
-        plays = [play(heeds, seed, flood, storm) for seed in range(given.seeds)]
+        runs = [simulate(heeds, seed, flood, storm) for seed in range(options.seeds)]
         rows.append(
             {
                 "flood": flood,
                 "heeds": heeds,
                 "storm": storm,
-                "came_back": sum(one.kept + one.broken for one in plays),
-                **{name: round(sum(map(of, plays)) / len(plays), 3) for name, of in FIGURES.items()},
+                "came_back": sum(one.served_returns + one.rejected_returns for one in runs),
+                **{name: round(sum(map(compute, runs)) / len(runs), 3) for name, compute in FIGURES.items()},
             }
         )
         print(rows[-1])
-    if given.out:
-        given.out.write_text(json.dumps(rows, indent=1) + "\n")
+    if options.out:
+        options.out.write_text(json.dumps(rows, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/door_surge.py
+++ b/benchmarks/door_surge.py
@@ -1,13 +1,14 @@
-"""What a club's surge costs the other clubs, with the fair queues at the door on and off, on both fronts mixed.
+"""Effect of a club's surge on the other clubs, with the fair queues on and off, on both fronts mixed.
 
     python benchmarks/door_surge.py [--times 5.9] [--seconds N] [--rounds N] [--one-caller] [--heed] [--out FILE]
 
-Two nodes stand side by side, one with the door on; each has two cores of its own for its worker pool and its app
-servers together. A run takes 20 ms, and the clubs' usual load fills 0.6 of the cores. They get the same load in turns:
-first the usual one of every club, then with one club at so many times its usual rate (``--one-caller``: all that is
-more comes from one caller's number). Served shares are of all that a club asked in that time; kept is the share served
-in the surge by that served before it, the median of the rounds. ``usual`` and ``surge`` are the surging club's.
-With ``--heed``, ``came back`` is the share let in of those who came back once at the time that they were told.
+Two nodes run at the same time, one with fair queues; each has two cores of its own, shared by its worker pool and its
+app servers. A run takes 20 ms, and the clubs' usual load fills 0.6 of the cores. The nodes get the same load in turn:
+first the usual load of every club, then the same with one club at ``--times`` its usual rate (``--one-caller``: all
+additional requests carry one caller's number). A served share is relative to all requests of a club in that time.
+``kept`` is the share served in the surge divided by the share served before it, the median of the rounds. ``usual`` and
+``surge`` are the two parts of the surging club's load. With ``--heed``, ``came back`` is the share served of the
+callers who came back once, at their retry time.
 """
 
 from __future__ import annotations
@@ -34,61 +35,79 @@
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
 RUN_MS, CORES = 20.0, 2
-USUAL_PER_S, CALLERS = 20.0, 8  # of a club, by so many callers
-MOST_MS = 1000.0  # that may be told, by the embedded configuration
+USUAL_PER_S, CALLERS_PER_CLUB = 20.0, 8  # requests per second of a club, and the number of its callers
+MAX_WAIT_MS = 1000.0  # the longest retry time that the embedded configuration allows
 FRONTS = ("http", "uwsgi")
-Count = dict[str, tuple[int, int]]  # by club, and for the one that surges by "usual" and "surge": asked, served
+RequestCounts = dict[
+    str, tuple[int, int]
+]  # requests and served ones by club; those of the surging club by "usual" and "surge"
 
 
-def load(ports: dict[str, int], times: float, one_caller: bool, heed: bool, seconds: float, seed: int) -> Count:
-    """One process of callers that ask at a rate of their own, whatever is answered."""
+def run_callers(
+    ports: dict[str, int], times: float, one_caller: bool, heed: bool, seconds: float, seed: int
+) -> RequestCounts:
+    """Run one process of callers that send requests at a fixed rate, whatever the answers are."""
     surging, *_ = CLUBS
     asked: Counter[str] = Counter()
     served: Counter[str] = Counter()
 
-    async def ask(club: str, kind: str, caller: int, front: str, draw: random.Random, again: bool = False) -> None:
-        rid = f"{draw.getrandbits(64):016x}"
+    async def ask(club: str, kind: str, caller: int, front: str, rng: random.Random, again: bool = False) -> None:
+        request_id = f"{rng.getrandbits(64):016x}"
         asked[kind] += 1
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", ports[front])
-            writer.write(REQUESTS[front]("standings", b"12:01.5", fields_of(rid, club, "standings", caller, again)))
+            writer.write(
+                REQUESTS[front]("standings", b"12:01.5", fields_of(request_id, club, "standings", caller, again))
+            )
             status, _, head = await asyncio.wait_for(reply_with_head(reader), 5)
             writer.close()
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             return
         served[kind] += status == 200
-        told = wait_ms(head)
-        if status != 200 and told is not None and not again and heed:
-            await asyncio.sleep(told / 1000)
-            # Where all that may be told is told, there was no room to promise: its callers are counted apart.
-            await ask(club, "came back" if told < MOST_MS else "came back, not promised", caller, front, draw, True)
+        retry_after_ms = wait_ms(head)
+        if status != 200 and retry_after_ms is not None and not again and heed:
+            await asyncio.sleep(retry_after_ms / 1000)
+            # The longest retry time means that no reservation could be made: these callers are counted separately.
+            await ask(
+                club,
+                "came back" if retry_after_ms < MAX_WAIT_MS else "came back, not promised",
+                caller,
+                front,
+                rng,
+                True,
+            )
 
     async def stream(club: str, kind: str, callers: list[int], per_s: float, number: int) -> None:
-        draw, at, tasks = random.Random(seed * 1000 + number), time.monotonic(), set[asyncio.Task[None]]()
-        until = at + seconds
-        while at < until:
-            at += draw.expovariate(per_s)
-            await asyncio.sleep(max(0.0, at - time.monotonic()))
-            task = asyncio.create_task(ask(club, kind, draw.choice(callers), draw.choice(FRONTS), draw))
+        rng, next_s, tasks = random.Random(seed * 1000 + number), time.monotonic(), set[asyncio.Task[None]]()
+        deadline_s = next_s + seconds
+        while next_s < deadline_s:
+            next_s += rng.expovariate(per_s)
+            await asyncio.sleep(max(0.0, next_s - time.monotonic()))
+            task = asyncio.create_task(ask(club, kind, rng.choice(callers), rng.choice(FRONTS), rng))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
 
-    async def go() -> None:
+    async def run_streams() -> None:
         streams = [
-            (club, "usual" if club == surging else club, [place * 100 + one for one in range(CALLERS)], USUAL_PER_S)
-            for place, club in enumerate(CLUBS)
+            (
+                club,
+                "usual" if club == surging else club,
+                [index * 100 + one for one in range(CALLERS_PER_CLUB)],
+                USUAL_PER_S,
+            )
+            for index, club in enumerate(CLUBS)
         ]
         if times > 1:
-            numbers = [99] if one_caller else [*range(50, 50 + 5 * CALLERS)]
+            numbers = [99] if one_caller else [*range(50, 50 + 5 * CALLERS_PER_CLUB)]
             streams.append((surging, "surge", numbers, (times - 1) * USUAL_PER_S))
         await asyncio.gather(*(stream(*one, number) for number, one in enumerate(streams)))
 
-    asyncio.run(go())
+    asyncio.run(run_streams())
     return {kind: (asked[kind], served[kind]) for kind in asked}
 
 
-async def play(
+async def load_in_turn(
     rigs: dict[str, Rig],
     times: float,
     one_caller: bool,
@@ -96,47 +115,50 @@
     seconds: float,
     seed: int,
     executor: ProcessPoolExecutor,
-) -> dict[str, Count]:
-    loop, found = asyncio.get_running_loop(), {}
+) -> dict[str, RequestCounts]:
+    """Load all nodes in turn; return their counts by name."""
+    loop, counts = asyncio.get_running_loop(), {}
     for name in sorted(rigs, reverse=seed % 2 == 1):
-        found[name] = await loop.run_in_executor(
-            executor, load, rigs[name].ports, times, one_caller, heed, seconds, seed
+        counts[name] = await loop.run_in_executor(
+            executor, run_callers, rigs[name].ports, times, one_caller, heed, seconds, seed
         )
-    return found
+    return counts
 
 
 async def measure(
     times: float, one_caller: bool, heed: bool, seconds: float, rounds: int
 ) -> dict[str, dict[str, float]]:
-    kept: dict[str, dict[str, list[float]]] = {}
+    """Return by node ("on", "off") and club the share served in the surge divided by the share before it."""
+    kept_shares: dict[str, dict[str, list[float]]] = {}
     with tempfile.TemporaryDirectory(prefix="flintshift-bench-") as name, ProcessPoolExecutor(1) as executor:
         async with AsyncExitStack() as stack:
             rigs = {}
-            for told in ("on", "off"):
-                rigs[told] = await stack.enter_async_context(
+            for variant in ("on", "off"):
+                rigs[variant] = await stack.enter_async_context(
                     Rig(
-                        Path(name) / told,
-                        f"door: {{enabled: {str(told == 'on').lower()}}}\n",
+                        Path(name) / variant,
+                        f"door: {{enabled: {str(variant == 'on').lower()}}}\n",
                         uwsgi=True,
                         root=ROOT,
                         pool=Pool(cores=CORES, took_ms={"standings": RUN_MS}),
                         platform={"tenants": [{"name": club, "quotaPerS": 100.0} for club in CLUBS]},
                     )
                 )
-                rigs[told].apps.beside, rigs[told].apps.took_ms = rigs[told].pool, RUN_MS
+                rigs[variant].apps.beside, rigs[variant].apps.took_ms = rigs[variant].pool, RUN_MS
             for round_ in range(rounds):
-                before = await play(rigs, 1.0, one_caller, False, seconds, 10 + round_, executor)
-                surge = await play(rigs, times, one_caller, heed, seconds, 20 + round_, executor)
-                for told in rigs:
-                    row = kept.setdefault(told, {})
-                    for kind, (asked, served) in surge[told].items():
-                        usual = before[told].get(kind, before[told]["usual"])
-                        if kind.startswith("came back"):  # the share that was let in
+                before = await load_in_turn(rigs, 1.0, one_caller, False, seconds, 10 + round_, executor)
+                surge = await load_in_turn(rigs, times, one_caller, heed, seconds, 20 + round_, executor)
+                for variant in rigs:
+                    row = kept_shares.setdefault(variant, {})
+                    for kind, (asked, served) in surge[variant].items():
+                        usual = before[variant].get(kind, before[variant]["usual"])
+                        if kind.startswith("came back"):  # for returning callers the served share itself
                             usual = (1, 1)
                             row.setdefault(f"{kind}, number", []).append(asked)
                         row.setdefault(kind, []).append(served / asked / (usual[1] / usual[0]))
     return {
-        told: {kind: round(statistics.median(parts), 3) for kind, parts in row.items()} for told, row in kept.items()
+        variant: {kind: round(statistics.median(parts), 3) for kind, parts in row.items()}
+        for variant, row in kept_shares.items()
     }
 
 
@@ -145,15 +167,15 @@
     parser.add_argument("--times", type=float, default=5.9)
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--rounds", type=int, default=3)
-    parser.add_argument("--one-caller", action="store_true", help="the surge is carried by one caller")
-    parser.add_argument("--heed", action="store_true", help="who is refused comes back once, at the time it was told")
-    parser.add_argument("--out", type=Path, help="write the result here as JSON")
-    given = parser.parse_args()
-    told = await measure(given.times, given.one_caller, given.heed, given.seconds, given.rounds)
-    print(json.dumps(told, indent=1))
-    if given.out:
-        row = {"times": given.times, "one_caller": given.one_caller, "heed": given.heed, "kept": told}
-        given.out.write_text(json.dumps(row, indent=1) + "\n")
+    parser.add_argument("--one-caller", action="store_true", help="all surge requests come from one caller")
+    parser.add_argument("--heed", action="store_true", help="a rejected caller comes back once, at its retry time")
+    parser.add_argument("--out", type=Path, help="write the result to this file as JSON")
+    options = parser.parse_args()
+    kept_shares = await measure(options.times, options.one_caller, options.heed, options.seconds, options.rounds)
+    print(json.dumps(kept_shares, indent=1))
+    if options.out:
+        row = {"times": options.times, "one_caller": options.one_caller, "heed": options.heed, "kept": kept_shares}
+        options.out.write_text(json.dumps(row, indent=1) + "\n")
 
 
 if __name__ == "__main__":
