--- a/benchmarks/chaos_copies.py
+++ b/benchmarks/chaos_copies.py
@@ -1,9 +1,9 @@
-"""Chaos for the copies: many rounds of seeded faults, each with a machine lost with its disk; and with copies off.
+"""Fault injection into replication: rounds of seeded faults, each losing a machine with its disk; also without copies.
 
     python benchmarks/chaos_copies.py --rounds 200 --out benchmarks/results/chaos_copies.json
 
-Exit code 3 where a promise was broken. Fleets run beside each other, each with rounds and a seed of its own; a seed
-plays the same faults each time, while what callers meet in them depends on the machine.
+Exit code 3 if a guarantee was violated. Several fleets run at the same time, each with its own rounds and seed. A seed
+injects the same faults each time, but their effect on callers depends on the machine.
 """
 
 from __future__ import annotations
@@ -27,9 +27,10 @@
 from flintshift.lab.ports import PART  # noqa: E402
 
 
-def play(
+def run_fleet(
     part: int, parts: int, count: int, seed: int, copies: bool, disks: DiskRefusal | None = None
 ) -> dict[str, Any]:
+    """Run the rounds of one of the ``parts`` fleets in this process; return the tally of what callers saw."""
     import os
 
     os.environ[PART] = f"{part}/{parts}"
@@ -45,59 +46,62 @@
         )
     )
     if tally.texts and copies:
-        print(f"fleet {part}: logs and story in {folder}", file=sys.stderr, flush=True)
+        print(f"fleet {part}: logs and timeline in {folder}", file=sys.stderr, flush=True)
     else:
         shutil.rmtree(folder)
     return tally.told()
 
 
-def many(count: int, parallel: int, seed: int, copies: bool, disks: DiskRefusal | None = None) -> dict[str, Any]:
-    shares = [count // parallel + (part < count % parallel) for part in range(parallel)]
-    with ProcessPoolExecutor(parallel) as fleets:
-        told = list(
-            fleets.map(
-                play,
+def run_fleets(count: int, parallel: int, seed: int, copies: bool, disks: DiskRefusal | None = None) -> dict[str, Any]:
+    """Divide the rounds among parallel fleets; return the sum of their tallies."""
+    rounds_by_fleet = [count // parallel + (part < count % parallel) for part in range(parallel)]
+    with ProcessPoolExecutor(parallel) as executor:
+        tallies = list(
+            executor.map(
+                run_fleet,
                 range(parallel),
                 [parallel] * parallel,
-                shares,
+                rounds_by_fleet,
                 [seed + part for part in range(parallel)],
                 [copies] * parallel,
                 [disks] * parallel,
             )
         )
-    summed: dict[str, Any] = {"seeds": [seed + part for part in range(parallel)]}
+    totals: dict[str, Any] = {"seeds": [seed + part for part in range(parallel)]}
     for name in ("rounds", "keys", "runs", "billed", "in_doubt", "lost_in_gaps"):
-        summed[name] = sum(one[name] for one in told)
+        totals[name] = sum(one[name] for one in tallies)
     for name in ("broken", "answers", "faults"):
-        summed[name] = dict(sum((Counter(one[name]) for one in told), Counter()))
-    answers = summed["answers"]
-    summed["not_served"] = round(1.0 - answers.get("served", 0) / max(1, sum(answers.values())), 4)
-    summed["whole_after_s"] = max(one["whole_after_s"] for one in told)
-    return {**summed, "first": [text for one in told for text in one["first"]][:20]}
+        totals[name] = dict(sum((Counter(one[name]) for one in tallies), Counter()))
+    answers = totals["answers"]
+    totals["not_served"] = round(1.0 - answers.get("served", 0) / max(1, sum(answers.values())), 4)
+    totals["whole_after_s"] = max(one["whole_after_s"] for one in tallies)
+    return {**totals, "first": [text for one in tallies for text in one["first"]][:20]}
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--rounds", type=int, default=200)
-    parser.add_argument("--parallel", type=int, default=4, help="fleets beside each other")
+    parser.add_argument("--parallel", type=int, default=4, help="fleets that run at the same time")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--off", type=int, default=4, metavar="ROUNDS", help="rounds with copies off")
-    parser.add_argument("--disks", type=int, default=0, metavar="RATE", help="of 1,000 writes and syncs that fail")
-    parser.add_argument("--disks-from", type=float, default=0.0, metavar="S", help="after the fleet is linked")
-    parser.add_argument("--disks-for", type=float, default=math.inf, metavar="S", help="then they are taken again")
-    parser.add_argument("--out", type=Path, help="write the result here too")
-    given = parser.parse_args()
-    disks = DiskRefusal(given.disks, given.disks_from, given.disks_for) if given.disks else None
-    told = {"copies": many(given.rounds, min(given.parallel, given.rounds), given.seed, True, disks)}
+    parser.add_argument("--off", type=int, default=4, metavar="ROUNDS", help="rounds without replication")
+    parser.add_argument("--disks", type=int, default=0, metavar="RATE", help="writes and syncs out of 1,000 that fail")
+    parser.add_argument(
+        "--disks-from", type=float, default=0.0, metavar="S", help="start of the disk faults, after the fleet is linked"
+    )
+    parser.add_argument("--disks-for", type=float, default=math.inf, metavar="S", help="duration of the disk faults")
+    parser.add_argument("--out", type=Path, help="also write the result to this file")
+    options = parser.parse_args()
+    disks = DiskRefusal(options.disks, options.disks_from, options.disks_for) if options.disks else None
+    result = {"copies": run_fleets(options.rounds, min(options.parallel, options.rounds), options.seed, True, disks)}
     if disks is not None:
-        told["disks"] = {"rate": disks.rate, "from_s": disks.from_s, "lasts_s": str(disks.lasts_s)}
-    if given.off:
-        told["off"] = many(given.off, min(given.parallel, given.off), given.seed, False)
-    text = json.dumps(told, indent=1)
+        result["disks"] = {"rate": disks.rate, "from_s": disks.from_s, "lasts_s": str(disks.lasts_s)}
+    if options.off:
+        result["off"] = run_fleets(options.off, min(options.parallel, options.off), options.seed, False)
+    text = json.dumps(result, indent=1)
     print(text)
-    if given.out:
-        given.out.write_text(text + "\n")
-    sys.exit(3 if told["copies"]["broken"] else 0)
+    if options.out:
+        options.out.write_text(text + "\n")
+    sys.exit(3 if result["copies"]["broken"] else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/copies_model.py
+++ b/benchmarks/copies_model.py
@@ -1,9 +1,9 @@
-"""The copies' hearts with hundreds of members on a clock of their own: messages, what moves, what a loss leaves bare.
+"""Simulation of replication with hundreds of members: messages, moved replicas, and keys under-replicated after a loss.
 
     python benchmarks/copies_model.py --members 300 --out benchmarks/results/copies_model.json
 
-The same seed gives the same figures. No sockets: a message takes 0.5 ms, and one that is sent to a machine that is gone
-is lost. Claims come evenly over the members; each ends after 20 ms.
+The same seed gives the same figures. There are no sockets: a message takes 0.5 ms, and a message to a machine that is
+down is lost. Claims are spread evenly over the members, and each ends after 20 ms.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from flintshift.core.keys import Stage  # noqa: E402
 from flintshift.interface import Outcome  # noqa: E402
 from flintshift.lab.copies_model import World  # noqa: E402
-from flintshift.peers import members as who  # noqa: E402
+from flintshift.peers import members as membership  # noqa: E402
 from flintshift.replication.messages import Value  # noqa: E402
 from flintshift.replication.placement import SLOT_COUNT, Placement  # noqa: E402
 from flintshift.replication.registers import Entry, HolderBounds, Registers  # noqa: E402
@@ -33,159 +33,174 @@
 HOP_MS, RUN_MS = 0.5, 20.0
 
 
-def halls_of(count: int, halls: int) -> dict[str, str]:
+def assign_halls(count: int, halls: int) -> dict[str, str]:
+    """Return each member's hall by its name."""
     return {f"n{number:03}": f"hall{number % halls}" for number in range(count)}
 
 
-def moved(count: int, halls: int) -> dict[str, float]:
-    """The share of copies that move when one member leaves, and when one joins, against the least possible."""
-    names = halls_of(count, halls)
-    full = Placement(names, 3)
+def measure_moves(count: int, halls: int) -> dict[str, float]:
+    """Return the share of replicas that move when a member or a hall leaves, and its ratio to the minimum possible."""
+    names = assign_halls(count, halls)
+    full_placement = Placement(names, 3)
     slots = [slot.to_bytes(2, "big") for slot in range(SLOT_COUNT)]
 
-    def changed(fewer: dict[str, str]) -> tuple[float, float]:
-        other, held, went = Placement(fewer, 3), 0, 0
-        gone = set(names) - set(fewer)
+    def compute_shares(remaining_members: dict[str, str]) -> tuple[float, float]:
+        """Return the shares of replicas that move, and that must move, when only ``remaining_members`` stay."""
+        reduced_placement, must_move, moved = Placement(remaining_members, 3), 0, 0
+        departed = set(names) - set(remaining_members)
         for slot in slots:
-            before, after = set(full._compute_holders(slot)), set(other._compute_holders(slot))
-            went += len(after - before)
-            held += bool(before & gone)
-        return went / (3 * SLOT_COUNT), held / (3 * SLOT_COUNT)
+            before, after = set(full_placement._compute_holders(slot)), set(reduced_placement._compute_holders(slot))
+            moved += len(after - before)
+            must_move += bool(before & departed)
+        return moved / (3 * SLOT_COUNT), must_move / (3 * SLOT_COUNT)
 
-    one = changed({name: hall for name, hall in names.items() if name != "n001"})
-    hall = changed({name: hall for name, hall in names.items() if hall != "hall1"})
+    without_member = compute_shares({name: hall for name, hall in names.items() if name != "n001"})
+    without_hall = compute_shares({name: hall for name, hall in names.items() if hall != "hall1"})
     return {
-        "moved_by_one": round(one[0], 5),
-        "against_least": round(one[0] / one[1], 3) if one[1] else 0.0,
-        "moved_by_a_hall": round(hall[0], 4),
+        "moved_by_one": round(without_member[0], 5),
+        "against_least": round(without_member[0] / without_member[1], 3) if without_member[1] else 0.0,
+        "moved_by_a_hall": round(without_hall[0], 4),
     }
 
 
-class Play:
-    """The world of `lab/copies_model` with messages that take their time."""
+class Simulation:
+    """Runs the world of `lab/copies_model` with a message delay."""
 
     def __init__(self, count: int, halls: int, seed: int) -> None:
-        self.world, self.draw = World(halls_of(count, halls), 3, seed), random.Random(seed)
+        self.world, self.rng = World(assign_halls(count, halls), 3, seed), random.Random(seed)
         self.order, self.number = itertools.count(), itertools.count()
-        self.due: list[tuple[float, int, str, Any]] = []
+        self.events: list[tuple[float, int, str, Any]] = []
         self.world.sent.clear()
 
-    def at(self, at_ms: float, what: str, of: Any = None) -> None:
-        heapq.heappush(self.due, (at_ms, next(self.order), what, of))
+    def schedule(self, at_ms: float, kind: str, subject: Any = None) -> None:
+        """Schedule an event at ``at_ms``."""
+        heapq.heappush(self.events, (at_ms, next(self.order), kind, subject))
 
     def run(self, until_ms: float, claims_per_s: float) -> None:
+        """Run the simulation until ``until_ms`` with claims at an even rate."""
         world = self.world
         step, names = 1000.0 / claims_per_s, list(world.machines)
-        self.at(world.now, "tick")
-        self.at(world.now + step, "claim")
-        while self.due and self.due[0][0] <= until_ms:
-            at_ms, _, what, of = heapq.heappop(self.due)
+        self.schedule(world.now, "tick")
+        self.schedule(world.now + step, "claim")
+        while self.events and self.events[0][0] <= until_ms:
+            at_ms, _, kind, subject = heapq.heappop(self.events)
             world.now = max(world.now, at_ms)
-            match what:
+            match kind:
                 case "claim":
-                    name = self.draw.choice(names)
+                    name = self.rng.choice(names)
                     if world.machines[name].up:
                         key = "submit-time", f"k{next(self.number)}"
                         world.claim(name, key, f"r{key[1]}")
-                        self.at(world.now + RUN_MS, "end", key)
-                    self.at(world.now + step, "claim")
+                        self.schedule(world.now + RUN_MS, "end", key)
+                    self.schedule(world.now + step, "claim")
                 case "end":
-                    if not world.finish(of) and world.answers.get(f"r{of[1]}") is None:
-                        self.at(world.now + RUN_MS, "end", of)
+                    if not world.finish(subject) and world.answers.get(f"r{subject[1]}") is None:
+                        self.schedule(world.now + RUN_MS, "end", subject)
                 case "tick":
                     world.tick(0.0)
-                    self.at(world.now + 50.0, "tick")
+                    self.schedule(world.now + 50.0, "tick")
                 case "message":
-                    world.sent.append(of)
+                    world.sent.append(subject)
                     world.deliver(len(world.sent) - 1)
             for message in world.sent:
-                self.at(world.now + HOP_MS, "message", message)
+                self.schedule(world.now + HOP_MS, "message", message)
             world.sent.clear()
-        self.due = [one for one in self.due if one[2] not in ("tick", "claim")]
-        heapq.heapify(self.due)
+        self.events = [one for one in self.events if one[2] not in ("tick", "claim")]
+        heapq.heapify(self.events)
 
-    def bare(self) -> int:
-        """Keys that have ended and of which fewer members hold a copy than should."""
-        held: dict[Any, int] = {}
+    def count_under_replicated(self) -> int:
+        """Count the finished keys with fewer replicas than 3."""
+        replicas: dict[Any, int] = {}
         for machine in self.world.machines.values():
             if machine.up:
                 for key, register in machine.registers.table.items():
-                    held[key] = held.get(key, 0) + (register.value is not None and register.value.outcome is not None)
-        return sum(0 < count < 3 for count in held.values())
+                    replicas[key] = replicas.get(key, 0) + (
+                        register.value is not None and register.value.outcome is not None
+                    )
+        return sum(0 < count < 3 for count in replicas.values())
 
 
-def play(count: int, halls: int, seed: int, claims_per_s: float) -> dict[str, Any]:
-    playing = Play(count, halls, seed)
-    world = playing.world
-    playing.run(2000.0, claims_per_s)
-    quiet = dict(world.counts)
-    told: dict[str, Any] = {
+def simulate_losses(count: int, halls: int, seed: int, claims_per_s: float) -> dict[str, Any]:
+    """Simulate claims, then the loss and the return of a member and of a hall; return the figures."""
+    simulation = Simulation(count, halls, seed)
+    world = simulation.world
+    simulation.run(2000.0, claims_per_s)
+    message_counts = dict(world.counts)
+    result: dict[str, Any] = {
         "keys": len(world.ran),
-        "messages_a_write": round((quiet["Ask"] + quiet["Vote"] + quiet.get("Ended", 0)) / max(1, len(world.ran)), 2),
+        "messages_a_write": round(
+            (message_counts["Ask"] + message_counts["Vote"] + message_counts.get("Ended", 0)) / max(1, len(world.ran)),
+            2,
+        ),
     }
-    hall = [name for name in world.machines if world.placement.halls[name] == "hall1"]
-    for what, names in (("one", ["n001"]), ("hall", hall)):
+    hall_members = [name for name in world.machines if world.placement.halls[name] == "hall1"]
+    for loss, names in (("one", ["n001"]), ("hall", hall_members)):
         for name in names:
             world.crash(name, disk_lost=True)
-        lost = playing.bare()
-        playing.run(world.now + 1000.0, claims_per_s)
+        under_replicated = simulation.count_under_replicated()
+        simulation.run(world.now + 1000.0, claims_per_s)
         for name in names:
             world.restart(name)
-        began = world.now
-        while world.now < began + 60_000.0:
-            playing.run(world.now + 50.0, claims_per_s)
+        began_ms = world.now
+        while world.now < began_ms + 60_000.0:
+            simulation.run(world.now + 50.0, claims_per_s)
             if all(world.machines[name].registers.votes_on_all_keys for name in names):
                 break
-        told[f"loss_of_{what}"] = {
+        result[f"loss_of_{loss}"] = {
             "members": len(names),
-            "bare_after": lost,
-            "bare_after_refill": playing.bare(),
-            "all_vote_after_ms": round(world.now - began),
+            "bare_after": under_replicated,
+            "bare_after_refill": simulation.count_under_replicated(),
+            "all_vote_after_ms": round(world.now - began_ms),
         }
-    told["wrong"] = len(world.wrong)
-    return told
+    result["wrong"] = len(world.wrong)
+    return result
 
 
-def heartbeats(count: int, halls: int) -> dict[str, float]:
-    """Beats a second over the fleet, and how long until all know of a death: hearts alone, a hop of 0.5 ms."""
-    names = halls_of(count, halls)
-    pace = who.HeartbeatTiming()
-    all_ = {name: who.Membership(f"{name}#1", names, pace, 0.0) for name in names}
-    for one in all_.values():
+def measure_heartbeats(count: int, halls: int) -> dict[str, float]:
+    """Return the heartbeats per second of the fleet, and the time until all members know of a death.
+
+    Only the membership state machines run, with a hop of 0.5 ms.
+    """
+    names = assign_halls(count, halls)
+    timing = membership.HeartbeatTiming()
+    machines = {name: membership.Membership(f"{name}#1", names, timing, 0.0) for name in names}
+    for machine in machines.values():
         for name in names:
-            one.handle(0.0, who.MessageReceived(f"{name}#1"))
-    sent, dead, knew, now = 0, "n001", dict[str, float](), 0.0
-    words: list[tuple[str, who.Event]] = []
-    while now < 6000.0 and len(knew) < count - 1:
+            machine.handle(0.0, membership.MessageReceived(f"{name}#1"))
+    sent, dead, known_at_ms, now = 0, "n001", dict[str, float](), 0.0
+    messages: list[tuple[str, membership.Event]] = []
+    while now < 6000.0 and len(known_at_ms) < count - 1:
         now += 50.0
-        incoming, words = words, []
-        for to, event in incoming:
-            if to == dead and now > 2000.0:
+        incoming, messages = messages, []
+        for target, event in incoming:
+            if target == dead and now > 2000.0:
                 continue
-            for action in all_[to].handle(now, event):
-                if isinstance(action, who.Died):
-                    knew.setdefault(to, now)
-        for name, one in all_.items():
+            for action in machines[target].handle(now, event):
+                if isinstance(action, membership.Died):
+                    known_at_ms.setdefault(target, now)
+        for name, machine in machines.items():
             if name == dead and now > 2000.0:
                 continue
-            for action in one.handle(now, who.Tick()):
+            for action in machine.handle(now, membership.Tick()):
                 match action:
-                    case who.SendHeartbeat(to):
+                    case membership.SendHeartbeat(target):
                         sent += now <= 2000.0
-                        words.append((to, who.MessageReceived(f"{name}#1")))
-                    case who.Accuse(identity, lapsed):
-                        words += [(other, who.Accused(name, identity, lapsed)) for other in names if other != name]
-                    case who.Died():
-                        knew.setdefault(name, now)
+                        messages.append((target, membership.MessageReceived(f"{name}#1")))
+                    case membership.Accuse(identity, lapsed):
+                        messages += [
+                            (member, membership.Accused(name, identity, lapsed)) for member in names if member != name
+                        ]
+                    case membership.Died():
+                        known_at_ms.setdefault(name, now)
     return {
         "beats_a_second": round(sent / 2.0),
-        "all_know_after_ms": max(knew.values()) - 2000.0,
-        "who_know": len(knew),
+        "all_know_after_ms": max(known_at_ms.values()) - 2000.0,
+        "who_know": len(known_at_ms),
     }
 
 
-def memory(keys: int = 50_000, result: int = 64) -> dict[str, int]:
-    """Bytes that one holder keeps for a key that has ended, by what the process grows."""
+def measure_memory(keys: int = 50_000, result_bytes: int = 64) -> dict[str, int]:
+    """Return the memory that one replica holder uses per finished key, by the growth of this process."""
 
     def resident() -> int:
         return int(Path("/proc/self/statm").read_text().split()[1]) * resource.getpagesize()
@@ -193,7 +208,7 @@
     placement = Placement({"n1": "a", "n2": "b", "n3": "c"}, 3)
     registers = Registers("n1", 1, placement, HolderBounds(), True, 0.0)
     gc.collect()
-    before = resident()
+    bytes_before = resident()
     for number in range(keys):
         value = Value(
             Stage.FINISHED,
@@ -202,7 +217,7 @@
             number.to_bytes(16, "big"),
             30_000.0,
             Outcome.OK,
-            number.to_bytes(result, "big"),
+            number.to_bytes(result_bytes, "big"),
         )
         registers.merge(
             0.0, Entry(("submit-time", f"key-{number:08d}"), (2, "n2#18f2c0a1"), (1, "n2#18f2c0a1"), value, 30_000.0)
@@ -210,8 +225,8 @@
     gc.collect()
     return {
         "keys": keys,
-        "bytes_of_a_result": result,
-        "resident_bytes_a_key": (resident() - before) // keys,
+        "bytes_of_a_result": result_bytes,
+        "resident_bytes_a_key": (resident() - bytes_before) // keys,
         "counted_bytes_a_key": registers.stored_bytes // keys,
     }
 
@@ -221,23 +236,23 @@
     parser.add_argument("--members", type=int, default=300)
     parser.add_argument("--halls", type=int, default=3)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--claims", type=float, default=500.0, help="a second, over the fleet")
-    parser.add_argument("--out", type=Path, help="write the result here too")
-    given = parser.parse_args()
-    told = {
-        "members": given.members,
-        "halls": given.halls,
-        "seed": given.seed,
-        "memory": memory(),
-        "placement": moved(given.members, given.halls),
-        "membership": heartbeats(given.members, given.halls),
-        "copies": play(given.members, given.halls, given.seed, given.claims),
+    parser.add_argument("--claims", type=float, default=500.0, help="claims per second over the fleet")
+    parser.add_argument("--out", type=Path, help="also write the result to this file")
+    options = parser.parse_args()
+    result = {
+        "members": options.members,
+        "halls": options.halls,
+        "seed": options.seed,
+        "memory": measure_memory(),
+        "placement": measure_moves(options.members, options.halls),
+        "membership": measure_heartbeats(options.members, options.halls),
+        "copies": simulate_losses(options.members, options.halls, options.seed, options.claims),
     }
-    text = json.dumps(told, indent=1)
+    text = json.dumps(result, indent=1)
     print(text)
-    if given.out:
-        given.out.write_text(text + "\n")
-    sys.exit(3 if told["copies"]["wrong"] else 0)
+    if options.out:
+        options.out.write_text(text + "\n")
+    sys.exit(3 if result["copies"]["wrong"] else 0)
 
 
 if __name__ == "__main__":
