--- a/benchmarks/control_latency.py
+++ b/benchmarks/control_latency.py
@@ -1,8 +1,8 @@
-"""How long a call at the control door takes while callers keep the node's core busy, alone and beside 200 half calls.
+"""Latency of calls to the control endpoint while callers keep the node busy, with and without 200 incomplete calls.
 
     python benchmarks/control_latency.py [--calls N] [--callers N] [--out FILE]
 
-The node runs as a process of its own; callers in three more, each asking again as soon as it is answered.
+The node runs in its own process, and the callers in three more; each sends its next request once it has an answer.
 """
 
 from __future__ import annotations
@@ -20,28 +20,29 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks")]
 
-from request_cost import PLATFORM, WORKERS, ask, cpu_s  # noqa: E402
+from request_cost import PLATFORM, WORKERS, cpu_s, run_callers  # noqa: E402
 
 from flintshift.lab.callers import reply  # noqa: E402
 from flintshift.lab.peers import Pool  # noqa: E402
 from flintshift.lab.rig import Rig  # noqa: E402
 
-SECONDS = 12.0  # for the calls of one row
+ROW_S = 12.0  # longest duration of the calls of a row
 
 
-async def call(port: int) -> float:
-    began = time.perf_counter()
+async def call_control(port: int) -> float:
+    """Make one control call; return how long it took, in ms."""
+    began_s = time.perf_counter()
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(b"GET /control/ready HTTP/1.1\r\nHost: n\r\n\r\n")
     status, _, _ = await reply(reader)
     writer.close()
     assert status == 200
-    return (time.perf_counter() - began) * 1000
+    return (time.perf_counter() - began_s) * 1000
 
 
-async def half(port: int, until: asyncio.Event) -> None:
-    """One that sends half a call, stays, and comes back when it is cut."""
-    while not until.is_set():
+async def send_incomplete_calls(port: int, stopped: asyncio.Event) -> None:
+    """Send an incomplete call, wait until the connection is closed, and connect again, until ``stopped`` is set."""
+    while not stopped.is_set():
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"GET /control/re")
@@ -51,35 +52,40 @@
             await asyncio.sleep(0.01)
 
 
-async def measure(callers: int, calls: int, halves: int) -> dict[str, float]:
+async def measure(callers: int, calls: int, incomplete_calls: int) -> dict[str, float]:
+    """Return the delays in ms of up to ``calls`` control calls under the load of the callers and incomplete calls."""
     with tempfile.TemporaryDirectory(prefix="flintshift-bench-") as name, ProcessPoolExecutor(WORKERS) as executor:
         async with Rig(Path(name), pool=Pool(cores=64), platform=PLATFORM, control=True) as rig:
             assert rig.process is not None
-            loop, until, port = asyncio.get_running_loop(), asyncio.Event(), rig.ports["control"]
-            before, began = cpu_s(rig.process.pid), time.perf_counter()
-            load = [
-                loop.run_in_executor(executor, ask, rig.ports["http"], "http", callers // WORKERS, 1 << 30, number)
+            loop, stopped, port = asyncio.get_running_loop(), asyncio.Event(), rig.ports["control"]
+            cpu_before_s, began_s = cpu_s(rig.process.pid), time.perf_counter()
+            callers_running = [
+                loop.run_in_executor(
+                    executor, run_callers, rig.ports["http"], "http", callers // WORKERS, 1 << 30, number
+                )
                 for number in range(WORKERS)
             ]
-            beside = [asyncio.ensure_future(half(port, until)) for _ in range(halves)]
+            incomplete_callers = [
+                asyncio.ensure_future(send_incomplete_calls(port, stopped)) for _ in range(incomplete_calls)
+            ]
             await asyncio.sleep(1.0)
-            took, end = [], time.perf_counter() + SECONDS
-            while len(took) < calls and time.perf_counter() < end:
-                took.append(await call(port))
+            delays_ms, deadline_s = [], time.perf_counter() + ROW_S
+            while len(delays_ms) < calls and time.perf_counter() < deadline_s:
+                delays_ms.append(await call_control(port))
                 await asyncio.sleep(0.02)
-            busy = (cpu_s(rig.process.pid) - before) / (time.perf_counter() - began)
-            until.set()
+            core_busy = (cpu_s(rig.process.pid) - cpu_before_s) / (time.perf_counter() - began_s)
+            stopped.set()
             await rig.kill()
-            await asyncio.gather(*load, *beside, return_exceptions=True)
-        took.sort()
+            await asyncio.gather(*callers_running, *incomplete_callers, return_exceptions=True)
+        delays_ms.sort()
         return {
             "callers": callers,
-            "half_calls": halves,
-            "calls": len(took),
-            "core_busy": round(busy, 2),
-            "p50_ms": round(statistics.median(took), 1),
-            "p99_ms": round(took[len(took) * 99 // 100], 1),
-            "most_ms": round(took[-1], 1),
+            "half_calls": incomplete_calls,
+            "calls": len(delays_ms),
+            "core_busy": round(core_busy, 2),
+            "p50_ms": round(statistics.median(delays_ms), 1),
+            "p99_ms": round(delays_ms[len(delays_ms) * 99 // 100], 1),
+            "most_ms": round(delays_ms[-1], 1),
         }
 
 
@@ -87,16 +93,16 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--calls", type=int, default=300)
     parser.add_argument("--callers", type=int, default=240)
-    parser.add_argument("--out", type=Path, help="write the result here as JSON")
-    given = parser.parse_args()
+    parser.add_argument("--out", type=Path, help="write the result to this file as JSON")
+    options = parser.parse_args()
     rows = [
-        await measure(callers, given.calls, halves)
-        for callers, halves in ((3, 0), (given.callers, 0), (given.callers, 200))
+        await measure(callers, options.calls, incomplete_calls)
+        for callers, incomplete_calls in ((3, 0), (options.callers, 0), (options.callers, 200))
     ]
     for row in rows:
         print(row)
-    if given.out:
-        given.out.write_text(json.dumps(rows, indent=1) + "\n")
+    if options.out:
+        options.out.write_text(json.dumps(rows, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -1,13 +1,13 @@
-"""CPU a request of the node's own process, throughput and delays: by front, with the ledger off and on.
+"""CPU per request in the node's own process, throughput and delays: by front, with the ledger off and on.
 
     python benchmarks/request_cost.py [--base REV] [--requests N] [--rounds N]
 
-The node runs as a process of its own; the pool and the other stand-ins run in this one and callers in several more,
-so their cost does not count: CPU is what the system accounts to the node (utime and stime in /proc/PID/stat). All
-nodes stand all the time and get short bursts of load in turns, several nodes of each setting, since one process differs
-from another of the same setting by several percent. Ratios are the medians of the rounds' ratios to ``off`` of the same
-round, so that a machine whose speed drifts changes them little.
-``--base`` checks out an earlier version of this repository beside it and has it take turns too (HTTP alone).
+The node runs in its own process, the pool and the other stand-ins in this one, and the callers in several more. CPU
+is the time that the system accounts to the node (utime and stime in /proc/PID/stat), so the stand-ins and callers
+don't count. All nodes run all the time and get short bursts of load in turn. There are several nodes of each setting,
+since two processes of the same setting differ by several percent. Ratios are the medians of the rounds' ratios to
+``off`` of the same round, so that a machine whose speed drifts changes them little.
+``--base`` also measures an earlier version of this repository in turn, over HTTP only.
 """
 
 from __future__ import annotations
@@ -40,62 +40,66 @@
     "process-death": LEDGER.format("process-death", "50ms"),
     "power-cut 5ms": LEDGER.format("power-cut", "5ms"),
     "door": "door: {enabled: true}\n",
-    "file": "log: {enabled: true, level: error}\n",  # that is read, and has nothing to say
+    "file": "log: {enabled: true, level: error}\n",  # read at the start, without effect on requests
 }
 PLATFORM = {"tenants": [{"name": club, "quotaPerS": 100_000.0} for club in CLUBS]}
 
 
-def ask(port: int, front: str, callers: int, most: int, seed: int) -> tuple[int, list[float]]:
-    """One process of callers; returns the answers and the delays in ms."""
+def run_callers(port: int, front: str, callers: int, max_requests: int, seed: int) -> tuple[int, list[float]]:
+    """Run one process of callers; return the number of answers and the delays in ms."""
 
-    async def go() -> tuple[int, list[float]]:
-        tally, never = Tally(), asyncio.Event()
-        all_ = [
+    async def run_all() -> tuple[int, list[float]]:
+        tally, never_stopped = Tally(), asyncio.Event()
+        clients = [
             Caller(port, front, seed * 100 + number, list(CLUBS), tally, seed * 100 + number, keep_ids=False)
             for number in range(callers)
         ]
-        for caller in all_:
+        for caller in clients:
             caller.classes = ("standings", "finish-times")
-        await asyncio.gather(*(caller.run(never, most // callers) for caller in all_))
+        await asyncio.gather(*(caller.run(never_stopped, max_requests // callers) for caller in clients))
         return sum(tally.answers.values()), tally.delays
 
-    return asyncio.run(go())
+    return asyncio.run(run_all())
 
 
 def cpu_s(pid: int) -> float:
+    """Return the CPU seconds that the process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def resident_mb(pid: int) -> float:
+    """Return the resident memory of the process in MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
     return 0.0
 
 
-CONTROL = "control"  # the variant with a control door, and so with the handover
-Run = tuple[str, str, str | None, Path]  # front, variant, operators' file, where the program stands
+CONTROL = "control"  # the variant with a control endpoint, which also enables the handover
+Run = tuple[str, str, str | None, Path]  # front, variant, operators' file, source folder
 
 
 async def burst(
     rig: Rig, front: str, requests: int, callers: int, executor: ProcessPoolExecutor, seed: int
 ) -> dict[str, float]:
-    """Load on one node, which the others leave in peace meanwhile."""
+    """Load one node while the others are idle; return its figures."""
     assert rig.process is not None
     loop, pid = asyncio.get_running_loop(), rig.process.pid
-    before, began = cpu_s(pid), loop.time()
-    parts = await asyncio.gather(
+    cpu_before_s, began_s = cpu_s(pid), loop.time()
+    results = await asyncio.gather(
         *(
-            loop.run_in_executor(executor, ask, rig.ports[front], front, callers, requests // WORKERS, seed + worker)
+            loop.run_in_executor(
+                executor, run_callers, rig.ports[front], front, callers, requests // WORKERS, seed + worker
+            )
             for worker in range(WORKERS)
         )
     )
-    took_s, spent = loop.time() - began, cpu_s(pid) - before
-    answers, delays = sum(part[0] for part in parts), sorted(ms for part in parts for ms in part[1])
+    took_s, cpu_used_s = loop.time() - began_s, cpu_s(pid) - cpu_before_s
+    answers, delays = sum(part[0] for part in results), sorted(ms for part in results for ms in part[1])
     return {
         "answers": answers,
-        "cpu_us": spent / answers * 1e6,
+        "cpu_us": cpu_used_s / answers * 1e6,
         "per_s": answers / took_s,
         "p50_ms": delays[len(delays) // 2],
         "p99_ms": delays[len(delays) * 99 // 100],
@@ -106,7 +110,8 @@
 async def measure(
     runs: list[Run], folder: Path, rounds: int, nodes: int, requests: int, callers: int
 ) -> dict[tuple[str, str], list[dict[str, float]]]:
-    found: dict[tuple[str, str], list[dict[str, float]]] = {run[:2]: [] for run in runs}
+    """Load the nodes of all runs in turn; return by front and variant the mean figures of each round."""
+    figures: dict[tuple[str, str], list[dict[str, float]]] = {run[:2]: [] for run in runs}
     async with AsyncExitStack() as stack:
         executor = stack.enter_context(ProcessPoolExecutor(WORKERS))
         rigs: list[list[Rig]] = []
@@ -127,15 +132,15 @@
                     for node in range(nodes)
                 ]
             )
-        for round_ in range(rounds + 1):  # the first is not counted
-            order = list(range(len(runs)))
-            parts: dict[int, list[dict[str, float]]] = {place: [] for place in order}
+        for round_ in range(rounds + 1):  # round 0 is a warm-up and is not counted
+            indexes = list(range(len(runs)))
+            figures_by_run: dict[int, list[dict[str, float]]] = {index: [] for index in indexes}
             for node in range(nodes):
-                for place in order[round_ % len(order) :] + order[: round_ % len(order)]:
-                    front = runs[place][0]
-                    parts[place].append(
+                for index in indexes[round_ % len(indexes) :] + indexes[: round_ % len(indexes)]:
+                    front = runs[index][0]
+                    figures_by_run[index].append(
                         await burst(
-                            rigs[place][node],
+                            rigs[index][node],
                             front,
                             requests // (1 if front == "http" else 3),
                             callers,
@@ -143,57 +148,60 @@
                             round_ * 10,
                         )
                     )
-            for place, told in parts.items():
+            for index, node_figures in figures_by_run.items():
                 if round_:
-                    found[runs[place][:2]].append(
-                        {name: statistics.mean(one[name] for one in told) for name in told[0]}
+                    figures[runs[index][:2]].append(
+                        {name: statistics.mean(one[name] for one in node_figures) for name in node_figures[0]}
                     )
             print(f"round {round_} of {rounds}", file=sys.stderr, flush=True)
-    return found
+    return figures
 
 
 async def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--base", metavar="REV", help="an earlier version of this repository to take turns with")
-    parser.add_argument("--control", action="store_true", help="also a node with a control door")
-    parser.add_argument("--variants", default=",".join(VARIANTS), help="of the ledger; `off` is always there")
+    parser.add_argument("--base", metavar="REV", help="also measure this earlier version of the repository")
+    parser.add_argument("--control", action="store_true", help="also measure a node with a control endpoint")
+    parser.add_argument(
+        "--variants", default=",".join(VARIANTS), help="variants of the ledger; `off` is always included"
+    )
     parser.add_argument("--fronts", default="http,uwsgi", help="default: %(default)s")
-    parser.add_argument("--requests", type=int, default=1800, help="a burst; a third of that over uwsgi")
+    parser.add_argument("--requests", type=int, default=1800, help="requests of a burst; a third of that over uwsgi")
     parser.add_argument("--rounds", type=int, default=10)
-    parser.add_argument("--nodes", type=int, default=3, help="of each setting; a round's figure is their mean")
-    parser.add_argument("--callers", type=int, default=8, help="in each of the caller processes")
-    parser.add_argument("--out", type=Path, help="write the result here as JSON")
-    given = parser.parse_args()
+    parser.add_argument("--nodes", type=int, default=3, help="nodes of each setting; a round's figure is their mean")
+    parser.add_argument("--callers", type=int, default=8, help="callers in each of the caller processes")
+    parser.add_argument("--out", type=Path, help="write the result to this file as JSON")
+    options = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="flintshift-bench-") as name:
         folder = Path(name)
         runs: list[Run] = [
             (front, variant, settings, ROOT)
-            for front in given.fronts.split(",")
+            for front in options.fronts.split(",")
             for variant, settings in VARIANTS.items()
-            if variant == "off" or variant in given.variants.split(",")
+            if variant == "off" or variant in options.variants.split(",")
         ]
-        if given.control:
-            runs.insert(1, (given.fronts.split(",")[0], CONTROL, None, ROOT))
-        if given.base:
+        if options.control:
+            runs.insert(1, (options.fronts.split(",")[0], CONTROL, None, ROOT))
+        if options.base:
             base = folder / "base"
             base.mkdir()
-            tree = subprocess.run(["git", "archive", given.base], cwd=ROOT, capture_output=True, check=True).stdout
-            subprocess.run(["tar", "-x", "-C", str(base)], input=tree, check=True)
-            runs.insert(0, ("http", f"off at {given.base[:12]}", None, base))
-        found = await measure(runs, folder, given.rounds, given.nodes, given.requests, given.callers)
+            archive = subprocess.run(["git", "archive", options.base], cwd=ROOT, capture_output=True, check=True).stdout
+            subprocess.run(["tar", "-x", "-C", str(base)], input=archive, check=True)
+            runs.insert(0, ("http", f"off at {options.base[:12]}", None, base))
+        figures = await measure(runs, folder, options.rounds, options.nodes, options.requests, options.callers)
     table = []
     print(
         f"{'front':<7}{'ledger':<22}{'CPU us':>8}{'to off':>8}{'per s':>8}{'to off':>8}{'p50 ms':>8}{'p99 ms':>8}"
         f"{'RSS MB':>8}"
     )
-    for (front, variant), rounds in found.items():
+    for (front, variant), rounds in figures.items():
         row: dict[str, Any] = {"front": front, "ledger": variant}
         for field in ("cpu_us", "per_s", "p50_ms", "p99_ms", "rss_mb"):
-            row[field] = round(statistics.median(one[field] for one in rounds), 2)
+            row[field] = round(statistics.median(figure[field] for figure in rounds), 2)
         for field in ("cpu_us", "per_s"):
             row[f"{field}_to_off"] = round(
                 statistics.median(
-                    one[field] / off[field] for one, off in zip(rounds, found[front, "off"], strict=True)
+                    figure[field] / off_figure[field]
+                    for figure, off_figure in zip(rounds, figures[front, "off"], strict=True)
                 ),
                 3,
             )
@@ -202,9 +210,9 @@
             f"{front:<7}{variant:<22}{row['cpu_us']:>8.0f}{row['cpu_us_to_off']:>8.3f}{row['per_s']:>8.0f}"
             f"{row['per_s_to_off']:>8.3f}{row['p50_ms']:>8.2f}{row['p99_ms']:>8.2f}{row['rss_mb']:>8.1f}"
         )
-    if given.out:
-        given.out.write_text(
-            json.dumps({"requests": given.requests, "rounds": given.rounds, "rows": table}, indent=1) + "\n"
+    if options.out:
+        options.out.write_text(
+            json.dumps({"requests": options.requests, "rounds": options.rounds, "rows": table}, indent=1) + "\n"
         )
 
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,10 +1,11 @@
-"""What an upgrade under load costs: answers lost, delays beside those of steady seconds, the start, memory of both.
+"""Cost of an upgrade under load: lost answers, delays relative to the steady state, start time, memory of both nodes.
 
     python benchmarks/upgrade.py [--upgrades N] [--callers N] [--out FILE]
 
-The node runs as a process of its own; pools and other stand-ins run in this one, callers in three more, each asking
-again as soon as it is answered. Delays during an upgrade (from the start of the new process to the end of the older)
-stand beside those of the steady second before it, so that a machine whose speed drifts changes their ratio little.
+The node runs in its own process, pools and other stand-ins in this one, and the callers in three more; each sends its
+next request once it has an answer. Delays during an upgrade (from the start of the new process to the end of the older
+one) are compared with those of the steady second before it, so that a machine whose speed drifts changes their ratio
+little.
 """
 
 from __future__ import annotations
@@ -33,94 +34,98 @@
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
 STEADY_S = 1.0
-# When it was asked, ms till the answer, status (0: the connection ended without one), id, result; of a write its key.
+# Time of the request, ms until the answer, status (0: the connection ended without one), id, result, key of a write.
 Answer = tuple[float, float, int, str, bytes, str]
 
 
-def load(ports: dict[str, int], callers: int, until: float, seed: int) -> list[Answer]:
-    """One process of callers, by turns on each front; half of the requests are writes, each of which comes twice."""
+def run_callers(ports: dict[str, int], callers: int, deadline_s: float, seed: int) -> list[Answer]:
+    """Run one process of callers, alternating over the fronts; half of the requests are writes, each sent twice."""
 
-    async def caller(number: int, told: list[Answer]) -> None:
+    async def caller(number: int, answers: list[Answer]) -> None:
         front = sorted(ports)[number % len(ports)]
-        draw, link, turn = random.Random(seed * 1000 + number), None, 0
-        while time.time() < until:
+        rng, connection, turn = random.Random(seed * 1000 + number), None, 0
+        while time.time() < deadline_s:
             turn += 1
             class_name, pair = "submit-time" if turn % 4 < 2 else "standings", turn // 2
-            rid, key = f"{draw.getrandbits(64):016x}", f"{seed}-{number}-{pair}" if turn % 4 < 2 else ""
-            fields = fields_of(rid, list(CLUBS)[pair % len(CLUBS)], class_name, number, turn % 2 == 1)
+            request_id, key = f"{rng.getrandbits(64):016x}", f"{seed}-{number}-{pair}" if turn % 4 < 2 else ""
+            fields = fields_of(request_id, list(CLUBS)[pair % len(CLUBS)], class_name, number, turn % 2 == 1)
             fields["X-Unique"] = key or "none"
-            began = time.time()
+            began_s = time.time()
             try:
-                if link is None:
-                    link = await asyncio.open_connection("127.0.0.1", ports[front])
-                link[1].write(REQUESTS[front](class_name, b"12:01.5", fields))
-                status, result, stays = await reply(link[0])
-                stays = stays and front == "http"
+                if connection is None:
+                    connection = await asyncio.open_connection("127.0.0.1", ports[front])
+                connection[1].write(REQUESTS[front](class_name, b"12:01.5", fields))
+                status, result, keep_alive = await reply(connection[0])
+                keep_alive = keep_alive and front == "http"
             except (OSError, asyncio.IncompleteReadError):
-                status, result, stays = 0, b"", False
-            told.append((began, (time.time() - began) * 1000, status, rid, result, key))
-            if not stays and link is not None:
-                link[1].close()
-                link = None
+                status, result, keep_alive = 0, b"", False
+            answers.append((began_s, (time.time() - began_s) * 1000, status, request_id, result, key))
+            if not keep_alive and connection is not None:
+                connection[1].close()
+                connection = None
 
-    async def go() -> list[Answer]:
-        told: list[Answer] = []
-        await asyncio.gather(*(caller(number, told) for number in range(callers)))
-        return told
+    async def run_all() -> list[Answer]:
+        answers: list[Answer] = []
+        await asyncio.gather(*(caller(number, answers) for number in range(callers)))
+        return answers
 
-    return asyncio.run(go())
+    return asyncio.run(run_all())
 
 
 def percentile(delays: list[float], share: float) -> float:
+    """Return the quantile ``share`` of the delays, or 0 if there are none."""
     return sorted(delays)[int(len(delays) * share)] if delays else 0.0
 
 
 async def measure_upgrades(
     upgrades: int, callers: int, uwsgi: bool = False, steady_s: float = STEADY_S
 ) -> dict[str, float]:
+    """Upgrade a node under load ``upgrades`` times; return the counts of answers and the median costs."""
     rows: list[dict[str, float]] = []
     windows: list[tuple[float, float]] = []
     with tempfile.TemporaryDirectory(prefix="flintshift-bench-") as name, ProcessPoolExecutor(WORKERS) as executor:
         async with Rig(Path(name), pool=Pool(cores=64), platform=PLATFORM, control=True, uwsgi=uwsgi) as rig:
-            until = time.time() + 0.5 + upgrades * (steady_s + 0.8)
+            deadline_s = time.time() + 0.5 + upgrades * (steady_s + 0.8)
             ports = {front: rig.ports[front] for front in (("http", "uwsgi") if uwsgi else ("http",))}
             loop = asyncio.get_running_loop()
-            asked = [
-                loop.run_in_executor(executor, load, ports, callers // WORKERS, until, number)
+            callers_running = [
+                loop.run_in_executor(executor, run_callers, ports, callers // WORKERS, deadline_s, number)
                 for number in range(WORKERS)
             ]
             await asyncio.sleep(0.5)
             for _ in range(upgrades):
                 await asyncio.sleep(steady_s)
-                began = time.time()
-                older = await rig.beside()
+                began_s = time.time()
+                predecessor = await rig.beside()
                 assert rig.process is not None
                 row = {
-                    "ready_ms": (time.time() - began) * 1000,
+                    "ready_ms": (time.time() - began_s) * 1000,
                     "start_cpu_ms": cpu_s(rig.process.pid) * 1000,
-                    "older_mb": resident_mb(older.pid),
+                    "older_mb": resident_mb(predecessor.pid),
                     "newer_mb": resident_mb(rig.process.pid),
                 }
-                told = time.time()
-                older.send_signal(signal.SIGTERM)
-                assert await older.wait() == 0
-                rows.append(row | {"left_ms": (time.time() - told) * 1000})
-                windows.append((began, time.time()))
-            answers = [answer for part in await asyncio.gather(*asked) for answer in part]
-            ran = {rid for pool in (rig.pool, rig.apps, *rig.pools) for rid in pool.spawned}
-    during = [ms for begin, end in windows for at, ms, *_ in answers if begin <= at < end]
-    steady = [ms for begin, _ in windows for at, ms, *_ in answers if begin - steady_s <= at < begin] or during
-    keys = Counter(key for *_, rid, _, key in answers if key and rid in ran)
+                signalled_s = time.time()
+                predecessor.send_signal(signal.SIGTERM)
+                assert await predecessor.wait() == 0
+                rows.append(row | {"left_ms": (time.time() - signalled_s) * 1000})
+                windows.append((began_s, time.time()))
+            answers = [answer for part in await asyncio.gather(*callers_running) for answer in part]
+            spawned = {request_id for pool in (rig.pool, rig.apps, *rig.pools) for request_id in pool.spawned}
+    during = [ms for begin, end in windows for asked_s, ms, *_ in answers if begin <= asked_s < end]
+    steady = [
+        ms for begin, _ in windows for asked_s, ms, *_ in answers if begin - steady_s <= asked_s < begin
+    ] or during
+    keys = Counter(key for *_, request_id, _, key in answers if key and request_id in spawned)
     results = {(key, result) for _, _, status, _, result, key in answers if key and status == 200}
-    of = Counter(status for _, _, status, *_ in answers)
+    status_counts = Counter(status for _, _, status, *_ in answers)
     return {
         "upgrades": len(rows),
         "callers": callers,
         "answers": len(answers),
-        "lost_at_the_door": of[0],
-        "served": of[200],
-        "refused": of[429] + of[503],
-        "failed": of[500] + of[409],
+        "lost_at_the_door": status_counts[0],
+        "served": status_counts[200],
+        "refused": status_counts[429] + status_counts[503],
+        "failed": status_counts[500] + status_counts[409],
         "writes_run": len(keys),
         "second_runs": sum(keys.values()) - len(keys),
         "writes_served": len({key for key, _ in results}),
@@ -137,13 +142,13 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--upgrades", type=int, default=8)
     parser.add_argument("--callers", type=int, default=24)
-    parser.add_argument("--out", type=Path, help="write the result here as JSON")
-    given = parser.parse_args()
-    told = await measure_upgrades(given.upgrades, given.callers)
-    for name, value in told.items():
+    parser.add_argument("--out", type=Path, help="write the result to this file as JSON")
+    options = parser.parse_args()
+    result = await measure_upgrades(options.upgrades, options.callers)
+    for name, value in result.items():
         print(f"{name:<20}{value:>12}")
-    if given.out:
-        given.out.write_text(json.dumps(told, indent=1) + "\n")
+    if options.out:
+        options.out.write_text(json.dumps(result, indent=1) + "\n")
 
 
 if __name__ == "__main__":
