--- a/benchmarks/control_latency.py
+++ b/benchmarks/control_latency.py
@@ -59,13 +59,13 @@
             assert rig.process is not None
             loop, stopped, port = asyncio.get_running_loop(), asyncio.Event(), rig.ports["control"]
             cpu_before_s, began_s = cpu_s(rig.process.pid), time.perf_counter()
-            callers_running = [
+            caller_tasks = [
                 loop.run_in_executor(
                     executor, run_callers, rig.ports["http"], "http", callers // WORKERS, 1 << 30, number
                 )
                 for number in range(WORKERS)
             ]
-            incomplete_callers = [
+            incomplete_call_tasks = [
                 asyncio.ensure_future(send_incomplete_calls(port, stopped)) for _ in range(incomplete_calls)
             ]
             await asyncio.sleep(1.0)
@@ -76,7 +76,7 @@
             core_busy = (cpu_s(rig.process.pid) - cpu_before_s) / (time.perf_counter() - began_s)
             stopped.set()
             await rig.kill()
-            await asyncio.gather(*callers_running, *incomplete_callers, return_exceptions=True)
+            await asyncio.gather(*caller_tasks, *incomplete_call_tasks, return_exceptions=True)
         delays_ms.sort()
         return {
             "callers": callers,
--- a/benchmarks/copies_loss.py
+++ b/benchmarks/copies_loss.py
@@ -95,7 +95,7 @@
         await fleet.until_linked()
         member_lost, finished = asyncio.Event(), asyncio.Event()
 
-        async def caller(name: str, number: int, measured: bool) -> None:
+        async def run_caller(name: str, number: int, measured: bool) -> None:
             for count in range(1_000_000):
                 if finished.is_set():
                     return
@@ -116,8 +116,8 @@
                 if second_answer is not None:
                     return_statuses.append(second_answer.status)
 
-        callers = [asyncio.ensure_future(caller("n1", number, True)) for number in range(30)]
-        callers += [asyncio.ensure_future(caller("n2", number, False)) for number in range(12)]
+        callers = [asyncio.ensure_future(run_caller("n1", number, True)) for number in range(30)]
+        callers += [asyncio.ensure_future(run_caller("n2", number, False)) for number in range(12)]
         await asyncio.sleep(4.0)
         if lose_member:
             await fleet.kill("n1")
--- a/benchmarks/copies_model.py
+++ b/benchmarks/copies_model.py
@@ -49,9 +49,12 @@
         reduced_placement, must_move, moved = Placement(remaining_members, 3), 0, 0
         departed = set(names) - set(remaining_members)
         for slot in slots:
-            before, after = set(full_placement._compute_holders(slot)), set(reduced_placement._compute_holders(slot))
-            moved += len(after - before)
-            must_move += bool(before & departed)
+            holders_before, holders_after = (
+                set(full_placement._compute_holders(slot)),
+                set(reduced_placement._compute_holders(slot)),
+            )
+            moved += len(holders_after - holders_before)
+            must_move += bool(holders_before & departed)
         return moved / (3 * SLOT_COUNT), must_move / (3 * SLOT_COUNT)
 
     without_member = compute_shares({name: hall for name, hall in names.items() if name != "n001"})
--- a/benchmarks/door_surge.py
+++ b/benchmarks/door_surge.py
@@ -38,9 +38,8 @@
 USUAL_PER_S, CALLERS_PER_CLUB = 20.0, 8  # requests per second of a club, and the number of its callers
 MAX_WAIT_MS = 1000.0  # the longest retry time that the embedded configuration allows
 FRONTS = ("http", "uwsgi")
-RequestCounts = dict[
-    str, tuple[int, int]
-]  # requests and served ones by club; those of the surging club by "usual" and "surge"
+# Requests and served requests by club; those of the surging club by "usual" and "surge".
+RequestCounts = dict[str, tuple[int, int]]
 
 
 def run_callers(
@@ -146,18 +145,18 @@
                 )
                 rigs[variant].apps.beside, rigs[variant].apps.took_ms = rigs[variant].pool, RUN_MS
             for round_ in range(rounds):
-                before = await load_in_turn(rigs, 1.0, one_caller, False, seconds, 10 + round_, executor)
-                surge = await load_in_turn(rigs, times, one_caller, heed, seconds, 20 + round_, executor)
+                counts_before = await load_in_turn(rigs, 1.0, one_caller, False, seconds, 10 + round_, executor)
+                counts_in_surge = await load_in_turn(rigs, times, one_caller, heed, seconds, 20 + round_, executor)
                 for variant in rigs:
                     row = kept_shares.setdefault(variant, {})
-                    for kind, (asked, served) in surge[variant].items():
-                        usual = before[variant].get(kind, before[variant]["usual"])
+                    for kind, (asked, served) in counts_in_surge[variant].items():
+                        usual = counts_before[variant].get(kind, counts_before[variant]["usual"])
                         if kind.startswith("came back"):  # for returning callers the served share itself
                             usual = (1, 1)
                             row.setdefault(f"{kind}, number", []).append(asked)
                         row.setdefault(kind, []).append(served / asked / (usual[1] / usual[0]))
     return {
-        variant: {kind: round(statistics.median(parts), 3) for kind, parts in row.items()}
+        variant: {kind: round(statistics.median(shares), 3) for kind, shares in row.items()}
         for variant, row in kept_shares.items()
     }
 
--- a/benchmarks/drain_soak.py
+++ b/benchmarks/drain_soak.py
@@ -34,14 +34,14 @@
 
 async def soak(runs: int, parallel: int, seed: int) -> dict[str, Any]:
     """Run the drains of all seeds in parallel; return the sum of their reports."""
-    broken, seen, failed = Counter[str](), Counter[str](), []
+    broken, observed, failed = Counter[str](), Counter[str](), []
     began_s, loop = time.monotonic(), asyncio.get_running_loop()
     with ProcessPoolExecutor(parallel) as processes:
         drains = [loop.run_in_executor(processes, run_drain, number) for number in range(seed, seed + runs)]
         for done in asyncio.as_completed(drains):
             report = await done
             broken.update(report["broken"])
-            seen.update(report["seen"])
+            observed.update(report["seen"])
             if report["broken"]:
                 failed.append(report)
                 print(report["plan"]["seed"], report["broken"], report["examples"][:3], file=sys.stderr, flush=True)
@@ -51,7 +51,7 @@
         "took_s": round(time.monotonic() - began_s, 1),
         "wrong": len(failed),
         "broken": dict(broken),
-        "seen": dict(sorted(seen.items())),
+        "seen": dict(sorted(observed.items())),
         "failed": sorted(failed, key=lambda report: report["plan"]["seed"]),
     }
 
--- a/benchmarks/kill_exporter.py
+++ b/benchmarks/kill_exporter.py
@@ -59,13 +59,13 @@
         apply(Tick())
     if rng.random() < 0.5:  # a late correction of a closed period
         begin = documents.parse(ledger_folder.accounts.state.documents[0].data).period_ms
-        before = ledger_folder.accounts.state.number
+        documents_before = ledger_folder.accounts.state.number
         apply(
             CorrectionRequested(
                 "c1", "op", "late", begin, CLUBS[0], CLASSES[0], "http", "served", (3, 0, 0, 0, 0, 0, 0), (0,) * 7, 1000
             )
         )
-        served += 3 * (ledger_folder.accounts.state.number - before)
+        served += 3 * (ledger_folder.accounts.state.number - documents_before)
     ledger_folder.write_documents(ledger_folder.accounts.state.documents)
     ledger_folder.append([Ended(now)])
     ledger_folder.close()
--- a/benchmarks/kill_node.py
+++ b/benchmarks/kill_node.py
@@ -106,7 +106,7 @@
     for (club, class_name, front, outcome), count in rows.items():
         recorded[club, class_name, front, {"poorer": "served"}.get(outcome, outcome)] += count
     departed = sum(count for row_key, count in recorded.items() if row_key[3] == "gone")
-    for row_key in answered.keys() | {key for key in recorded if key[3] != "gone"}:
+    for row_key in answered.keys() | {recorded_key for recorded_key in recorded if recorded_key[3] != "gone"}:
         if answered[row_key] != recorded[row_key]:
             # An answer may have left the node without reaching its caller whole, which then did not count it.
             recorded_unseen += max(0, recorded[row_key] - answered[row_key])
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -21,16 +21,16 @@
     ``run_one`` returns the number of violations so far. Progress is printed after every ``progress_interval`` runs.
     """
     slots, began_s, done = asyncio.Semaphore(parallel), time.monotonic(), 0
-    with tempfile.TemporaryDirectory(prefix="flintshift-kill-") as name:
+    with tempfile.TemporaryDirectory(prefix="flintshift-kill-") as folder:
 
         async def run(number: int) -> None:
             nonlocal done
             async with slots:
-                wrong = await run_one(number, Path(name))
+                violations = await run_one(number, Path(folder))
             done += 1
             if done % progress_interval == 0:
                 print(
-                    f"{done} of {runs} runs, {wrong} wrong, {time.monotonic() - began_s:.0f} s",
+                    f"{done} of {runs} runs, {violations} wrong, {time.monotonic() - began_s:.0f} s",
                     file=sys.stderr,
                     flush=True,
                 )
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -80,7 +80,7 @@
 Run = tuple[str, str, str | None, Path]  # front, variant, operators' file, source folder
 
 
-async def burst(
+async def measure_burst(
     rig: Rig, front: str, requests: int, callers: int, executor: ProcessPoolExecutor, seed: int
 ) -> dict[str, float]:
     """Load one node while the others are idle; return its figures."""
@@ -139,7 +139,7 @@
                 for index in indexes[round_ % len(indexes) :] + indexes[: round_ % len(indexes)]:
                     front = runs[index][0]
                     figures_by_run[index].append(
-                        await burst(
+                        await measure_burst(
                             rigs[index][node],
                             front,
                             requests // (1 if front == "http" else 3),
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -41,7 +41,7 @@
 def run_callers(ports: dict[str, int], callers: int, deadline_s: float, seed: int) -> list[Answer]:
     """Run one process of callers, alternating over the fronts; half of the requests are writes, each sent twice."""
 
-    async def caller(number: int, answers: list[Answer]) -> None:
+    async def run_caller(number: int, answers: list[Answer]) -> None:
         front = sorted(ports)[number % len(ports)]
         rng, connection, turn = random.Random(seed * 1000 + number), None, 0
         while time.time() < deadline_s:
@@ -66,7 +66,7 @@
 
     async def run_all() -> list[Answer]:
         answers: list[Answer] = []
-        await asyncio.gather(*(caller(number, answers) for number in range(callers)))
+        await asyncio.gather(*(run_caller(number, answers) for number in range(callers)))
         return answers
 
     return asyncio.run(run_all())
@@ -88,7 +88,7 @@
             deadline_s = time.time() + 0.5 + upgrades * (steady_s + 0.8)
             ports = {front: rig.ports[front] for front in (("http", "uwsgi") if uwsgi else ("http",))}
             loop = asyncio.get_running_loop()
-            callers_running = [
+            caller_tasks = [
                 loop.run_in_executor(executor, run_callers, ports, callers // WORKERS, deadline_s, number)
                 for number in range(WORKERS)
             ]
@@ -109,12 +109,12 @@
                 assert await predecessor.wait() == 0
                 rows.append(row | {"left_ms": (time.time() - signalled_s) * 1000})
                 windows.append((began_s, time.time()))
-            answers = [answer for part in await asyncio.gather(*callers_running) for answer in part]
+            answers = [answer for task_answers in await asyncio.gather(*caller_tasks) for answer in task_answers]
             spawned = {request_id for pool in (rig.pool, rig.apps, *rig.pools) for request_id in pool.spawned}
-    during = [ms for begin, end in windows for asked_s, ms, *_ in answers if begin <= asked_s < end]
-    steady = [
+    delays_during_ms = [ms for begin, end in windows for asked_s, ms, *_ in answers if begin <= asked_s < end]
+    delays_steady_ms = [
         ms for begin, _ in windows for asked_s, ms, *_ in answers if begin - steady_s <= asked_s < begin
-    ] or during
+    ] or delays_during_ms
     keys = Counter(key for *_, request_id, _, key in answers if key and request_id in spawned)
     results = {(key, result) for _, _, status, _, result, key in answers if key and status == 200}
     status_counts = Counter(status for _, _, status, *_ in answers)
@@ -131,10 +131,10 @@
         "writes_served": len({key for key, _ in results}),
         "results_of_writes": len(results),
         **{name: round(statistics.median(row[name] for row in rows), 1) for name in rows[0]},
-        "p50_to_steady": round(percentile(during, 0.5) / percentile(steady, 0.5), 2),
-        "p99_to_steady": round(percentile(during, 0.99) / percentile(steady, 0.99), 2),
-        "p99_ms_steady": round(percentile(steady, 0.99), 1),
-        "p99_ms_during": round(percentile(during, 0.99), 1),
+        "p50_to_steady": round(percentile(delays_during_ms, 0.5) / percentile(delays_steady_ms, 0.5), 2),
+        "p99_to_steady": round(percentile(delays_during_ms, 0.99) / percentile(delays_steady_ms, 0.99), 2),
+        "p99_ms_steady": round(percentile(delays_steady_ms, 0.99), 1),
+        "p99_ms_during": round(percentile(delays_during_ms, 0.99), 1),
     }
 
 
