--- a/tests/fleet/test_refusing_disks.py
+++ b/tests/fleet/test_refusing_disks.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from flintshift.cli.asking import ask
+from flintshift.cli.status_client import query_status
 from flintshift.lab.chaos_replication import COPIES, HALLS, DiskRefusal, Load, run_rounds
 from flintshift.lab.fleet import Fleet, usage_settings
 from flintshift.replication.store import STATUS_SOCKET
@@ -48,7 +48,7 @@
 
 async def read_status(fleet, name):
     """Return the replication status that the member reports to operators."""
-    return json.loads(await asyncio.to_thread(ask, fleet.members[name].home / "copies" / STATUS_SOCKET))
+    return json.loads(await asyncio.to_thread(query_status, fleet.members[name].home / "copies" / STATUS_SOCKET))
 
 
 async def test_while_one_members_disk_is_full_the_others_serve_and_it_recovers_by_itself(tmp_path):
