--- a/benchmarks/control_latency.py
+++ b/benchmarks/control_latency.py
@@ -23,8 +23,8 @@
 from request_cost import PLATFORM, WORKERS, ask, cpu_s  # noqa: E402
 
 from flintshift.lab.callers import reply  # noqa: E402
-from flintshift.lab.peers import Pool  # noqa: E402
 from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.standins import Pool  # noqa: E402
 
 SECONDS = 12.0  # for the calls of one row
 
--- a/benchmarks/disk_faults.py
+++ b/benchmarks/disk_faults.py
@@ -22,8 +22,8 @@
 from kills import command, many  # noqa: E402
 
 from flintshift.lab.callers import Tally  # noqa: E402
-from flintshift.lab.peers import Pool  # noqa: E402
 from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.standins import Pool  # noqa: E402
 from flintshift.lab.syscall_faults import NO_FAULTS, Rates, SyscallFaults  # noqa: E402
 
 REFUSED = Rates(disk=200)
--- a/benchmarks/kill_node.py
+++ b/benchmarks/kill_node.py
@@ -25,8 +25,8 @@
 from kills import command, many  # noqa: E402
 
 from flintshift.lab.callers import Caller, Tally  # noqa: E402
-from flintshift.lab.peers import Pool  # noqa: E402
 from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.standins import Pool  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 from flintshift.storage.files import DiskFiles  # noqa: E402
 from flintshift.storage.snapshot import UNFINISHED_SUFFIX  # noqa: E402
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -19,8 +19,8 @@
 import time
 from pathlib import Path
 
-from flintshift.lab.peers import Pool
 from flintshift.lab.ports import free_ports
+from flintshift.lab.standins import Pool
 from flintshift.settings.embedded import configuration
 
 PING = b"GET /ping HTTP/1.1\r\nHost: node\r\n\r\n"
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -29,8 +29,8 @@
 sys.path.insert(0, str(ROOT))
 
 from flintshift.lab.callers import Caller, Tally  # noqa: E402
-from flintshift.lab.peers import Pool  # noqa: E402
 from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.standins import Pool  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
 WORKERS = 3
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -28,8 +28,8 @@
 from request_cost import PLATFORM, WORKERS, cpu_s, resident_mb  # noqa: E402
 
 from flintshift.lab.callers import REQUESTS, fields_of, reply  # noqa: E402
-from flintshift.lab.peers import Pool  # noqa: E402
 from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.standins import Pool  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
 STEADY_S = 1.0
--- a/flintshift/lab/demo.py
+++ b/flintshift/lab/demo.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from flintshift.lab.callers import Caller, Tally
-from flintshift.lab.peers import Names, Pool, Vault
 from flintshift.lab.rig import Rig
+from flintshift.lab.standins import Names, Pool, Vault
 from flintshift.settings.embedded import CLUBS, PORTS
 from flintshift.storage.files import DiskFiles
 from flintshift.usage import documents
--- a/flintshift/lab/drain_soak.py
+++ b/flintshift/lab/drain_soak.py
@@ -19,8 +19,8 @@
 
 from flintshift.lab.callers import http_request, uwsgi_request
 from flintshift.lab.drain_history import End, Process, Try, Verdict, judge
-from flintshift.lab.peers import Pool
 from flintshift.lab.rig import Rig
+from flintshift.lab.standins import Pool
 from flintshift.lab.syscall_faults import NO_FAULTS, Call, Rates, SyscallFaults
 from flintshift.lab.termination import Departure, Termination, now_ms
 from flintshift.settings.embedded import CLUBS
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -29,8 +29,8 @@
 from flintshift.lab.callers import fields_of, http_request, reply_with_head
 from flintshift.lab.faults import FaultProxy
 from flintshift.lab.history import Answered, Asked, Broke, Died, Event, Ran, Result, judge
-from flintshift.lab.peers import Names, Pool, Vault
 from flintshift.lab.ports import free_ports
+from flintshift.lab.standins import Names, Pool, Vault
 from flintshift.lab.syscall_faults import Rates, SyscallFaults
 from flintshift.replication.store import STATUS_SOCKET
 from flintshift.settings.embedded import CLUBS, configuration
--- a/flintshift/lab/rig.py
+++ b/flintshift/lab/rig.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import IO, Any
 
-from flintshift.lab.peers import Apps, Dns, Names, Peer, Pool, Vault
 from flintshift.lab.ports import free_ports
+from flintshift.lab.standins import Apps, Dns, Names, Peer, Pool, Vault
 from flintshift.settings.embedded import configuration
 
 
--- a/flintshift/lab/services.py
+++ b/flintshift/lab/services.py
@@ -6,7 +6,7 @@
 import time
 
 from flintshift.lab.capacity import SLOW_MS, Capacity, Verdict
-from flintshift.lab.peers import HeardReader, Names
+from flintshift.lab.standins import HeardReader, Names
 
 
 def now_ms() -> float:
--- a/tests/door/test_fair_door.py
+++ b/tests/door/test_fair_door.py
@@ -16,8 +16,8 @@
 from flintshift.core.attempts import Answer, Verdict
 from flintshift.lab.callers import fields_of, http_request, reply
 from flintshift.lab.model import ModelNode, served, settings_of, waits_ms
-from flintshift.lab.peers import Pool
 from flintshift.lab.rig import Rig
+from flintshift.lab.standins import Pool
 from flintshift.wire.unix import short_socket_path
 
 pytestmark = pytest.mark.anyio
--- a/tests/handover/site.py
+++ b/tests/handover/site.py
@@ -13,8 +13,8 @@
 
 from standins import REQUEST_BYTES, ROOT, SETTINGS, Caller, control_call, platform_file, request_fields, scripted_pool
 
-from flintshift.lab.peers import Names, Vault
 from flintshift.lab.ports import free_ports
+from flintshift.lab.standins import Names, Vault
 
 
 class Process:
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -28,9 +28,9 @@
 from flintshift.lab.billing import Billing
 from flintshift.lab.faults import FaultProxy
 from flintshift.lab.fleet import Fleet
-from flintshift.lab.peers import Apps, Dns, Names, Pool, Vault
 from flintshift.lab.ports import free_ports, port_range
 from flintshift.lab.rig import Rig
+from flintshift.lab.standins import Apps, Dns, Names, Pool, Vault
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/lifecycle/test_clock_steps.py
+++ b/tests/lifecycle/test_clock_steps.py
@@ -8,8 +8,8 @@
 import pytest
 
 from flintshift.lab.callers import fields_of, http_request, reply
-from flintshift.lab.peers import Pool
 from flintshift.lab.rig import Rig
+from flintshift.lab.standins import Pool
 from flintshift.lab.syscall_faults import SyscallFaults
 
 pytestmark = pytest.mark.anyio
--- a/tests/lifecycle/test_signals.py
+++ b/tests/lifecycle/test_signals.py
@@ -15,8 +15,8 @@
 from standins import REQUEST_BYTES, ROOT, SETTINGS, platform_file, request_fields
 
 from flintshift.core.limits import Limits
-from flintshift.lab.peers import Names, Pool, Vault
 from flintshift.lab.ports import free_ports
+from flintshift.lab.standins import Names, Pool, Vault
 from flintshift.lifecycle.signal_queue import SignalQueue
 
 pytestmark = pytest.mark.anyio
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,5 +1,5 @@
 """Callers that send exactly the bytes that a test gives them, and the rig that starts the program among the project's
-stand-ins (`flintshift.lab.peers`), which keep a log of what they receive."""
+stand-ins (`flintshift.lab.standins`), which keep a log of what they receive."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from flintshift.lab.peers import Apps, Dns, Names, Pool, Vault
 from flintshift.lab.ports import free_ports
+from flintshift.lab.standins import Apps, Dns, Names, Pool, Vault
 from flintshift.wire import uwsgi
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_ledger_node.py
+++ b/tests/test_ledger_node.py
@@ -17,8 +17,8 @@
 from flintshift.lab.billing import Billing
 from flintshift.lab.callers import Caller, Tally, fields_of, http_request, reply
 from flintshift.lab.demo import booked_in
-from flintshift.lab.peers import Pool
 from flintshift.lab.rig import Rig
+from flintshift.lab.standins import Pool
 from flintshift.settings.embedded import CLUBS
 from flintshift.storage.files import DiskFiles
 from flintshift.usage import documents
--- a/tests/wire/test_name_service.py
+++ b/tests/wire/test_name_service.py
@@ -10,7 +10,7 @@
 
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
-from flintshift.lab.peers import Names
+from flintshift.lab.standins import Names
 from flintshift.startup.registration import Registration
 from flintshift.wire.names import NameService
 
--- a/tests/wire/test_pool.py
+++ b/tests/wire/test_pool.py
@@ -15,7 +15,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.interface import Outcome
-from flintshift.lab.peers import Journal, Pool
+from flintshift.lab.standins import Journal, Pool
 from flintshift.wire import pool_codec as codec
 from flintshift.wire.pool import PoolLink
 from flintshift.wire.pool_recovery import MalformedNotices, SilenceDetector, UnconfirmedCommands
--- a/tests/wire/test_vault.py
+++ b/tests/wire/test_vault.py
@@ -11,7 +11,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.interface import Outcome
-from flintshift.lab.peers import Journal, Vault
+from flintshift.lab.standins import Journal, Vault
 from flintshift.wire.vault import VaultLink
 
 pytestmark = pytest.mark.anyio
