--- a/benchmarks/disk_faults.py
+++ b/benchmarks/disk_faults.py
@@ -35,7 +35,7 @@
     folder.mkdir(parents=True)
     (folder / "out").mkdir()
     faults = SyscallFaults(folder / "faults", seed=seed)
-    pool = Pool(cores=4, took_ms={"race-results": 3.0}, calling=frozenset({"race-results"}))
+    pool = Pool(cores=4, took_ms={"race-results": 3.0}, calling_classes=frozenset({"race-results"}))
     settings = SETTINGS.format(("process-death", "power-cut")[seed % 2])
     async with Rig(folder, settings, uwsgi=True, pool=pool, root=ROOT, environment=faults.environment) as rig:
         await load_for(rig, tally, 0.3, seed * 10, kill=False)
--- a/benchmarks/door_surge.py
+++ b/benchmarks/door_surge.py
@@ -123,7 +123,7 @@
                         platform={"tenants": [{"name": club, "quotaPerS": 100.0} for club in CLUBS]},
                     )
                 )
-                rigs[told].apps.beside, rigs[told].apps.took_ms = rigs[told].pool, RUN_MS
+                rigs[told].apps.pool, rigs[told].apps.took_ms = rigs[told].pool, RUN_MS
             for round_ in range(rounds):
                 before = await play(rigs, 1.0, one_caller, False, seconds, 10 + round_, executor)
                 surge = await play(rigs, times, one_caller, heed, seconds, 20 + round_, executor)
--- a/benchmarks/kill_node.py
+++ b/benchmarks/kill_node.py
@@ -118,7 +118,7 @@
 
 async def one(seed: int, base: Path, durability: str) -> tuple[list[str], dict[str, int]]:
     draw, folder, tally = random.Random(seed), base / f"{seed}", Tally()
-    pool = Pool(cores=4, took_ms={"race-results": 3.0}, calling=frozenset({"race-results"}))
+    pool = Pool(cores=4, took_ms={"race-results": 3.0}, calling_classes=frozenset({"race-results"}))
     async with Rig(folder, SETTINGS.format(durability), uwsgi=True, pool=pool, root=ROOT) as rig:
         with (folder / "stderr").open("wb") as stderr:
             for life in range(3):
--- a/flintshift/lab/demo.py
+++ b/flintshift/lab/demo.py
@@ -44,7 +44,11 @@
 
 
 async def _play(seconds: float, callers: int, folder: Path, say: Callable[[str], None]) -> dict[str, Any]:
-    pool, tally, stop = Pool(cores=2, took_ms=TOOK_MS, calling=frozenset({"race-results"})), Tally(), asyncio.Event()
+    pool, tally, stop = (
+        Pool(cores=2, took_ms=TOOK_MS, calling_classes=frozenset({"race-results"})),
+        Tally(),
+        asyncio.Event(),
+    )
     async with Rig(folder, SETTINGS, pool=pool) as rig:
         say(f"a node at 127.0.0.1:{rig.ports['http']}; {callers} callers for {seconds:g} s")
         tasks = [
--- a/flintshift/lab/drain_soak.py
+++ b/flintshift/lab/drain_soak.py
@@ -333,7 +333,7 @@
         """What is done under load, before the notice."""
         for _ in range(self.plan.pool_cuts):
             await asyncio.sleep(0.2 * self.draw.random())
-            self.pool.cut()
+            self.pool.abort_links()
         if self.plan.step_s and not self.plan.step_in_drain:
             self._step()
         await asyncio.sleep(0.5 + 0.7 * self.draw.random())
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -83,7 +83,7 @@
         super().__init__(cores=cores, took_ms=took_ms)
         self.member, self.events = member, events
 
-    def begun(self, rid: str) -> None:
+    def on_run_started(self, rid: str) -> None:
         self.events.append(Ran(now_ms(), rid, self.member))
 
 
--- a/flintshift/lab/rig.py
+++ b/flintshift/lab/rig.py
@@ -11,7 +11,7 @@
 from typing import IO, Any
 
 from flintshift.lab.ports import free_ports
-from flintshift.lab.standins import Apps, Dns, Names, Peer, Pool, Vault
+from flintshift.lab.standins import Apps, Dns, Names, Pool, StandIn, Vault
 from flintshift.settings.embedded import configuration
 
 
@@ -45,7 +45,7 @@
         self.lives = 0  # of the node
 
     @property
-    def peers(self) -> tuple[Peer, ...]:
+    def peers(self) -> tuple[StandIn, ...]:
         return self.pool, self.vault, self.names, self.apps
 
     async def __aenter__(self) -> Rig:
@@ -95,7 +95,7 @@
         """Start the node, after a kill too; returns once it serves. ``writing_s``: so long after the process's start
         the second half of its configuration is written."""
         self.names.serving.clear()
-        self.dns.browsed.clear()
+        self.dns.browse_finished.clear()
         command = self.command()
         whole = self.config.read_bytes()
         if writing_s:
@@ -111,7 +111,7 @@
             if not serving.done():
                 raise RuntimeError(f"the node did not serve (exit code {process.returncode})")
             if self.uwsgi:
-                await asyncio.wait_for(self.dns.browsed.wait(), 10)
+                await asyncio.wait_for(self.dns.browse_finished.wait(), 10)
         finally:
             serving.cancel()
             gone.cancel()
@@ -137,7 +137,7 @@
         assert self.control and self.process is not None
         older, before = self.process, self.pool
         self.pools.append(before)
-        self.pool = pool or Pool(cores=before.size, took_ms=before.took_ms, calling=before.calling)
+        self.pool = pool or Pool(cores=before.size, took_ms=before.took_ms, calling_classes=before.calling_classes)
         await self.pool.start()
         self.process = await self._spawn(self.command(beside=True))
         for _ in range(1000):
--- a/flintshift/lab/services.py
+++ b/flintshift/lab/services.py
@@ -6,7 +6,7 @@
 import time
 
 from flintshift.lab.capacity import SLOW_MS, Capacity, Verdict
-from flintshift.lab.standins import HeardReader, Names
+from flintshift.lab.standins import Names, RecordingReader
 
 
 def now_ms() -> float:
@@ -22,7 +22,7 @@
         self.capacity = Capacity(per_s)
         self.slow_ms = 0.0  # an answer takes so much longer
 
-    async def serve(self, reader: HeardReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: RecordingReader, writer: asyncio.StreamWriter) -> None:
         verdict = self.capacity.call(now_ms())
         if verdict is Verdict.TURNED_AWAY:
             writer.transport.abort()
--- a/flintshift/lab/standins.py
+++ b/flintshift/lab/standins.py
@@ -40,7 +40,7 @@
             self.entries.append(entry)
             self.changed.notify_all()
 
-    async def until(self, wanted: Callable[[Any], bool], count: int = 1, within_s: float = 10.0) -> list[Any]:
+    async def wait_for(self, wanted: Callable[[Any], bool], count: int = 1, within_s: float = 10.0) -> list[Any]:
         """The entries that are wanted, once there are so many.
 
         Raises:
@@ -55,7 +55,7 @@
     """A stand-in was sent what its protocol does not know; the text tells by whom."""
 
 
-class HeardReader:
+class RecordingReader:
     """What a stand-in reads of one connection, with its first bytes kept for whoever must find out who sent them."""
 
     def __init__(self, reader: asyncio.StreamReader) -> None:
@@ -79,13 +79,13 @@
         return self._heard(await self.reader.read())
 
 
-class Peer:
-    """A TCP stand-in on a loopback port; 0: on one that no other process is given. ``tells``: it keeps a journal of
-    what it was sent and of links that ended; off for loads, which would fill it."""
+class StandIn:
+    """A TCP stand-in on a loopback port; 0: on one that no other process is given. ``keep_journal``: it keeps a
+    journal of what it was sent and of links that ended; off for loads, which would fill it."""
 
-    def __init__(self, port: int = 0, tells: bool = False) -> None:
-        self.port, self.tells, self.links = port, tells, set[asyncio.StreamWriter]()
-        self.log, self.ended = Journal(), Journal()
+    def __init__(self, port: int = 0, keep_journal: bool = False) -> None:
+        self.port, self.keep_journal, self.links = port, keep_journal, set[asyncio.StreamWriter]()
+        self.log, self.closed_links = Journal(), Journal()
         self.server: asyncio.Server | None = None  # until it is started
         self.connections = ConnectionTasks(self._serve)
 
@@ -104,26 +104,26 @@
         """End all connections, and return once nothing of them is left for the end of the event loop."""
         self.leave_port()
         await self.connections.opened()
-        self.cut()
+        self.abort_links()
         await self.connections.ended()
 
-    async def move(self) -> None:
+    async def change_port(self) -> None:
         """Take what is new at another address alone; what is open stays open."""
         self.leave_port()
         self.port = 0
         await self.start()
 
-    def cut(self) -> None:
+    def abort_links(self) -> None:
         for writer in list(self.links):
             writer.transport.abort()
 
     async def came(self, entry: Any) -> None:
-        if self.tells:
+        if self.keep_journal:
             await self.log.add(entry)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.links.add(writer)
-        heard = HeardReader(reader)
+        heard = RecordingReader(reader)
         try:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
                 await self.serve(heard, writer)
@@ -132,39 +132,40 @@
         finally:
             self.links.discard(writer)
             writer.close()
-        if self.tells:
-            await self.ended.add("link")
+        if self.keep_journal:
+            await self.closed_links.add("link")
 
-    def _unreadable(self, heard: HeardReader, writer: asyncio.StreamWriter, error: Exception) -> UnreadableError:
+    def _unreadable(self, heard: RecordingReader, writer: asyncio.StreamWriter, error: Exception) -> UnreadableError:
         """What came, and who holds the other end, while that can still be found out."""
         _, port = writer.get_extra_info("peername")
         who = sender(port, self.port)
         return UnreadableError(f"{type(self).__name__} at port {self.port}: {error}; {heard.first!r} was sent by {who}")
 
-    async def serve(self, reader: HeardReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: RecordingReader, writer: asyncio.StreamWriter) -> None:
         raise NotImplementedError
 
 
-class Pool(Peer):
-    """The worker pool: a run takes ``took_ms`` by class (0: at once), those in ``calling`` stand at a call first.
+class Pool(StandIn):
+    """The worker pool: a run takes ``took_ms`` by class (0: at once), those in ``calling_classes`` stand at a call
+    first.
 
     ``spawned`` counts runs by id, so that a second one shows. ``plan`` says by class how a run goes on, as (notice,
-    more fields) or a number of ms, before all else; ``ends`` False: what no plan names never ends by itself."""
+    more fields) or a number of ms, before all else; ``auto_finish`` False: what no plan names never ends by itself."""
 
     def __init__(
         self,
         port: int = 0,
         cores: int = 2,
         took_ms: dict[str, float] | None = None,
-        calling: frozenset[str] = frozenset(),
-        tells: bool = False,
-        ends: bool = True,
+        calling_classes: frozenset[str] = frozenset(),
+        keep_journal: bool = False,
+        auto_finish: bool = True,
     ) -> None:
-        super().__init__(port, tells)
-        self.took_ms, self.calling, self.ends = took_ms or {}, calling, ends
+        super().__init__(port, keep_journal)
+        self.took_ms, self.calling_classes, self.auto_finish = took_ms or {}, calling_classes, auto_finish
         self.plan: dict[str, float | tuple[str, dict[str, Any]]] = {}
         self.torn = 0  # commands in whose middle the node ended a link
-        self.deaf = False  # what is sent to runs that stand at a call is lost
+        self.drop_replies = False  # what is sent to runs that stand at a call is lost
         self.spawned: Counter[str] = Counter()
         self.routes: dict[str, str] = {}
         self.notices: list[dict[str, Any]] = []
@@ -173,7 +174,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.size = cores
 
-    async def serve(self, reader: HeardReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: RecordingReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             if not line.endswith(b"\n"):  # the link ended in the middle of a command: by whom?
                 self.torn += not writer.transport.is_closing()
@@ -182,39 +183,39 @@
             await self.came(command)
             match command["t"]:
                 case "bind":
-                    self.say(writer, {"t": "bound", "status": "running", "time_ms": 5.0})
+                    self.send(writer, {"t": "bound", "status": "running", "time_ms": 5.0})
                     for notice in self.notices:
                         if notice["no"] > command["no"]:
-                            self.say(writer, notice)
+                            self.send(writer, notice)
                 case "poll":
                     busy = min(1.0, self.wanting / self.size)
-                    self.say(writer, {"t": "polled", "mark": command["mark"], "v": [busy, self.wanting, 0.1, 3]})
+                    self.send(writer, {"t": "polled", "mark": command["mark"], "v": [busy, self.wanting, 0.1, 3]})
                 case "verify":
-                    self.say(writer, {"t": "verified", "mark": command["mark"], "status": "fine"})
+                    self.send(writer, {"t": "verified", "mark": command["mark"], "status": "fine"})
                 case "spawn":
                     self._spawn(command["rid"], command["route"])
                 case "supply" | "pass":
-                    if command["rid"] in self.routes and not self.deaf:
+                    if command["rid"] in self.routes and not self.drop_replies:
                         self._run(command["rid"])
 
     def _spawn(self, rid: str, route: str) -> None:
         self.spawned[rid] += 1
         if self.spawned[rid] > 1:
             return
-        self.begun(rid)
+        self.on_run_started(rid)
         self.routes[rid] = route
         plan = self.plan.get(route)
         if isinstance(plan, tuple):
-            self.tell(rid, *plan)
-        elif plan is None and route in self.calling:
-            self.tell(rid, "blocked", {"b64": base64.b64encode(b"call").decode()})
-        elif plan is not None or self.ends:
+            self.send_notice(rid, *plan)
+        elif plan is None and route in self.calling_classes:
+            self.send_notice(rid, "blocked", {"b64": base64.b64encode(b"call").decode()})
+        elif plan is not None or self.auto_finish:
             self._run(rid)
 
-    def begun(self, rid: str) -> None:
+    def on_run_started(self, rid: str) -> None:
         """A run begins."""
 
-    def spawns(self) -> list[dict[str, Any]]:
+    def spawn_commands(self) -> list[dict[str, Any]]:
         """The commands that began a run, by the journal."""
         return [entry for entry in self.log.entries if entry["t"] == "spawn"]
 
@@ -244,33 +245,33 @@
 
     def finish(self, rid: str, took_ms: float = 1.0) -> None:
         result = base64.b64encode(f"result of {rid}\n".encode()).decode()
-        self.tell(rid, "finished", {"status": "fine", "time_ms": took_ms, "b64": result})
+        self.send_notice(rid, "finished", {"status": "fine", "time_ms": took_ms, "b64": result})
 
-    def tell(self, rid: str, kind: str, more: dict[str, Any]) -> None:
+    def send_notice(self, rid: str, kind: str, more: dict[str, Any]) -> None:
         notice = {"t": kind, "no": next(self.numbers), "rid": rid, **more}
         self.notices.append(notice)
         del self.notices[:-4000]
         for writer in self.links:
-            self.say(writer, notice)
+            self.send(writer, notice)
 
     @staticmethod
-    def say(writer: asyncio.StreamWriter, message: dict[str, Any]) -> None:
+    def send(writer: asyncio.StreamWriter, message: dict[str, Any]) -> None:
         if not writer.is_closing():
             writer.write(json.dumps(message).encode() + b"\n")
 
 
-class Vault(Peer):
+class Vault(StandIn):
     """The vault: says ``reply`` to each call at once, with the call's id in place of %b; None breaks the link under
-    it. Connections in ``forgets`` are reset at their next call, which never runs."""
+    it. Connections in ``links_to_reset`` are reset at their next call, which never runs."""
 
-    def __init__(self, port: int = 0, tells: bool = False) -> None:
-        super().__init__(port, tells)
+    def __init__(self, port: int = 0, keep_journal: bool = False) -> None:
+        super().__init__(port, keep_journal)
         self.reply: bytes | None = b"%b yes 5\r\nreply\r\n"
-        self.forgets: set[asyncio.StreamWriter] = set()
+        self.links_to_reset: set[asyncio.StreamWriter] = set()
 
-    async def serve(self, reader: HeardReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: RecordingReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
-            if writer in self.forgets:
+            if writer in self.links_to_reset:
                 return writer.transport.abort()
             word, request, *rest = line.decode().split()
             body = (await reader.readexactly(int(rest[1]) + 2))[:-2] if word == "ask" else b""
@@ -281,21 +282,21 @@
                 writer.write(self.reply.replace(b"%b", request.encode()))
 
 
-class Names(Peer):
+class Names(StandIn):
     """The name service: takes each report; ``serving`` is set while a node says that it serves, ``listed`` holds the
-    last word of each. ``mute``: it takes reports and never answers."""
+    last word of each. ``unresponsive``: it takes reports and never answers."""
 
-    def __init__(self, port: int = 0, tells: bool = False) -> None:
-        super().__init__(port, tells)
+    def __init__(self, port: int = 0, keep_journal: bool = False) -> None:
+        super().__init__(port, keep_journal)
         self.serving = asyncio.Event()
         self.listed: dict[str, str] = {}
-        self.mute = False
+        self.unresponsive = False
 
-    async def serve(self, reader: HeardReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: RecordingReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
         size = int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
         told = json.loads(await reader.readexactly(size))
-        if self.mute:
+        if self.unresponsive:
             await reader.read()
         else:
             writer.write(b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n")
@@ -306,26 +307,26 @@
         await self.came((path, told["serving"]))
 
 
-class Apps(Peer):
+class Apps(StandIn):
     """A uwsgi app server; ``spawned`` counts runs by id. It answers at once, or, on the cores of a worker pool that
     it stands beside, after ``took_ms``.
     """
 
-    def __init__(self, port: int = 0, beside: Pool | None = None, tells: bool = False) -> None:
-        super().__init__(port, tells)
+    def __init__(self, port: int = 0, pool: Pool | None = None, keep_journal: bool = False) -> None:
+        super().__init__(port, keep_journal)
         self.spawned: Counter[str] = Counter()
-        self.beside = beside
+        self.pool = pool
         self.took_ms = 0.0
 
-    async def serve(self, reader: HeardReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: RecordingReader, writer: asyncio.StreamWriter) -> None:
         size = uwsgi.block_size(await reader.readexactly(4), 65536)
         variables = uwsgi.unpack(await reader.readexactly(size))
         body = await reader.readexactly(int(variables["CONTENT_LENGTH"]))
         rid = variables["HTTP_X_JOB_ID"]
         self.spawned[rid] += 1
         await self.came({"t": "spawn", "rid": rid, "body": body, "unique": variables.get("HTTP_X_UNIQUE")})
-        if self.beside is not None and self.took_ms:
-            await self.beside.work(self.took_ms)
+        if self.pool is not None and self.took_ms:
+            await self.pool.work(self.took_ms)
         result = f"result of {rid}\n".encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(result), result))
         await writer.drain()
@@ -334,11 +335,11 @@
 class Dns(asyncio.DatagramProtocol):
     """A resolver with one zone in memory, which names one app server and takes updates."""
 
-    def __init__(self, app_port: int, domain: str = "desks.example", tells: bool = False) -> None:
-        self.tells, self.log = tells, Journal()
+    def __init__(self, app_port: int, domain: str = "desks.example", keep_journal: bool = False) -> None:
+        self.keep_journal, self.log = keep_journal, Journal()
         self.records: dict[tuple[Any, Any], list[Any]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.browsed = asyncio.Event()
+        self.browse_finished = asyncio.Event()
         name = f"app1._uwsgi._tcp.{domain}."
         for at, kind, text in (
             (f"_uwsgi._tcp.{domain}.", "PTR", name),
@@ -370,10 +371,10 @@
             if found:
                 reply.answer.append(dns.rrset.from_rdata_list(question.name, 5, found))
             if question.rdtype == dns.rdatatype.AAAA:
-                self.browsed.set()
+                self.browse_finished.set()
             entry = "query", question.to_text()
         self.transport.sendto(reply.to_wire(), addr)
-        if self.tells:
+        if self.keep_journal:
             task = asyncio.ensure_future(self.log.add(entry))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
--- a/tests/handover/site.py
+++ b/tests/handover/site.py
@@ -83,7 +83,7 @@
     def __init__(self, folder: Path):
         self.folder, self.settings = folder, copy.deepcopy(SETTINGS)
         self.settings["familyInfo"]["nCores"] = 8  # so that one endless run doesn't make the machine count as unhealthy
-        self.vault, self.names, self.processes = Vault(tells=True), Names(tells=True), []
+        self.vault, self.names, self.processes = Vault(keep_journal=True), Names(keep_journal=True), []
 
     async def __aenter__(self):
         await self.vault.start()
@@ -118,7 +118,7 @@
         return await ask(await self.connect(), key, **options)
 
     def runs(self):
-        return [run["rid"] for process in self.processes for run in process.pool.spawns()]
+        return [run["rid"] for process in self.processes for run in process.pool.spawn_commands()]
 
 
 def submit(caller, key, body=b"12:01.5", class_name="submit-time", **changed_fields):
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -38,14 +38,16 @@
     predecessor.pool.plan = {}
     busy = await site.connect()
     rid = submit(busy, "k1")
-    await predecessor.pool.log.until(lambda entry: entry["t"] == "spawn")
+    await predecessor.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
     successor = await site.start()
     assert (await predecessor.call())[1] == "another process of this node takes the clients"
     new_connection = await site.connect()
-    assert (await ask(new_connection, "k2")).status == 200 and len(successor.pool.spawns()) == 1
+    assert (await ask(new_connection, "k2")).status == 200 and len(successor.pool.spawn_commands()) == 1
     predecessor.pool.plan = {"submit-time": 0}
     reply = await ask(idle[0], "k3")  # the predecessor answers on its open connections, and closes them
-    assert reply.status == 200 and reply.headers["connection"] == "close" and len(predecessor.pool.spawns()) == 2
+    assert (
+        reply.status == 200 and reply.headers["connection"] == "close" and len(predecessor.pool.spawn_commands()) == 2
+    )
     predecessor.process.send_signal(signal.SIGTERM)
     await asyncio.sleep(0.1)  # the signal is handled
     assert (await ask(idle[1], "k4")).status == 200
@@ -68,7 +70,7 @@
     predecessor.pool.plan = {}
     running = await site.connect()
     rid = submit(running, "runs-at-the-predecessor")
-    await predecessor.pool.log.until(lambda entry: entry["rid"] == rid if "rid" in entry else False)
+    await predecessor.pool.log.wait_for(lambda entry: entry["rid"] == rid if "rid" in entry else False)
     successor = await site.start()
     new_connections = [await site.connect() for _ in range(6)]
     assert (await ask(new_connections[0], "done-before", **{"X-Again": "1"})).body == result
@@ -78,7 +80,7 @@
     assert (await new_connections[1].reply()).body == (await running.reply()).body == f"result of {rid}\n".encode()
     successor.pool.plan = {}
     rid = submit(new_connections[2], "runs-at-the-successor")
-    await successor.pool.log.until(lambda entry: entry.get("rid") == rid)
+    await successor.pool.log.wait_for(lambda entry: entry.get("rid") == rid)
     submit(idle[0], "runs-at-the-successor", **{"X-Again": "1"})
     await predecessor.until("repeats")
     successor.pool.finish(rid)
@@ -104,14 +106,14 @@
     if finished:
         body = (await idle.reply()).body
     else:
-        await predecessor.pool.log.until(lambda entry: entry.get("rid") == rid)
+        await predecessor.pool.log.wait_for(lambda entry: entry.get("rid") == rid)
     predecessor.kill()
     await predecessor.wait_exit()
     new_connection = await site.connect()
     reply = await ask(new_connection, "k1", **{"X-Again": "1"})
     assert (reply.status, reply.body) == ((200, body) if finished else (500, b""))  # never run again, never rejected
     assert (await ask(new_connection, "k2")).status == 200
-    assert site.runs().count(rid) == 1 and len(successor.pool.spawns()) == 1
+    assert site.runs().count(rid) == 1 and len(successor.pool.spawn_commands()) == 1
 
 
 @pytest.mark.parametrize("terminated", [False, True])
@@ -124,7 +126,7 @@
         successor.pool.plan = {}
         new_connection = await site.connect()
         rid = submit(new_connection, "k1")
-        await successor.pool.log.until(lambda entry: entry.get("rid") == rid)
+        await successor.pool.log.wait_for(lambda entry: entry.get("rid") == rid)
     else:
         await successor.pool.stop()
         await predecessor.until("upgrade.giving")
@@ -141,12 +143,12 @@
         caller = await site.connect()
         submit(caller, f"then-{number}")
         assert (await caller.reply()).status == 200
-    assert len(predecessor.pool.spawns()) == 3
-    await site.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"), 2)
+    assert len(predecessor.pool.spawn_commands()) == 3
+    await site.names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"), 2)
     third = await site.start()  # it can be replaced again
     assert await predecessor.terminate() == 0
     caller = await site.connect()
-    assert (await ask(caller, "then-0", **{"X-Again": "1"})).status == 200 and not third.pool.spawns()
+    assert (await ask(caller, "then-0", **{"X-Again": "1"})).status == 200 and not third.pool.spawn_commands()
 
 
 async def test_connections_in_the_backlog_at_the_handover_are_served(site):
@@ -224,14 +226,14 @@
     assert (await waiting.reply()).status == 200
     # The predecessor sent all entries before it ended.
     assert (await ask(waiting, "k1", **{"X-Again": "1"})).body == result
-    assert len(predecessor.pool.spawns()) == len(successor.pool.spawns()) == 1
+    assert len(predecessor.pool.spawn_commands()) == len(successor.pool.spawn_commands()) == 1
 
 
 async def test_a_node_out_of_service_stays_so_after_an_upgrade(site):
     predecessor = await site.start()
     assert (await predecessor.call("POST", "/control/out-of-service"))[0] == 200
     successor = await site.start(ready=False)
-    await successor.pool.log.until(lambda entry: entry["t"] == "bind")
+    await successor.pool.log.wait_for(lambda entry: entry["t"] == "bind")
     async with asyncio.timeout(10):
         while (await successor.call())[1] != "the node is out of service":
             await asyncio.sleep(0.01)
@@ -261,7 +263,7 @@
     idle = await site.connect()
     predecessor.pool.plan = {}
     rid = submit(idle, "k1")
-    await predecessor.pool.log.until(lambda entry: entry.get("rid") == rid)
+    await predecessor.pool.log.wait_for(lambda entry: entry.get("rid") == rid)
     successor = await site.start(ready=step != STEPS[0])
     if step == STEPS[0]:
         await successor.pool.stop()
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -79,7 +79,7 @@
 async def test_a_stand_in_that_moves_takes_a_port_of_its_own_process():
     names = Names()
     await names.start()
-    await names.move()
+    await names.change_port()
     assert names.port in port_range()
     await names.stop()
 
--- a/tests/lifecycle/test_configuration.py
+++ b/tests/lifecycle/test_configuration.py
@@ -23,20 +23,20 @@
     before, after = request_fields("race-results"), request_fields("race-results")
     callers = [await rig.connect("http"), await rig.connect("http")]
     callers[0].send(REQUEST_BYTES["http"]("race-results", b"", before))
-    await rig.pool.log.until(lambda entry: entry["t"] == "spawn")
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
     rig.config.write_text("{")
     rig.process.send_signal(signal.SIGHUP)
     assert b"configuration stays" in await asyncio.wait_for(rig.process.stderr.readline(), 10)
     for peer in (rig.pool, rig.vault, rig.names):
-        await peer.move()
+        await peer.change_port()
     rig.configure()
     old = list(rig.pool.links)
     rig.process.send_signal(signal.SIGHUP)
-    binds = await rig.pool.log.until(lambda entry: entry["t"] == "bind", 2)
+    binds = await rig.pool.log.wait_for(lambda entry: entry["t"] == "bind", 2)
     callers[1].send(REQUEST_BYTES["http"]("race-results", b"", after))
-    await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 2)
-    rig.pool.tell(before["X-Job-Id"], "blocked", {"b64": ""})  # told on both links, taken once
-    await rig.vault.log.until(lambda entry: entry[0] == "ask")
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn", 2)
+    rig.pool.send_notice(before["X-Job-Id"], "blocked", {"b64": ""})  # told on both links, taken once
+    await rig.vault.log.wait_for(lambda entry: entry[0] == "ask")
     rig.pool.finish(after["X-Job-Id"])
     for writer in old:
         writer.transport.abort()
@@ -97,7 +97,7 @@
 
 async def test_a_new_configuration_that_is_half_written_is_taken_once_it_is_whole(rig):
     """The signal may come while the file is written, or while it can't be read; it is not sent once more."""
-    await rig.names.move()
+    await rig.names.change_port()
     rig.configure()
     whole = rig.config.read_text()
     rig.config.write_text(whole[: len(whole) // 2])
@@ -105,6 +105,6 @@
     rig.process.send_signal(signal.SIGHUP)
     assert b"configuration stays" in await asyncio.wait_for(rig.process.stderr.readline(), 10)
     rig.config.write_text(whole)
-    await asyncio.wait_for(rig.names.log.until(lambda entry: True, count + 1), 10)
+    await asyncio.wait_for(rig.names.log.wait_for(lambda entry: True, count + 1), 10)
     await rig.leave()
     assert await asyncio.wait_for(rig.process.wait(), 10) == 0
--- a/tests/lifecycle/test_descriptors.py
+++ b/tests/lifecycle/test_descriptors.py
@@ -70,7 +70,7 @@
     pool.plan = {"race-results": ("blocked", {"b64": ""})}
     few = DESCRIPTORS, DESCRIPTORS
     process = await started(config, preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, few))
-    await names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"))
+    await names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"))
     await names.stop()
     host, port = json.loads(text)["listen"].split(":")
     idle = []
@@ -81,8 +81,8 @@
         idle.append(raw)
     await asyncio.sleep(1.0)  # they stay and say nothing
     before, since = busy_s(process), time.monotonic()
-    pool.cut()  # a link that has to be opened anew among them
-    await pool.log.until(lambda entry: entry["t"] == "bind", 2)
+    pool.abort_links()  # a link that has to be opened anew among them
+    await pool.log.wait_for(lambda entry: entry["t"] == "bind", 2)
     for _ in range(5):  # who has work is let in, and its call reaches the vault
         status = await asked(host, port)
         assert status == 200
@@ -90,7 +90,7 @@
     assert (busy_s(process) - before) / (time.monotonic() - since) < 0.7
     await names.start()
     count = len(names.log.entries)
-    await names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"), count)
+    await names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"), count)
     assert process.returncode is None
     process.terminate()
     for raw in idle:
--- a/tests/lifecycle/test_drains.py
+++ b/tests/lifecycle/test_drains.py
@@ -37,7 +37,7 @@
         """A request whose run has begun: its caller and its id."""
         caller, fields = await self.connect(), request_fields("race-results")
         caller.send(REQUEST_BYTES["http"]("race-results", b"", fields))
-        await self.pool.log.until(lambda entry: entry.get("rid") == fields["X-Job-Id"])
+        await self.pool.log.wait_for(lambda entry: entry.get("rid") == fields["X-Job-Id"])
         return caller, fields["X-Job-Id"]
 
     def descriptors(self):
@@ -55,7 +55,7 @@
     config, text, peers = site
     config.write_text(text)
     process = await started(config)
-    await peers[2].log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"))
+    await peers[2].log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"))
     yield Served(process, text, peers)
     if process.returncode is None:
         process.kill()
@@ -74,8 +74,8 @@
 async def waiting_for_a_call(served):
     served.vault.reply = b""  # it never comes
     caller, request = await served.running()
-    served.pool.tell(request, "blocked", {"b64": ""})
-    await served.vault.log.until(lambda entry: entry[0] == "ask")
+    served.pool.send_notice(request, "blocked", {"b64": ""})
+    await served.vault.log.wait_for(lambda entry: entry[0] == "ask")
     return caller, {200, 500}
 
 
@@ -135,7 +135,7 @@
     served.process.kill()
     await served.process.wait()
     await peers[0].stop()
-    peers[0].__init__(peers[0].port, tells=True)  # the worker pool is killed with it
+    peers[0].__init__(peers[0].port, keep_journal=True)  # the worker pool is killed with it
     await peers[0].start()
     peers[0].plan = {"race-results": 0}
     await peers[2].stop()  # and the name service is down
@@ -198,7 +198,7 @@
         kind["deadlineMs"] = 4000.0
     config.write_text(json.dumps(told))
     process = await started(config)
-    await peers[2].log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"))
+    await peers[2].log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"))
     served = Served(process, text, peers)
     waits, request = await served.running()  # an open run keeps the node past its grace
     resting, fields = await served.connect(), request_fields("race-results")
--- a/tests/lifecycle/test_signals.py
+++ b/tests/lifecycle/test_signals.py
@@ -39,7 +39,7 @@
 @pytest.fixture
 async def site(tmp_path):
     """Stand-ins, and a configuration file that names them and a free port to listen at."""
-    peers = Pool(tells=True, ends=False), Vault(tells=True), Names(tells=True)
+    peers = Pool(keep_journal=True, auto_finish=False), Vault(keep_journal=True), Names(keep_journal=True)
     for peer in peers:
         await peer.start()
     text = platform_file(free_ports(1)[0], *peers, SETTINGS)
@@ -91,7 +91,7 @@
     process.send_signal(number)
     opened.close()
     if number is not signal.SIGTERM:
-        await names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"))
+        await names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"))
         process.send_signal(signal.SIGTERM)
     _, errors = await asyncio.wait_for(process.communicate(), 10)
     assert process.returncode == 0 and b"Traceback" not in errors, errors
@@ -108,7 +108,7 @@
     whole.replace(config)
     pipe.write(text)
     pipe.close()
-    await names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"))
+    await names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"))
     process.send_signal(signal.SIGTERM)
     _, errors = await asyncio.wait_for(process.communicate(), 10)
     assert process.returncode == 0
@@ -120,12 +120,12 @@
     config, text, (pool, _, names) = site
     config.write_text(text)
     process = await started(config)
-    await names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"))
+    await names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"))
     at = json.loads(text)["listen"].split(":")
     reader, writer = await asyncio.open_connection(*at)
     fields = request_fields("race-results")
     writer.write(REQUEST_BYTES["http"]("race-results", b"", fields))
-    await pool.log.until(lambda entry: entry["t"] == "spawn")
+    await pool.log.wait_for(lambda entry: entry["t"] == "spawn")
     process.send_signal(signal.SIGTERM)
     ended = asyncio.ensure_future(process.communicate())
     pool.finish(fields["X-Job-Id"])
@@ -143,11 +143,11 @@
     config, text, (pool, _, names) = site
     config.write_text(text)
     process = await started(config)
-    await names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"))
+    await names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"))
     reader, writer = await asyncio.open_connection(*json.loads(text)["listen"].split(":"))
     fields = request_fields("race-results")
     writer.write(REQUEST_BYTES["http"]("race-results", b"", fields))
-    await pool.log.until(lambda entry: entry["t"] == "spawn")
+    await pool.log.wait_for(lambda entry: entry["t"] == "spawn")
     process.send_signal(signal.SIGSTOP)
     process.send_signal(signal.SIGTERM)
     pool.finish(fields["X-Job-Id"])
@@ -191,7 +191,7 @@
             _, said = await asyncio.wait_for(errors, READY_S + 5)
             assert process.returncode == 1 and f"{host}:{port}".encode() in said and b"Traceback" not in said
     if told == "freed":
-        await names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"))
+        await names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"))
         process.terminate()
         await asyncio.wait_for(errors, 10)
         assert process.returncode == 0
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -62,7 +62,7 @@
 
 def scripted_pool():
     """A worker pool whose runs end only as a test plans it."""
-    return Pool(tells=True, ends=False)
+    return Pool(keep_journal=True, auto_finish=False)
 
 
 def request_fields(class_name="submit-time", **changes):
@@ -177,11 +177,11 @@
     start_timeout_s: float = 10.0  # until the node serves
 
     async def __aenter__(self):
-        self.pool, self.vault, self.names = scripted_pool(), Vault(tells=True), Names(tells=True)
-        self.apps = Apps(beside=self.pool, tells=True)
+        self.pool, self.vault, self.names = scripted_pool(), Vault(keep_journal=True), Names(keep_journal=True)
+        self.apps = Apps(pool=self.pool, keep_journal=True)
         for peer in (self.pool, self.vault, self.names, self.apps):
             await peer.start()
-        self.dns = Dns(self.apps.port, tells=True)
+        self.dns = Dns(self.apps.port, keep_journal=True)
         await self.dns.start()
         self.ports = dict(zip((*REQUEST_BYTES, "control"), free_ports(3), strict=True))
         self.config, operators_file = self.folder / "config.json", self.folder / "flintshift.yaml"
@@ -216,10 +216,10 @@
         return self
 
     async def _until_served(self):
-        await self.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"), within_s=self.start_timeout_s)
-        await self.dns.log.until(lambda entry: entry[0] == "update", within_s=self.start_timeout_s)
+        await self.names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"), within_s=self.start_timeout_s)
+        await self.dns.log.wait_for(lambda entry: entry[0] == "update", within_s=self.start_timeout_s)
         last_query = "query", "app1.desks.example. IN AAAA"
-        await self.dns.log.until(lambda entry: entry == last_query, within_s=self.start_timeout_s)
+        await self.dns.log.wait_for(lambda entry: entry == last_query, within_s=self.start_timeout_s)
 
     def configure(self):
         """Write the platform's configuration file."""
@@ -267,8 +267,8 @@
     async def leave(self):
         """Send the notice to leave; returns once the node has withdrawn from the name service."""
         self.process.send_signal(signal.SIGTERM)
-        await self.names.log.until(lambda entry: entry[1] == "no")
+        await self.names.log.wait_for(lambda entry: entry[1] == "no")
 
     def runs(self):
         """All runs that the worker pool and the app server received."""
-        return self.pool.spawns() + self.apps.log.entries
+        return self.pool.spawn_commands() + self.apps.log.entries
--- a/tests/startup/test_storms.py
+++ b/tests/startup/test_storms.py
@@ -26,9 +26,9 @@
 
 
 async def no_answers(fleet, names):
-    names.mute = True
+    names.unresponsive = True
     await asyncio.sleep(4.0)
-    names.mute = False
+    names.unresponsive = False
 
 
 async def late_answers(fleet, names):
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -49,7 +49,7 @@
     rig.pool.plan.pop("submit-time")
     open_caller, fields = await rig.connect("http"), request_fields(**{"X-Unique": "k1"})
     open_caller.send(REQUEST_BYTES["http"]("submit-time", b"1", fields))
-    await rig.pool.log.until(lambda entry: entry["t"] == "spawn")
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
     await reload(rig, settings_with("race-results", "submit-time-next"))
     for front in REQUEST_BYTES:
         assert (await rig.ask(front, "submit-time-next", fields=request_fields())).status == 200
@@ -68,7 +68,7 @@
     assert (await rig.ask("http", fields=request_fields(**{"X-Unique": "k3"}))).status == 200
     repeat = await rig.ask("http", body=b"1", fields=request_fields(**{"X-Unique": "k1", "X-Again": "1"}))
     assert (repeat.status, repeat.body) == (200, first.body)
-    assert len([run for run in rig.pool.spawns() if run["route"] == "submit-time"]) == 3
+    assert len([run for run in rig.pool.spawn_commands() if run["route"] == "submit-time"]) == 3
 
 
 @pytest.mark.parametrize(
@@ -107,11 +107,11 @@
     callers = [await rig.connect("http") for _ in range(4)]
     for caller in callers[:2]:
         caller.send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
-    await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 2)
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn", 2)
     await reload(rig, settings_with("race-results", "submit-time-next"), twice=True)
     await rig.leave()
     await reload(rig, settings_with("race-results"))
-    for run in rig.pool.spawns():
+    for run in rig.pool.spawn_commands():
         rig.pool.finish(run["rid"])
     for caller in callers[:2]:
         assert (await caller.reply()).status == 200
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -74,7 +74,7 @@
     first, second = await rig.connect("http"), await rig.connect("uwsgi")
     fields = request_fields(**{"X-Unique": "k1"})
     first.send(REQUEST_BYTES["http"]("submit-time", b"1", fields))
-    await rig.pool.log.until(lambda entry: entry["t"] == "spawn")
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
     first.writer.transport.abort()  # its caller disconnects: the run goes on
     second.send(REQUEST_BYTES["uwsgi"]("submit-time", b"1", request_fields(**{"X-Unique": "k1"})))
     while (await rig.counters())["repeats"] < 1:
@@ -96,7 +96,7 @@
     running, truncated, late = await rig.connect("http"), await rig.connect(front), await rig.connect(front)
     fields = request_fields("race-results")
     running.send(REQUEST_BYTES["http"]("race-results", b"", fields))
-    await rig.pool.log.until(lambda entry: entry["t"] == "spawn")
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
     truncated.send(REQUEST_BYTES[front]("submit-time", b"12:01.5", request_fields())[:-3])  # the rest is never sent
     late_fields = {"X-Door-Time": str(int(time.time() * 1000) + 2000)}
     late_request = REQUEST_BYTES[front]("submit-time", b"12:01.5", request_fields(**late_fields))
--- a/tests/wire/test_control_front.py
+++ b/tests/wire/test_control_front.py
@@ -45,14 +45,14 @@
         assert (await rig.call(*TAKE_OUT))[0] == 200
         assert await ping_statuses(rig) == [503] * 3
     assert await rig.call(*READY) == (503, "the node is out of service")
-    await rig.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "no"), 2)  # the node goes on reporting
+    await rig.names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "no"), 2)  # the node goes on reporting
     for front in REQUEST_BYTES:
         assert (await rig.ask(front)).status == 200
     for _ in range(2):
         assert (await rig.call(*PUT_IN))[0] == 200
         assert await ping_statuses(rig) == [200] * 3
     assert await rig.call(*READY) == (200, "yes")
-    await rig.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"), 2)
+    await rig.names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"), 2)
     assert (await rig.ask("http")).status == 200
 
 
@@ -71,13 +71,13 @@
     """Waits for FLINTSHIFT_IDLE_REPORTS reports, one a second: 60 are the minute that was tried by hand."""
     await rig.call(*TAKE_OUT)
     reports, serving_report = int(os.environ.get("FLINTSHIFT_IDLE_REPORTS", "3")), ("/ns/hosts/n3", "yes")
-    await rig.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "no"), reports, within_s=10 + 2 * reports)
+    await rig.names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "no"), reports, within_s=10 + 2 * reports)
     earlier_count = rig.names.log.entries.count(serving_report)
     assert await ping_statuses(rig) == [503] * 3 and (await rig.ask("http")).status == 200
     assert (await rig.call(*PUT_IN))[0] == 200
     start = time.monotonic()
     assert await ping_statuses(rig) == [200] * 3
-    await rig.names.log.until(lambda entry: entry == serving_report, earlier_count + 1)
+    await rig.names.log.wait_for(lambda entry: entry == serving_report, earlier_count + 1)
     assert time.monotonic() - start < 2 and (await rig.counters())["pool.links_lost"] == 0
 
 
@@ -85,7 +85,7 @@
     rig.pool.plan = {}
     await rig.call(*TAKE_OUT)
     (await rig.connect("http")).send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
-    await rig.pool.log.until(lambda entry: entry["t"] == "spawn")
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
     rig.process.send_signal(signal.SIGTERM)
     while (await rig.call(*READY))[1] != "the node leaves":
         pass
--- a/tests/wire/test_pieces.py
+++ b/tests/wire/test_pieces.py
@@ -91,7 +91,7 @@
 async def test_a_pool_that_stops_within_a_notice_is_reconnected_and_the_answer_is_in_time(rig, size, disconnects):
     caller, fields = await rig.connect("http"), request_fields("race-results")
     caller.send(REQUEST_BYTES["http"]("race-results", b"", fields))
-    await rig.pool.log.until(lambda entry: entry["t"] == "spawn")
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
     send_whole, old_links, truncated = rig.pool.say, set(rig.pool.links), set()
 
     def send_truncated(writer, message):
@@ -123,4 +123,4 @@
     while (await rig.counters())["names.not_taken"] < 3:
         pass
     await rig.names.start()  # at its old address
-    await rig.names.log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"), earlier_count + 1)
+    await rig.names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"), earlier_count + 1)
--- a/tests/wire/test_pool.py
+++ b/tests/wire/test_pool.py
@@ -169,12 +169,12 @@
 @contextlib.asynccontextmanager
 async def linked(**limits):
     """A link to a stand-in worker pool, and the reports of the link."""
-    pool, reports, counters = Pool(tells=True, ends=False), Journal(), Counters()
+    pool, reports, counters = Pool(keep_journal=True, auto_finish=False), Journal(), Counters()
     await pool.start()
     link = PoolLink(("127.0.0.1", pool.port), ["busy"], Limits(**limits), counters, reports.add, lambda low, high: low)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
-        await reports.until(lambda report: isinstance(report, WorkersUp))
+        await reports.wait_for(lambda report: isinstance(report, WorkersUp))
         yield pool, link, reports, counters
         tasks.cancel_scope.cancel()
     await pool.stop()
@@ -193,14 +193,14 @@
     for _ in range(50):
         async with linked() as (pool, link, reports, _):
             assert link.spawn(attempt("left"))
-            await pool.log.until(lambda entry: entry.get("rid") == "left")
-            pool.cut()
+            await pool.log.wait_for(lambda entry: entry.get("rid") == "left")
+            pool.abort_links()
             while link.bound:
                 await asyncio.sleep(0)
             assert link.spawn(attempt("waits"))  # between two links
-            await pool.log.until(lambda entry: entry.get("rid") == "left", 2)
+            await pool.log.wait_for(lambda entry: entry.get("rid") == "left", 2)
             pool.finish("waits")
-            await reports.until(lambda report: isinstance(report, RunFinished))
+            await reports.wait_for(lambda report: isinstance(report, RunFinished))
             assert len(spawn_entries(pool, "waits")) == 1 and len(spawn_entries(pool, "left")) == 2
 
 
@@ -212,18 +212,18 @@
         reports,
         counters,
     ):
-        old_links, pool.deaf = set(pool.links), True
+        old_links, pool.drop_replies = set(pool.links), True
         assert link.spawn(attempt("run"))
-        await pool.log.until(lambda entry: entry.get("rid") == "run")
-        pool.tell("run", "blocked", {"b64": ""})
-        call = (await reports.until(lambda report: isinstance(report, CallRequested)))[0]
+        await pool.log.wait_for(lambda entry: entry.get("rid") == "run")
+        pool.send_notice("run", "blocked", {"b64": ""})
+        call = (await reports.wait_for(lambda report: isinstance(report, CallRequested)))[0]
         say = pool.say
         pool.say = lambda writer, message: None if writer in old_links else say(writer, message)
         assert link.supply("run", call.notice, b"reply") and link.spawn(attempt("next"))
         with anyio.move_on_after(0.01):
             await link.poll()
-        await reports.until(lambda report: isinstance(report, ReplyInDoubt))
-        await pool.log.until(lambda entry: entry.get("rid") == "next", 2)
+        await reports.wait_for(lambda report: isinstance(report, ReplyInDoubt))
+        await pool.log.wait_for(lambda entry: entry.get("rid") == "next", 2)
         assert counters["pool.silent"] == 1
 
 
@@ -241,22 +241,22 @@
     async with linked(pool_bind_timeout_ms=50.0) as (pool, _, reports, _):
         say = pool.say
         pool.say = lambda writer, message: None
-        pool.cut()
-        await pool.log.until(lambda entry: entry["t"] == "bind", 4)
+        pool.abort_links()
+        await pool.log.wait_for(lambda entry: entry["t"] == "bind", 4)
         pool.say = say
-        await reports.until(lambda report: isinstance(report, WorkersUp), 2)
+        await reports.wait_for(lambda report: isinstance(report, WorkersUp), 2)
 
 
 @pytest.mark.anyio
 async def test_a_notice_that_is_malformed_each_time_it_is_sent_does_not_block_the_link():
     async with linked() as (pool, link, reports, counters):
         assert link.spawn(attempt("run"))
-        await pool.log.until(lambda entry: entry.get("rid") == "run")
+        await pool.log.wait_for(lambda entry: entry.get("rid") == "run")
         pool.notices.append({"t": "finished", "no": next(pool.numbers), "rid": "old", "status": "odd"})
         for writer in list(pool.links):
-            pool.say(writer, pool.notices[-1])
+            pool.send(writer, pool.notices[-1])
         pool.finish("run")
-        finished = (await reports.until(lambda report: isinstance(report, RunFinished)))[0]
+        finished = (await reports.wait_for(lambda report: isinstance(report, RunFinished)))[0]
         assert finished.request == "run" and counters["pool.passed_over"] == 1
         assert counters["pool.junk"] == 2
 
@@ -266,8 +266,8 @@
     body = bytes(range(256))
     async with linked() as (pool, link, reports, _):
         link.spawn(Attempt("run", "look", 0.0, 1.0, 1, body))
-        spawned = (await pool.log.until(lambda entry: entry["t"] == "spawn"))[0]
+        spawned = (await pool.log.wait_for(lambda entry: entry["t"] == "spawn"))[0]
         assert base64.b64decode(spawned["b64"]) == body
-        pool.tell("run", "blocked", {"b64": base64.b64encode(body).decode()})
-        call = (await reports.until(lambda report: isinstance(report, CallRequested)))[0]
+        pool.send_notice("run", "blocked", {"b64": base64.b64encode(body).decode()})
+        call = (await reports.wait_for(lambda report: isinstance(report, CallRequested)))[0]
         assert call.call_payload == body
--- a/tests/wire/test_pool_links.py
+++ b/tests/wire/test_pool_links.py
@@ -31,12 +31,12 @@
     rig.pool.plan = {}
     fields, caller = request_fields(), await rig.connect("http")
     caller.send(REQUEST_BYTES["http"]("submit-time", b"1", fields))
-    await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 2)
-    rig.pool.cut()
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn", 2)
+    rig.pool.abort_links()
     rig.pool.finish(fields["X-Job-Id"])  # while no link is open: the notice is sent after the next bind
     rig.pool.notices.append({**rig.pool.notices[0], "no": 1})  # and one that was sent before
     assert (await caller.reply()).body == f"result of {fields['X-Job-Id']}\n".encode()
-    binds = await rig.pool.log.until(lambda entry: entry["t"] == "bind", 2)
+    binds = await rig.pool.log.wait_for(lambda entry: entry["t"] == "bind", 2)
     assert [bind["no"] for bind in binds] == [0, 1] and len(rig.runs()) == 2
 
 
@@ -46,25 +46,25 @@
     callers = [await rig.connect("http") for _ in requests]
     for caller, (class_name, fields) in zip(callers, requests.items(), strict=True):
         caller.send(REQUEST_BYTES["http"](class_name, b"", fields))
-    await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 2)
-    rig.pool.cut()
-    spawns = await rig.pool.log.until(lambda entry: entry["t"] == "spawn", 4)
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn", 2)
+    rig.pool.abort_links()
+    spawns = await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn", 4)
     assert Counter(run["rid"] for run in spawns) == {fields["X-Job-Id"]: 2 for fields in requests.values()}
     # A pass gives the number of its call; a reply might reach the run's next call. So a run that may continue without
     # its reply does so.
-    rig.pool.deaf = True
+    rig.pool.drop_replies = True
     for fields in requests.values():
-        rig.pool.tell(fields["X-Job-Id"], "blocked", {"b64": ""})
-    await rig.pool.log.until(lambda entry: entry["t"] == "supply", 2)
-    rig.pool.cut()
-    await rig.pool.log.until(lambda entry: entry["t"] == "pass")
-    rig.pool.deaf = False
-    rig.pool.cut()  # the pass itself may be lost too
-    await rig.pool.log.until(lambda entry: entry["t"] == "pass", 2)
+        rig.pool.send_notice(fields["X-Job-Id"], "blocked", {"b64": ""})
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "supply", 2)
+    rig.pool.abort_links()
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "pass")
+    rig.pool.drop_replies = False
+    rig.pool.abort_links()  # the pass itself may be lost too
+    await rig.pool.log.wait_for(lambda entry: entry["t"] == "pass", 2)
     assert (await callers[0].reply()).status == 200
     late_notice = {"status": "late", "time_ms": 1.0}
     # The answer to a spawn that crossed the end of the run.
-    rig.pool.tell(requests["race-results"]["X-Job-Id"], "finished", late_notice)
+    rig.pool.send_notice(requests["race-results"]["X-Job-Id"], "finished", late_notice)
     assert (await callers[1].reply()).status == 500
     resumed = [entry for entry in rig.pool.log.entries if entry["t"] in ("supply", "pass")]
     assert Counter(entry["t"] for entry in resumed) == {"supply": 2, "pass": 2}
@@ -75,7 +75,7 @@
     for count, line in enumerate(MALFORMED_LINES, 2):
         for writer in rig.pool.links:
             writer.write(line + b"\n")
-        await rig.pool.log.until(lambda entry: entry["t"] == "bind", count)
+        await rig.pool.log.wait_for(lambda entry: entry["t"] == "bind", count)
     finish_runs_at_once(rig)
     rig.vault.reply = b"%b what\r\n"
     rig.pool.plan["race-results"] = ("blocked", {"b64": "eA=="})
--- a/tests/wire/test_vault.py
+++ b/tests/wire/test_vault.py
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize(("reply", "outcome", "connections"), REPLIES)
 async def test_a_corrupt_reply_fails_its_own_call_only(reply, outcome, connections):
-    vault, reports, counters = Vault(tells=True), Journal(), Counters()
+    vault, reports, counters = Vault(keep_journal=True), Journal(), Counters()
     vault.reply = reply
     await vault.start()
     limits = Limits(vault_reply_timeout_ms=100.0, call_grace_ms=5.0, max_vault_idle_ms=60_000.0)
@@ -45,21 +45,21 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
         assert link.start_call("a1", 50.0 if reply == b"" else 5000.0, b"body", False)
-        assert (await reports.until(lambda report: report.request == "a1"))[0].outcome is outcome
+        assert (await reports.wait_for(lambda report: report.request == "a1"))[0].outcome is outcome
         vault.reply = b"%b yes 4\r\nmore\r\n"
         assert link.start_call("b2", 5000.0, b"", False)
-        report = (await reports.until(lambda report: report.request == "b2"))[0]
+        report = (await reports.wait_for(lambda report: report.request == "b2"))[0]
         assert (report.outcome, report.reply) == (Outcome.OK, b"more")
         # A duplicate of a request's first reply must not be taken for the reply to its second call.
         assert link.start_call("b2", 5000.0, b"", False)
-        await reports.until(lambda report: report.request == "b2", 2)
+        await reports.wait_for(lambda report: report.request == "b2", 2)
         assert counters["vault.links"] == connections + 1
         tasks.cancel_scope.cancel()
     await vault.stop()
 
 
 async def test_a_dropped_connection_fails_no_call():
-    vault, reports, counters = Vault(tells=True), Journal(), Counters()
+    vault, reports, counters = Vault(keep_journal=True), Journal(), Counters()
     await vault.start()
     link = VaultLink(
         ("127.0.0.1", vault.port), Limits(max_vault_idle_ms=60_000.0), counters, reports.add, lambda: time.time() * 1000
@@ -67,9 +67,9 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
         for count, (request, once) in enumerate([("a1", False), ("b2", False), ("c3", True)], 1):
-            vault.forgets = set(vault.links)  # each open connection is reset at its next call
+            vault.links_to_reset = set(vault.links)  # each open connection is reset at its next call
             assert link.start_call(request, 5000.0, b"", once)
-            await reports.until(lambda report, request=request: report.request == request)
+            await reports.wait_for(lambda report, request=request: report.request == request)
             assert counters["vault.links"] == count
         tasks.cancel_scope.cancel()
     await vault.stop()
@@ -79,7 +79,7 @@
 
 
 async def test_a_cancelled_call_closes_its_connection_and_idle_connections_are_closed():
-    vault, reports = Vault(tells=True), Journal()
+    vault, reports = Vault(keep_journal=True), Journal()
     await vault.start()
     link = VaultLink(
         ("127.0.0.1", vault.port), Limits(max_vault_idle_ms=50.0), Counters(), reports.add, lambda: time.time() * 1000
@@ -87,12 +87,12 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
         assert link.start_call("a1", 5000.0, b"", False)
-        await vault.ended.until(lambda _: True)  # idle
+        await vault.closed_links.wait_for(lambda _: True)  # idle
         vault.reply = b""
         assert link.start_call("b2", 5000.0, b"", False)
-        await vault.log.until(lambda entry: entry[1] == "b2")
+        await vault.log.wait_for(lambda entry: entry[1] == "b2")
         link.cancel_call("b2")
-        await vault.ended.until(lambda _: True, 2)
+        await vault.closed_links.wait_for(lambda _: True, 2)
         tasks.cancel_scope.cancel()
     await vault.stop()
     assert [report.request for report in reports.entries] == ["a1"]
