--- a/benchmarks/control_latency.py
+++ b/benchmarks/control_latency.py
@@ -22,7 +22,7 @@
 
 from request_cost import PLATFORM, WORKERS, ask, cpu_s  # noqa: E402
 
-from flintshift.lab.callers import reply  # noqa: E402
+from flintshift.lab.callers import read_reply  # noqa: E402
 from flintshift.lab.rig import Rig  # noqa: E402
 from flintshift.lab.standins import Pool  # noqa: E402
 
@@ -33,7 +33,7 @@
     began = time.perf_counter()
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(b"GET /control/ready HTTP/1.1\r\nHost: n\r\n\r\n")
-    status, _, _ = await reply(reader)
+    status, _, _ = await read_reply(reader)
     writer.close()
     assert status == 200
     return (time.perf_counter() - began) * 1000
--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -24,7 +24,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.lab.callers import fields_of, http_request, reply  # noqa: E402
+from flintshift.lab.callers import http_request, read_reply, request_fields  # noqa: E402
 from flintshift.lab.fleet import Fleet  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
@@ -74,8 +74,10 @@
             due += every_s
             rid = f"{next(ids):016x}"
             began = time.perf_counter()
-            writer.write(http_request(class_name, b"12:01.5", fields_of(rid, next(iter(CLUBS)), class_name, number)))
-            status, _, stays = await reply(reader)
+            writer.write(
+                http_request(class_name, b"12:01.5", request_fields(rid, next(iter(CLUBS)), class_name, number))
+            )
+            status, _, stays = await read_reply(reader)
             self.delays.append((time.perf_counter() - began) * 1000)
             self.statuses[status] = self.statuses.get(status, 0) + 1
             if not stays:
--- a/benchmarks/door_surge.py
+++ b/benchmarks/door_surge.py
@@ -28,7 +28,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.lab.callers import REQUESTS, fields_of, reply_with_head, wait_ms  # noqa: E402
+from flintshift.lab.callers import REQUEST_BUILDERS, advised_wait_ms, read_reply_with_head, request_fields  # noqa: E402
 from flintshift.lab.rig import Rig  # noqa: E402
 from flintshift.lab.standins import Pool  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
@@ -51,13 +51,15 @@
         asked[kind] += 1
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", ports[front])
-            writer.write(REQUESTS[front]("standings", b"12:01.5", fields_of(rid, club, "standings", caller, again)))
-            status, _, head = await asyncio.wait_for(reply_with_head(reader), 5)
+            writer.write(
+                REQUEST_BUILDERS[front]("standings", b"12:01.5", request_fields(rid, club, "standings", caller, again))
+            )
+            status, _, head = await asyncio.wait_for(read_reply_with_head(reader), 5)
             writer.close()
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             return
         served[kind] += status == 200
-        told = wait_ms(head)
+        told = advised_wait_ms(head)
         if status != 200 and told is not None and not again and heed:
             await asyncio.sleep(told / 1000)
             # Where all that may be told is told, there was no room to promise: its callers are counted apart.
--- a/benchmarks/kill_node.py
+++ b/benchmarks/kill_node.py
@@ -92,7 +92,7 @@
             doubted[id_.hex()] = tuple(key.split("\x1f"))
     seen: Counter[tuple[str, ...]] = Counter()
     unseen = 0
-    for rid, (club, class_name, front, outcome) in tally.ids.items():
+    for rid, (club, class_name, front, outcome) in tally.row_by_id.items():
         seen[club, class_name, front, outcome] += rid not in doubted
     merged: Counter[tuple[str, ...]] = Counter()
     for (club, class_name, front, outcome), count in rows.items():
@@ -107,7 +107,7 @@
             wrong.append(f"{'/'.join(names)}: {seen[names]} answered and not in doubt, {merged[names]} booked")
     wrong += [f"{rid} ran {count} times" for rid, count in spawned.items() if count > 1]
     return wrong, {
-        "answered": len(tally.ids),
+        "answered": len(tally.row_by_id),
         "in_doubt": len(doubted),
         "unanswered": len(tally.unanswered),
         "gone": gone,
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -57,7 +57,7 @@
         for caller in all_:
             caller.classes = ("standings", "finish-times")
         await asyncio.gather(*(caller.run(never, most // callers) for caller in all_))
-        return sum(tally.answers.values()), tally.delays
+        return sum(tally.answers.values()), tally.delays_ms
 
     return asyncio.run(go())
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -27,7 +27,7 @@
 
 from request_cost import PLATFORM, WORKERS, cpu_s, resident_mb  # noqa: E402
 
-from flintshift.lab.callers import REQUESTS, fields_of, reply  # noqa: E402
+from flintshift.lab.callers import REQUEST_BUILDERS, read_reply, request_fields  # noqa: E402
 from flintshift.lab.rig import Rig  # noqa: E402
 from flintshift.lab.standins import Pool  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
@@ -47,14 +47,14 @@
             turn += 1
             class_name, pair = "submit-time" if turn % 4 < 2 else "standings", turn // 2
             rid, key = f"{draw.getrandbits(64):016x}", f"{seed}-{number}-{pair}" if turn % 4 < 2 else ""
-            fields = fields_of(rid, list(CLUBS)[pair % len(CLUBS)], class_name, number, turn % 2 == 1)
+            fields = request_fields(rid, list(CLUBS)[pair % len(CLUBS)], class_name, number, turn % 2 == 1)
             fields["X-Unique"] = key or "none"
             began = time.time()
             try:
                 if link is None:
                     link = await asyncio.open_connection("127.0.0.1", ports[front])
-                link[1].write(REQUESTS[front](class_name, b"12:01.5", fields))
-                status, result, stays = await reply(link[0])
+                link[1].write(REQUEST_BUILDERS[front](class_name, b"12:01.5", fields))
+                status, result, stays = await read_reply(link[0])
                 stays = stays and front == "http"
             except (OSError, asyncio.IncompleteReadError):
                 status, result, stays = 0, b"", False
--- a/flintshift/lab/callers.py
+++ b/flintshift/lab/callers.py
@@ -16,16 +16,16 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What callers saw: answers by club, class, front and outcome, with the ids of each, and the delays in ms."""
+    """What callers saw: answers by club, class, front and outcome, with the ids of each, and the delays_ms in ms."""
 
     answers: Counter[tuple[str, str, str, str]] = field(default_factory=Counter)
-    ids: dict[str, tuple[str, str, str, str]] = field(default_factory=dict)
+    row_by_id: dict[str, tuple[str, str, str, str]] = field(default_factory=dict)
     bytes_out: Counter[str] = field(default_factory=Counter)
     unanswered: set[str] = field(default_factory=set)  # sent, and the connection broke before an answer
-    delays: list[float] = field(default_factory=list)
+    delays_ms: list[float] = field(default_factory=list)
 
 
-def fields_of(rid: str, club: str, class_name: str, sender: int, again: bool = False) -> dict[str, str]:
+def request_fields(rid: str, club: str, class_name: str, sender: int, again: bool = False) -> dict[str, str]:
     told = {
         "X-Job-Id": rid,
         "X-Door-Time": str(int(time.time() * 1000)),
@@ -63,23 +63,23 @@
     return bytes(uwsgi.pack(variables.items())) + body
 
 
-REQUESTS = {"http": http_request, "uwsgi": uwsgi_request}
+REQUEST_BUILDERS = {"http": http_request, "uwsgi": uwsgi_request}
 
 
-async def reply(reader: asyncio.StreamReader) -> tuple[int, bytes, bool]:
+async def read_reply(reader: asyncio.StreamReader) -> tuple[int, bytes, bool]:
     """Status, body, and whether the connection stays."""
-    status, body, head = await reply_with_head(reader)
+    status, body, head = await read_reply_with_head(reader)
     return status, body, b"connection: close" not in head
 
 
-async def reply_with_head(reader: asyncio.StreamReader) -> tuple[int, bytes, bytes]:
+async def read_reply_with_head(reader: asyncio.StreamReader) -> tuple[int, bytes, bytes]:
     """Status, body, and the head in small letters."""
     head = (await reader.readuntil(b"\r\n\r\n")).lower()
     size = int(head.split(b"content-length: ")[1].split(b"\r\n")[0])
     return int(head[9:12]), await reader.readexactly(size), head
 
 
-def wait_ms(head: bytes) -> float | None:
+def advised_wait_ms(head: bytes) -> float | None:
     """How long a refusal asks to stay away."""
     _, told, rest = head.partition(b"x-wait-ms: ")
     return float(rest.split(b"\r\n")[0]) if told else None
@@ -119,17 +119,19 @@
             began = time.perf_counter()
             self.tally.unanswered.add(rid)
             try:
-                writer.write(REQUESTS[self.front](class_name, body, fields_of(rid, club, class_name, self.sender)))
-                status, result, stays = await reply(reader)
+                writer.write(
+                    REQUEST_BUILDERS[self.front](class_name, body, request_fields(rid, club, class_name, self.sender))
+                )
+                status, result, stays = await read_reply(reader)
             except (OSError, asyncio.IncompleteReadError):
                 return
             self.tally.unanswered.discard(rid)
-            self.tally.delays.append((time.perf_counter() - began) * 1000)
+            self.tally.delays_ms.append((time.perf_counter() - began) * 1000)
             row = club, class_name, self.front, WORDS.get(status, "other")
             self.tally.answers[row] += 1
             self.tally.bytes_out[club] += len(result)
             if self.keep_ids:
-                self.tally.ids[rid] = row
+                self.tally.row_by_id[rid] = row
             done += 1
             if not stays:
                 writer.close()
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -26,7 +26,7 @@
 from typing import Any
 
 from flintshift.cli.asking import ask
-from flintshift.lab.callers import fields_of, http_request, reply_with_head
+from flintshift.lab.callers import http_request, read_reply_with_head, request_fields
 from flintshift.lab.faults import FaultProxy
 from flintshift.lab.history import Answered, Asked, Broke, Died, Event, Ran, Result, judge
 from flintshift.lab.ports import free_ports
@@ -489,7 +489,7 @@
         """One try at a member over a connection of its own; None: it ended without an answer."""
         rid = self.rid()
         class_name = class_name or (KEYED if key is not None else "standings")
-        told = fields_of(rid, next(iter(CLUBS)), class_name, 1, again)
+        told = request_fields(rid, next(iter(CLUBS)), class_name, 1, again)
         if key is not None:
             told["X-Unique"] = key
         member = self.members[name]
@@ -499,7 +499,7 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", member.ports["http"])
                 self.events.append(Asked(now_ms(), rid, key, body, name))
                 writer.write(http_request(class_name, body, told))
-                status, result, head = await reply_with_head(reader)
+                status, result, head = await read_reply_with_head(reader)
         except (OSError, asyncio.IncompleteReadError):
             self.events.append(Broke(now_ms(), rid))
             return None
--- a/tests/door/test_fair_door.py
+++ b/tests/door/test_fair_door.py
@@ -14,7 +14,7 @@
 
 from flintshift.cli.main import main
 from flintshift.core.attempts import Answer, Verdict
-from flintshift.lab.callers import fields_of, http_request, reply
+from flintshift.lab.callers import http_request, read_reply, request_fields
 from flintshift.lab.model import ModelNode, served, settings_of, waits_ms
 from flintshift.lab.rig import Rig
 from flintshift.lab.standins import Pool
@@ -25,8 +25,8 @@
 
 async def ask(rig, number, club="sur-pacers"):
     reader, writer = await asyncio.open_connection("127.0.0.1", rig.ports["http"])
-    writer.write(http_request("standings", b"1", fields_of(f"{number:016x}", club, "standings", number)))
-    status, *_ = await reply(reader)
+    writer.write(http_request("standings", b"1", request_fields(f"{number:016x}", club, "standings", number)))
+    status, *_ = await read_reply(reader)
     writer.close()
     return status
 
--- a/tests/handover/test_clock_adjustment_in_upgrade.py
+++ b/tests/handover/test_clock_adjustment_in_upgrade.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from flintshift.lab.callers import fields_of, http_request, reply
+from flintshift.lab.callers import http_request, read_reply, request_fields
 from flintshift.lab.rig import Rig
 from flintshift.lab.syscall_faults import SyscallFaults
 
@@ -22,11 +22,11 @@
     adjusted_s = 0.0
 
     async def ask(rig, rid, marked_repeat):
-        fields = {**fields_of(rid, "muscat-striders", "submit-time", 1, marked_repeat), "X-Unique": "one"}
+        fields = {**request_fields(rid, "muscat-striders", "submit-time", 1, marked_repeat), "X-Unique": "one"}
         fields["X-Door-Time"] = str(int((time.time() + adjusted_s) * 1000))
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.ports["http"])
         writer.write(http_request("submit-time", b"12:01.5", fields))
-        status, body, _ = await asyncio.wait_for(reply(reader), 5)
+        status, body, _ = await asyncio.wait_for(read_reply(reader), 5)
         writer.close()
         return status, body
 
--- a/tests/lifecycle/test_clock_steps.py
+++ b/tests/lifecycle/test_clock_steps.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from flintshift.lab.callers import fields_of, http_request, reply
+from flintshift.lab.callers import http_request, read_reply, request_fields
 from flintshift.lab.rig import Rig
 from flintshift.lab.standins import Pool
 from flintshift.lab.syscall_faults import SyscallFaults
@@ -33,7 +33,7 @@
         self.step_s += seconds
 
     def request(self, rid, class_name="submit-time", key=None, again=False):
-        told = fields_of(rid, "muscat-striders", class_name, 1, again)
+        told = request_fields(rid, "muscat-striders", class_name, 1, again)
         told["X-Door-Time"] = str(int((time.time() + self.step_s) * 1000))
         if key is not None:
             told["X-Unique"] = key
@@ -47,7 +47,7 @@
         return reader
 
     async def ask(self, *args, **more):
-        status, body, _ = await asyncio.wait_for(reply(await self.send(self.request(*args, **more))), 5)
+        status, body, _ = await asyncio.wait_for(read_reply(await self.send(self.request(*args, **more))), 5)
         return status, body
 
 
@@ -72,7 +72,7 @@
     first = await node.ask(f"{1:016x}", key="one")
     repeat = node.request(f"{2:016x}", key="one", again=True)  # with its time from before the step
     node.step(step_s)
-    status, body, _ = await asyncio.wait_for(reply(await node.send(repeat)), 5)
+    status, body, _ = await asyncio.wait_for(read_reply(await node.send(repeat)), 5)
     assert (status, body) == first and sum(node.pool.spawned.values()) == 1
 
 
@@ -80,7 +80,7 @@
 async def test_a_first_try_that_is_on_its_way_in_a_step_keeps_its_window(node, step_s):
     first = node.request(f"{1:016x}", key="one")
     node.step(step_s)
-    status, body, _ = await asyncio.wait_for(reply(await node.send(first)), 5)
+    status, body, _ = await asyncio.wait_for(read_reply(await node.send(first)), 5)
     assert (status, body) == (200, b"result of 0000000000000001\n")
     await asyncio.sleep(0.5)
     assert await node.ask(f"{2:016x}", key="one", again=True) == (status, body)
@@ -92,7 +92,7 @@
     reader = await node.send(node.request(f"{1:016x}", "race-results"))
     await asyncio.sleep(0.1)
     node.step(step_s)
-    status, _, _ = await asyncio.wait_for(reply(reader), 5)
+    status, _, _ = await asyncio.wait_for(read_reply(reader), 5)
     assert status == 200
 
 
@@ -105,7 +105,7 @@
     node.step(step_s)
     await asyncio.sleep(0.1)
     writer.write(data[40:])
-    assert (await asyncio.wait_for(reply(reader), 5))[0] == 200
+    assert (await asyncio.wait_for(read_reply(reader), 5))[0] == 200
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
@@ -115,5 +115,5 @@
     leaving = asyncio.create_task(node.rig.leave())
     await asyncio.sleep(0.05)
     node.step(step_s)
-    assert (await asyncio.wait_for(reply(reader), 5))[0] == 200
+    assert (await asyncio.wait_for(read_reply(reader), 5))[0] == 200
     assert await leaving == 0
--- a/tests/test_ledger_node.py
+++ b/tests/test_ledger_node.py
@@ -15,7 +15,7 @@
 import pytest
 
 from flintshift.lab.billing import Billing
-from flintshift.lab.callers import Caller, Tally, fields_of, http_request, reply
+from flintshift.lab.callers import Caller, Tally, http_request, read_reply, request_fields
 from flintshift.lab.demo import booked_in
 from flintshift.lab.rig import Rig
 from flintshift.lab.standins import Pool
@@ -37,8 +37,8 @@
 
 async def send_request(rig, class_name="standings", club="sur-pacers", rid="00000000000000aa", **headers):
     reader, writer = await asyncio.open_connection("127.0.0.1", rig.ports["http"])
-    writer.write(http_request(class_name, b"12:01.5", fields_of(rid, club, class_name, 1) | headers))
-    status, body, _ = await reply(reader)
+    writer.write(http_request(class_name, b"12:01.5", request_fields(rid, club, class_name, 1) | headers))
+    status, body, _ = await read_reply(reader)
     writer.close()
     return status, body
 
@@ -85,7 +85,7 @@
     pool = Pool(took_ms={"standings": 400.0, "finish-times": 1700.0})
     async with Rig(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT, pool=pool) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.ports["http"])
-        writer.write(http_request("standings", b"1", fields_of("00000000000000b1", "sur-pacers", "standings", 1)))
+        writer.write(http_request("standings", b"1", request_fields("00000000000000b1", "sur-pacers", "standings", 1)))
         await wait_until(lambda: pool.spawned, "no run began")
         writer.transport.abort()
         assert (await send_request(rig, "finish-times", rid="00000000000000b2"))[0] == 500  # cancelled at its deadline
