--- a/flintshift/cli/main.py
+++ b/flintshift/cli/main.py
@@ -105,9 +105,9 @@
     from flintshift.lab import demo as lab
 
     if peers_only:
-        sys.exit(lab.peers_only(click.echo))
+        sys.exit(lab.run_standins(click.echo))
     told = lab.run(seconds, callers, keep, partial(click.echo, err=True))
-    click.echo(json.dumps(told) if as_json else lab.shown(told))
+    click.echo(json.dumps(told) if as_json else lab.format_result(told))
     sys.exit(0 if told["counted"] == told["booked"] and not told["in_doubt"] else 3)
 
 
--- a/flintshift/lab/demo.py
+++ b/flintshift/lab/demo.py
@@ -25,7 +25,7 @@
 TOOK_MS = {"race-results": 8.0, "standings": 5.0, "finish-times": 2.0, "submit-time": 10.0}
 
 
-def booked_in(folder: Path) -> tuple[Counter[str], int]:
+def recorded_requests(folder: Path) -> tuple[Counter[str], int]:
     """Requests by club in all periods of a ledger, and how many are in doubt, or would be after a death now."""
     files = DiskFiles()
     book, _, _ = load(files, folder)
@@ -63,7 +63,7 @@
         stop.set()
         await asyncio.gather(*tasks)
         code = await rig.leave()
-    booked, doubt = booked_in(folder / "usage")
+    booked, doubt = recorded_requests(folder / "usage")
     counted: Counter[str] = Counter()
     outcomes: Counter[str] = Counter()
     for (club, _, _, outcome), count in tally.answers.items():
@@ -85,7 +85,7 @@
         return asyncio.run(_play(seconds, callers, folder.resolve(), say))
 
 
-def shown(told: dict[str, Any]) -> str:
+def format_result(told: dict[str, Any]) -> str:
     lines = [f"{'club':<20}{'counted':>10}{'booked':>10}"]
     for club in sorted(told["counted"].keys() | told["booked"].keys()):
         lines.append(f"{club:<20}{told['counted'].get(club, 0):>10,}{told['booked'].get(club, 0):>10,}")
@@ -94,7 +94,7 @@
     return "\n".join(lines)
 
 
-def peers_only(say: Callable[[str], None]) -> int:
+def run_standins(say: Callable[[str], None]) -> int:
     async def play() -> None:
         peers = Pool(PORTS["pool"], took_ms=TOOK_MS), Vault(PORTS["vault"]), Names(PORTS["naming"])
         for peer in peers:
--- a/tests/test_ledger_node.py
+++ b/tests/test_ledger_node.py
@@ -16,7 +16,7 @@
 
 from flintshift.lab.billing import Billing
 from flintshift.lab.callers import Caller, Tally, http_request, read_reply, request_fields
-from flintshift.lab.demo import booked_in
+from flintshift.lab.demo import recorded_requests
 from flintshift.lab.rig import Rig
 from flintshift.lab.standins import Pool
 from flintshift.settings.embedded import CLUBS
@@ -143,7 +143,7 @@
             "no document lists the gap",
         )
         assert await rig.leave() == 0
-    recorded, in_doubt = booked_in(tmp_path / "usage")
+    recorded, in_doubt = recorded_requests(tmp_path / "usage")
     assert in_doubt == 0
     if mode == "serve":  # a request that can't be recorded is rejected before it reaches the ledger
         assert recorded["sur-pacers"] >= 62
@@ -271,5 +271,5 @@
     counted = Counter()
     for (club, *_), count in tally.answers.items():
         counted[club] += count
-    recorded, in_doubt = booked_in(tmp_path / "usage")
+    recorded, in_doubt = recorded_requests(tmp_path / "usage")
     assert recorded == counted and in_doubt == 0 and sum(counted.values()) > 100 and recorded["late-comers"] > 5
