--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -49,7 +49,7 @@
         capacity, end = names.capacity, now_ms()
 
     def against(from_ms: float, to_ms: float) -> float:
-        return round(capacity.counted(from_ms, to_ms) / (to_ms - from_ms) * 1000 / steady, 2)
+        return round(capacity.calls_between(from_ms, to_ms) / (to_ms - from_ms) * 1000 / steady, 2)
 
     return {
         "nodes": nodes,
--- a/flintshift/lab/capacity.py
+++ b/flintshift/lab/capacity.py
@@ -10,7 +10,7 @@
 
 BIN_MS = 100.0
 BINS = 10  # the load is that of the last second
-SLOW_MS = 300.0  # an answer takes, over the capacity
+SLOW_ANSWER_MS = 300.0  # an answer takes, over the capacity
 TOO_MUCH = 1.2  # times the capacity: what comes past that is turned away
 STANDS_MS = 1000.0  # of too much, before it collapses
 RESTS_MS = 2000.0  # under a third, before it comes back
@@ -19,7 +19,7 @@
 class Verdict(Enum):
     TAKEN = "taken"
     SLOW = "slow"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
 
 
 class Capacity:
@@ -63,10 +63,10 @@
         self.last[-1] += 1
         self.bins[self.at] = self.bins.get(self.at, 0) + 1
         if self.down or self.collapsed:
-            return Verdict.TURNED_AWAY
+            return Verdict.REJECTED
         load = sum(self.last)
         if load > TOO_MUCH * self.per_s:
-            return Verdict.TURNED_AWAY
+            return Verdict.REJECTED
         return Verdict.SLOW if load > self.per_s else Verdict.TAKEN
 
     def peak(self, from_ms: float, to_ms: float, window_ms: float = BIN_MS) -> int:
@@ -75,5 +75,5 @@
         numbers = range(int(from_ms // BIN_MS), int(to_ms // BIN_MS) - wide + 1)
         return max((sum(self.bins.get(at + more, 0) for more in range(wide)) for at in numbers), default=0)
 
-    def counted(self, from_ms: float, to_ms: float) -> int:
+    def calls_between(self, from_ms: float, to_ms: float) -> int:
         return sum(count for at, count in self.bins.items() if from_ms <= at * BIN_MS < to_ms)
--- a/flintshift/lab/cold_start.py
+++ b/flintshift/lab/cold_start.py
@@ -9,7 +9,7 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from flintshift.lab.capacity import SLOW_MS, Capacity, Verdict
+from flintshift.lab.capacity import SLOW_ANSWER_MS, Capacity, Verdict
 from flintshift.startup.reports import (
     Event,
     ReportAnswered,
@@ -105,7 +105,7 @@
     def _call(self, now: float, node: SimNode) -> None:
         self.service.down = self.down_ms[0] <= now < self.down_ms[1]
         verdict = self.service.call(now)
-        taken, took = verdict is not Verdict.TURNED_AWAY, SLOW_MS if verdict is Verdict.SLOW else 2.0
+        taken, took = verdict is not Verdict.REJECTED, SLOW_ANSWER_MS if verdict is Verdict.SLOW else 2.0
         if taken:
             if node.taken_ms is not None and now + took - node.taken_ms > LAPSE_MS:
                 node.lapses += 1
@@ -146,7 +146,7 @@
     bin_rate, service = world.steady_per_s / 10, world.service
 
     def load(until_ms: float) -> float:
-        return round(service.counted(until_ms - 4000.0, until_ms) / 4 / world.steady_per_s, 2)
+        return round(service.calls_between(until_ms - 4000.0, until_ms) / 4 / world.steady_per_s, 2)
 
     return Told(
         world.steady_per_s,
--- a/flintshift/lab/services.py
+++ b/flintshift/lab/services.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from flintshift.lab.capacity import SLOW_MS, Capacity, Verdict
+from flintshift.lab.capacity import SLOW_ANSWER_MS, Capacity, Verdict
 from flintshift.lab.standins import Names, RecordingReader
 
 
@@ -24,10 +24,10 @@
 
     async def serve(self, reader: RecordingReader, writer: asyncio.StreamWriter) -> None:
         verdict = self.capacity.call(now_ms())
-        if verdict is Verdict.TURNED_AWAY:
+        if verdict is Verdict.REJECTED:
             writer.transport.abort()
             return
-        wait_ms = self.slow_ms + (SLOW_MS if verdict is Verdict.SLOW else 0.0)
+        wait_ms = self.slow_ms + (SLOW_ANSWER_MS if verdict is Verdict.SLOW else 0.0)
         if wait_ms:
             await asyncio.sleep(wait_ms / 1000)
         await super().serve(reader, writer)
--- a/tests/startup/test_storms.py
+++ b/tests/startup/test_storms.py
@@ -77,9 +77,9 @@
             await asyncio.sleep(max(0.0, back + 3000.0 - now_ms()) / 1000)
             counts = f"{fault.__name__}: {[count for at, count in names.capacity.bins.items() if at * 100 >= began_ms]}"
             assert not names.capacity.collapsed, counts
-            assert names.capacity.counted(back, back + 3000.0) <= 1.3 * 3 * STEADY_PER_S, counts
+            assert names.capacity.calls_between(back, back + 3000.0) <= 1.3 * 3 * STEADY_PER_S, counts
             if fault is outage:
-                assert names.capacity.counted(back - 4000.0, back) < 0.7 * 4 * STEADY_PER_S, counts
+                assert names.capacity.calls_between(back - 4000.0, back) < 0.7 * 4 * STEADY_PER_S, counts
 
 
 def start_causes(fleet, name):
