--- a/flintshift/lab/faulty_start.py
+++ b/flintshift/lab/faulty_start.py
@@ -21,7 +21,7 @@
 DISK_S = 2.0  # that a disk refuses writes for
 
 
-UNGUARDED = frozenset({Call.EPOLL_CTL, Call.PIPE, Call.OPEN})
+ABORTING_CALLS = frozenset({Call.EPOLL_CTL, Call.PIPE, Call.OPEN})
 """Calls that a start outlasts only while each of them fails: where single ones do, the event loop's library aborts the
 process, or a module of the program can't be imported."""
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartResult:
     """What came of a start."""
 
     ready_s: float | None  # from the process's start to its first report that it serves; None: never
@@ -61,7 +61,7 @@
     disk: int = 0,
     host: str = "127.0.0.1",
     disk_span: tuple[int, int] = (0, 0),
-) -> Start:
+) -> StartResult:
     """Start a node under these faults, let it serve for a moment, and tell it to leave. ``disk``: of 1,000 writes and
     syncs of files so many fail for ``DISK_S``. ``disk_span``: of these calls, counted from 0, so many fail from that
     one on. ``host``: as its configuration names the machine."""
@@ -95,7 +95,7 @@
         await asyncio.sleep(0.2)
         exit_code = rig.process.returncode
         left = None if exit_code is not None else await rig.leave()
-    return Start(ready_s, exit_code, left, errors.read_text(errors="replace"))
+    return StartResult(ready_s, exit_code, left, errors.read_text(errors="replace"))
 
 
 async def _take_back(shared: SyscallFaults, faults: list[Fault], disk_s: float) -> None:
@@ -112,7 +112,7 @@
 def drawn(seed: int) -> tuple[list[Fault], bool]:
     """Faults of one to four calls, and whether the uwsgi front is on."""
     draw = random.Random(seed)
-    calls = draw.sample([call for call in Call if call not in UNGUARDED], draw.randint(1, 4))
+    calls = draw.sample([call for call in Call if call not in ABORTING_CALLS], draw.randint(1, 4))
     faults = [
         Fault(call, draw.choice((20, 100, 300, 500, 1000)), lasts_s=draw.choice((1.0, 3.0, 6.0, 9.0))) for call in calls
     ]
--- a/tests/lifecycle/test_starts_under_faults.py
+++ b/tests/lifecycle/test_starts_under_faults.py
@@ -26,7 +26,7 @@
 import pytest
 from standins import ROOT
 
-from flintshift.lab.faulty_start import UNGUARDED, Fault, Start, play
+from flintshift.lab.faulty_start import ABORTING_CALLS, Fault, StartResult, play
 from flintshift.lab.ports import free_ports
 from flintshift.lab.rig import Rig
 from flintshift.lab.syscall_faults import Call
@@ -55,11 +55,11 @@
 ]
 
 SINGLE = [  # some calls fail, each with an error that is drawn anew
-    Fault(call, 300) for call in Call if call not in UNGUARDED
+    Fault(call, 300) for call in Call if call not in ABORTING_CALLS
 ]
 
 
-def told(start: Start) -> str:
+def told(start: StartResult) -> str:
     return f"ready after {start.ready_s} s, exit code {start.exit_code}, left with {start.left}: {start.said}"
 
 
