--- a/flintshift/lab/drain_soak.py
+++ b/flintshift/lab/drain_soak.py
@@ -349,12 +349,12 @@
             process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.001)
         self.callers.noticed = True
-        self.notice_ms = self.termination.notice()
+        self.notice_ms = self.termination.send_notice()
 
     async def _ended(self, process: asyncio.subprocess.Process) -> tuple[int, Departure]:
         """The exit code, and how it left; it is killed at the earliest moment that the protocol names."""
         disturbing = asyncio.create_task(self._disturb(process))
-        departure = await self.termination.departure()
+        departure = await self.termination.wait_for_departure()
         exit_code = await process.wait()
         disturbing.cancel()
         await asyncio.sleep(0.1)  # for what the callers have not seen yet
--- a/flintshift/lab/termination.py
+++ b/flintshift/lab/termination.py
@@ -49,7 +49,7 @@
         assert self.killer.stdout is not None
         await self.killer.stdout.readline()
 
-    def notice(self) -> float:
+    def send_notice(self) -> float:
         """Send SIGTERM; returns when, in milliseconds of the monotonic clock."""
         assert self.killer.stdin is not None
         notice_ms = now_ms()
@@ -57,7 +57,7 @@
         self.killer.stdin.write(f"{notice_ms} {self.grace_ms}\n".encode())
         return notice_ms
 
-    async def departure(self) -> Departure:
+    async def wait_for_departure(self) -> Departure:
         assert self.killer.stdout is not None
         told = json.loads(await self.killer.stdout.readline())
         await self.killer.wait()
--- a/tests/lifecycle/test_drains.py
+++ b/tests/lifecycle/test_drains.py
@@ -249,11 +249,11 @@
         with contextlib.suppress(OSError):
             writer = os.open(config, os.O_WRONLY | os.O_NONBLOCK)
         await asyncio.sleep(0.001)
-    termination.notice()
+    termination.send_notice()
     await asyncio.sleep(HELD_S)
     os.write(writer, text.encode())
     os.close(writer)
-    departure = await termination.departure()
+    departure = await termination.wait_for_departure()
     assert departure.left_ms is not None, departure
     assert balanced(await served.ended())
 
