--- a/benchmarks/disk_faults.py
+++ b/benchmarks/disk_faults.py
@@ -39,10 +39,10 @@
     settings = SETTINGS.format(("process-death", "power-cut")[seed % 2])
     async with Rig(folder, settings, uwsgi=True, pool=pool, root=ROOT, environment=faults.environment) as rig:
         await load_for(rig, tally, 0.3, seed * 10, kill=False)
-        faults.set(REFUSED)
+        faults.set_rates(REFUSED)
         await load_for(rig, tally, 1.0 + draw.random(), seed * 10 + 1, kill=False)
         if seed % 4 < 2:
-            faults.set(NO_FAULTS)
+            faults.set_rates(NO_FAULTS)
             await anyio.sleep(RECOVERS_S)
         code = await rig.leave()
     wrong, _ = findings(folder, tally, pool.spawned)
--- a/flintshift/lab/drain_soak.py
+++ b/flintshift/lab/drain_soak.py
@@ -300,9 +300,9 @@
                 process = await self.rig.start(stderr)
                 tasks = [asyncio.create_task(self.lag.watch()), *self._start_callers()]
                 await asyncio.sleep(0.6)
-                self.faults.set(plan.rates)
+                self.faults.set_rates(plan.rates)
                 for fault in plan.calls:
-                    self.faults.fail(fault.call, fault.rate)
+                    self.faults.fail_call(fault.call, fault.rate)
                 await self._hurt()
                 await self._notice(process)
                 exit_code, departure = await self._ended(process)
--- a/flintshift/lab/faulty_start.py
+++ b/flintshift/lab/faulty_start.py
@@ -79,8 +79,8 @@
     async with rig:
         await rig.leave()
         for fault in faults:
-            shared.fail(fault.call, fault.rate, fault.error)
-        shared.set(Rates(disk=disk))
+            shared.fail_call(fault.call, fault.rate, fault.error)
+        shared.set_rates(Rates(disk=disk))
         shared.fail_disk_calls(*disk_span)
         began, ready_s = time.monotonic(), None
         taking_back = asyncio.create_task(_take_back(shared, faults, DISK_S if disk else 0.0))
@@ -101,12 +101,12 @@
 async def _take_back(shared: SyscallFaults, faults: list[Fault], disk_s: float) -> None:
     """End each fault when its time is over, those of the disk first."""
     await asyncio.sleep(disk_s)
-    shared.set(NO_FAULTS)
+    shared.set_rates(NO_FAULTS)
     passed_s = disk_s
     for fault in sorted(faults, key=lambda one: one.lasts_s):
         await asyncio.sleep(max(0.0, fault.lasts_s - passed_s))
         passed_s = fault.lasts_s
-        shared.fail(fault.call, 0)
+        shared.fail_call(fault.call, 0)
 
 
 def drawn(seed: int) -> tuple[list[Fault], bool]:
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -439,7 +439,7 @@
         for name in self.members if names is None else names:
             faults = self.members[name].faults
             if faults is not None:
-                faults.set(Rates(disk=rate))
+                faults.set_rates(Rates(disk=rate))
         self.told(f"disks of {'all' if names is None else ','.join(names)} refuse {rate} of 1,000 writes")
 
     def fail_disk(self, name: str, fail: bool = True) -> None:
--- a/flintshift/lab/syscall_faults.py
+++ b/flintshift/lab/syscall_faults.py
@@ -107,11 +107,11 @@
         """What a process is to be started with, beside its own."""
         return {"LD_PRELOAD": str(library()), VARIABLE: str(self.path)}
 
-    def set(self, rates: Rates) -> None:
+    def set_rates(self, rates: Rates) -> None:
         """Have calls fail at these rates from now on."""
         struct.pack_into("=6I", self.shared, 16, *asdict(rates).values())
 
-    def fail(self, call: Call, rate: int, error: int = 0) -> None:
+    def fail_call(self, call: Call, rate: int, error: int = 0) -> None:
         """Have so many of 1,000 of these calls fail from now on; ``error`` 0: each with one that the C source lists."""
         CALL_FAULT.pack_into(self.shared, CALL_FAULTS_AT + call * CALL_FAULT.size, rate, error)
 
--- a/tests/lifecycle/test_failing_system_calls.py
+++ b/tests/lifecycle/test_failing_system_calls.py
@@ -25,9 +25,9 @@
     faults = SyscallFaults(tmp_path / "faults", seed=seed)
     async with Rig(tmp_path, uwsgi=True, control=True, environment=faults.environment) as rig:
         await rig.kill()
-        faults.set(Rates(socket=200))
+        faults.set_rates(Rates(socket=200))
         process = await asyncio.wait_for(rig.start(), 15)
-        faults.set(NO_FAULTS)
+        faults.set_rates(NO_FAULTS)
         assert process.returncode is None
 
 
@@ -46,13 +46,13 @@
     connection was taken for one whose caller had gone, and closed over its request."""
     faults = SyscallFaults(tmp_path / "faults", seed=7)
     async with Rig(tmp_path, environment=faults.environment) as rig:
-        faults.fail(call, rate)
+        faults.fail_call(call, rate)
         asking = [asyncio.ensure_future(ping(rig.ports["http"])) for _ in range(60)]
         if lasts_s:
             await asyncio.sleep(lasts_s)
-            faults.fail(call, 0)
+            faults.fail_call(call, 0)
         assert await asyncio.gather(*asking) == [True] * 60
-        faults.fail(call, 0)
+        faults.fail_call(call, 0)
         assert await rig.leave() == 0
 
 
@@ -90,7 +90,7 @@
     """By the event loop's own server, the first such failure closed the listener for good."""
     faults = SyscallFaults(tmp_path / "faults", seed=3)
     environment = {**os.environ, **faults.environment}
-    faults.set(Rates(accept=500))
+    faults.set_rates(Rates(accept=500))
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-c", MEMBER, cwd=ROOT, env=environment, stdout=asyncio.subprocess.PIPE
     )
