--- a/flintshift/lab/drain_soak.py
+++ b/flintshift/lab/drain_soak.py
@@ -126,7 +126,7 @@
         self.sent: dict[str, tuple[str, bytes]] = {}
         self.strangers = 0
 
-    async def came(self, entry: Any) -> None:
+    async def on_received(self, entry: Any) -> None:
         if entry["t"] == "spawn":
             sent = (entry["route"], base64.b64decode(entry["b64"]))
             self.strangers += self.sent.get(entry["rid"]) != sent
@@ -310,7 +310,11 @@
                     task.cancel()
                 await asyncio.gather(*tasks, return_exceptions=True)
         ended = Process(
-            exit_code, departure.left_ms, self.faults.requests_after_end, self.pool.torn, counters_of(errors)
+            exit_code,
+            departure.left_ms,
+            self.faults.requests_after_end,
+            self.pool.truncated_commands,
+            counters_of(errors),
         )
         verdict = judge(
             self.callers.tries, self.pool.spawned, self.pool.strangers, ended, self.notice_ms, self.lag.most_ms
--- a/flintshift/lab/senders.py
+++ b/flintshift/lab/senders.py
@@ -1,4 +1,4 @@
-"""Which process of this machine holds the other end of a connection over loopback, by the system's own tables."""
+"""Finds the process of this machine at the other end of a loopback connection, from the tables in /proc."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 from pathlib import Path
 
 PROC = Path("/proc")
-LOCAL, REMOTE, INODE = 1, 2, 9  # fields of a line of /proc/net/tcp
+LOCAL_FIELD, REMOTE_FIELD, INODE_FIELD = 1, 2, 9  # of a line of /proc/net/tcp
 
 
-def sender(port: int, to: int) -> str:
-    """The process that is connected from this port to that one: its number, command and the test that started it."""
+def describe_sender(port: int, to_port: int) -> str:
+    """The process that is connected from ``port`` to ``to_port``: its id, its command and the test that started it."""
     with contextlib.suppress(OSError):
-        inode = _inode(port, to)
-        pid = _holder(inode) if inode is not None else None
+        inode = _socket_inode(port, to_port)
+        pid = _socket_owner(inode) if inode is not None else None
         if pid is not None:
-            return _told(pid)
-    return f"a process that is gone, from port {port}"
+            return _describe_process(pid)
+    return f"a process that has ended, from port {port}"
 
 
-def _inode(port: int, to: int) -> str | None:
+def _socket_inode(port: int, to_port: int) -> str | None:
     for line in (PROC / "net" / "tcp").read_text().splitlines()[1:]:
         fields = line.split()
-        if fields[LOCAL].endswith(f":{port:04X}") and fields[REMOTE].endswith(f":{to:04X}"):
-            return fields[INODE]
+        if fields[LOCAL_FIELD].endswith(f":{port:04X}") and fields[REMOTE_FIELD].endswith(f":{to_port:04X}"):
+            return fields[INODE_FIELD]
     return None
 
 
-def _holder(inode: str) -> int | None:
+def _socket_owner(inode: str) -> int | None:
     wanted = f"socket:[{inode}]"
     for folder in PROC.glob("[0-9]*/fd"):
-        with contextlib.suppress(OSError):  # it has ended, or is another user's
+        with contextlib.suppress(OSError):  # the process has ended, or is another user's
             for name in os.listdir(folder):
                 with contextlib.suppress(OSError):
                     if os.readlink(folder / name) == wanted:
@@ -39,8 +39,10 @@
     return None
 
 
-def _told(pid: int) -> str:
+def _describe_process(pid: int) -> str:
     command = (PROC / str(pid) / "cmdline").read_bytes().decode(errors="replace").replace("\0", " ").strip()
     variables = (PROC / str(pid) / "environ").read_bytes().decode(errors="replace").split("\0")
-    test = next((one.partition("=")[2] for one in variables if one.startswith("PYTEST_CURRENT_TEST=")), "no test")
+    test = next(
+        (variable.partition("=")[2] for variable in variables if variable.startswith("PYTEST_CURRENT_TEST=")), "no test"
+    )
     return f"process {pid} ({command}), started by {test}"
--- a/flintshift/lab/standins.py
+++ b/flintshift/lab/standins.py
@@ -1,6 +1,9 @@
-"""Stand-ins for the worker pool, the vault and the name service, from the platform's protocol; for app servers from
-the uwsgi protocol and for a resolver from RFC 1035, RFC 2136 and RFC 6763. For demos, benchmarks and all tests: what a
-test wants of them beside the protocol (a script, a journal, a fault) is an attribute here, and off at first."""
+"""Stand-ins for the services that a node talks to, for demos, benchmarks and tests.
+
+The worker pool, the vault and the name service follow the platform's protocol, the app servers the uwsgi protocol, and
+the resolver RFC 1035, RFC 2136 and RFC 6763. What a test needs beside the protocol (a plan of runs, a journal, a fault)
+is an attribute of the stand-in and off by default.
+"""
 
 from __future__ import annotations
 
@@ -22,14 +25,15 @@
 
 from flintshift.lab.connection_tasks import ConnectionTasks
 from flintshift.lab.ports import free_ports
-from flintshift.lab.senders import sender
+from flintshift.lab.senders import describe_sender
 from flintshift.wire import uwsgi
 
-FIRST_BYTES = 80  # kept of what a connection brought
+FIRST_BYTES = 80  # that are kept of what a connection received
 
 
 class Journal:
-    """What a stand-in was told, in order. Tests wait for an entry, not for time to pass."""
+    """An ordered list of events, such as the messages that a stand-in received. Tests wait for an entry instead of
+    sleeping."""
 
     def __init__(self) -> None:
         self.entries: list[Any] = []
@@ -40,76 +44,78 @@
             self.entries.append(entry)
             self.changed.notify_all()
 
-    async def wait_for(self, wanted: Callable[[Any], bool], count: int = 1, within_s: float = 10.0) -> list[Any]:
-        """The entries that are wanted, once there are so many.
+    async def wait_for(self, matches: Callable[[Any], bool], count: int = 1, within_s: float = 10.0) -> list[Any]:
+        """Wait until ``count`` entries match ``matches``, and return all that match.
 
         Raises:
-            TimeoutError: there were not in time.
+            TimeoutError: there were fewer after ``within_s``.
         """
         async with self.changed:
-            await asyncio.wait_for(self.changed.wait_for(lambda: sum(map(wanted, self.entries)) >= count), within_s)
-        return [entry for entry in self.entries if wanted(entry)]
+            await asyncio.wait_for(self.changed.wait_for(lambda: sum(map(matches, self.entries)) >= count), within_s)
+        return [entry for entry in self.entries if matches(entry)]
 
 
 class UnreadableError(Exception):
-    """A stand-in was sent what its protocol does not know; the text tells by whom."""
+    """A stand-in received data that is not of its protocol; the text names the sender."""
 
 
 class RecordingReader:
-    """What a stand-in reads of one connection, with its first bytes kept for whoever must find out who sent them."""
+    """A reader of one connection that keeps the first bytes, so that an error can show what was received."""
 
     def __init__(self, reader: asyncio.StreamReader) -> None:
-        self.reader, self.first = reader, b""
+        self.reader, self.first_bytes = reader, b""
 
-    def _heard(self, data: bytes) -> bytes:
-        if len(self.first) < FIRST_BYTES:
-            self.first = (self.first + data)[:FIRST_BYTES]
+    def _record(self, data: bytes) -> bytes:
+        if len(self.first_bytes) < FIRST_BYTES:
+            self.first_bytes = (self.first_bytes + data)[:FIRST_BYTES]
         return data
 
     async def readline(self) -> bytes:
-        return self._heard(await self.reader.readline())
+        return self._record(await self.reader.readline())
 
     async def readexactly(self, count: int) -> bytes:
-        return self._heard(await self.reader.readexactly(count))
+        return self._record(await self.reader.readexactly(count))
 
     async def readuntil(self, separator: bytes) -> bytes:
-        return self._heard(await self.reader.readuntil(separator))
+        return self._record(await self.reader.readuntil(separator))
 
     async def read(self) -> bytes:
-        return self._heard(await self.reader.read())
+        return self._record(await self.reader.read())
 
 
 class StandIn:
-    """A TCP stand-in on a loopback port; 0: on one that no other process is given. ``keep_journal``: it keeps a
-    journal of what it was sent and of links that ended; off for loads, which would fill it."""
+    """Base class of the stand-ins that listen on a loopback TCP port.
+
+    ``port`` 0: a port that is reserved for this process. ``keep_journal``: messages that were received and links that
+    were closed are recorded; off under load, where the journal would grow too large."""
 
     def __init__(self, port: int = 0, keep_journal: bool = False) -> None:
         self.port, self.keep_journal, self.links = port, keep_journal, set[asyncio.StreamWriter]()
         self.log, self.closed_links = Journal(), Journal()
-        self.server: asyncio.Server | None = None  # until it is started
+        self.server: asyncio.Server | None = None  # None: not started
         self.connections = ConnectionTasks(self._serve)
 
     async def start(self) -> None:
-        # A port of the system's choice is given to another process once this one has left it, and the node goes on
-        # linking to it there.
+        # A port that the system chooses may be given to another process once it is released, and the node would go on
+        # connecting to it there.
         self.port = self.port or free_ports(1)[0]
         self.server = await asyncio.start_server(self.connections, "127.0.0.1", self.port)
 
-    def leave_port(self) -> None:
-        """Take nothing new; what is open stays open."""
+    def stop_accepting(self) -> None:
+        """Accept no new connections; open ones stay open."""
         if self.server is not None:
             self.server.close()
 
     async def stop(self) -> None:
-        """End all connections, and return once nothing of them is left for the end of the event loop."""
-        self.leave_port()
+        """Abort all connections and wait for their tasks, so that none is left when the event loop ends."""
+        self.stop_accepting()
         await self.connections.opened()
         self.abort_links()
         await self.connections.ended()
 
     async def change_port(self) -> None:
-        """Take what is new at another address alone; what is open stays open."""
-        self.leave_port()
+        """Accept new connections at another port only; open ones stay open."""
+        self.stop_accepting()
         self.port = 0
         await self.start()
 
@@ -117,40 +123,44 @@
         for writer in list(self.links):
             writer.transport.abort()
 
-    async def came(self, entry: Any) -> None:
+    async def on_received(self, entry: Any) -> None:
+        """Handle a message that was received; the base class records it in the journal."""
         if self.keep_journal:
             await self.log.add(entry)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.links.add(writer)
-        heard = RecordingReader(reader)
+        recorder = RecordingReader(reader)
         try:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
-                await self.serve(heard, writer)
+                await self.serve(recorder, writer)
         except Exception as error:
-            raise self._unreadable(heard, writer, error) from error
+            raise self._unreadable(recorder, writer, error) from error
         finally:
             self.links.discard(writer)
             writer.close()
         if self.keep_journal:
             await self.closed_links.add("link")
 
-    def _unreadable(self, heard: RecordingReader, writer: asyncio.StreamWriter, error: Exception) -> UnreadableError:
-        """What came, and who holds the other end, while that can still be found out."""
+    def _unreadable(self, recorder: RecordingReader, writer: asyncio.StreamWriter, error: Exception) -> UnreadableError:
+        """The error with the bytes that were received and the sending process, while that can still be identified."""
         _, port = writer.get_extra_info("peername")
-        who = sender(port, self.port)
-        return UnreadableError(f"{type(self).__name__} at port {self.port}: {error}; {heard.first!r} was sent by {who}")
+        sender = describe_sender(port, self.port)
+        return UnreadableError(
+            f"{type(self).__name__} at port {self.port}: {error}; {recorder.first_bytes!r} was sent by {sender}"
+        )
 
     async def serve(self, reader: RecordingReader, writer: asyncio.StreamWriter) -> None:
         raise NotImplementedError
 
 
 class Pool(StandIn):
-    """The worker pool: a run takes ``took_ms`` by class (0: at once), those in ``calling_classes`` stand at a call
-    first.
+    """The worker pool.
 
-    ``spawned`` counts runs by id, so that a second one shows. ``plan`` says by class how a run goes on, as (notice,
-    more fields) or a number of ms, before all else; ``auto_finish`` False: what no plan names never ends by itself."""
+    A run takes ``took_ms`` by class (0: it finishes at once); a run of ``calling_classes`` first waits for the reply to
+    a call. ``plan`` takes precedence over both: by class, a notice as (kind, more fields) that a run sends, or the
+    number of ms that it takes. ``auto_finish`` False: a run of a class without a plan never finishes by itself.
+    ``spawned`` counts runs by id, so that a second run of one id is found."""
 
     def __init__(
         self,
@@ -164,23 +174,23 @@
         super().__init__(port, keep_journal)
         self.took_ms, self.calling_classes, self.auto_finish = took_ms or {}, calling_classes, auto_finish
         self.plan: dict[str, float | tuple[str, dict[str, Any]]] = {}
-        self.torn = 0  # commands in whose middle the node ended a link
-        self.drop_replies = False  # what is sent to runs that stand at a call is lost
+        self.truncated_commands = 0  # the node closed the link in the middle of these
+        self.drop_replies = False  # replies to runs that wait at a call are ignored
         self.spawned: Counter[str] = Counter()
-        self.routes: dict[str, str] = {}
+        self.routes: dict[str, str] = {}  # by id, of runs whose work has not begun
         self.notices: list[dict[str, Any]] = []
-        self.numbers = itertools.count(1)
-        self.cores, self.wanting = asyncio.Semaphore(cores), 0
+        self.notice_numbers = itertools.count(1)
+        self.cores, self.core_demand = asyncio.Semaphore(cores), 0  # core_demand: runs on a core or waiting for one
         self.tasks: set[asyncio.Task[None]] = set()
         self.size = cores
 
     async def serve(self, reader: RecordingReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
-            if not line.endswith(b"\n"):  # the link ended in the middle of a command: by whom?
-                self.torn += not writer.transport.is_closing()
+            if not line.endswith(b"\n"):  # a truncated command; counted unless this side closed the link
+                self.truncated_commands += not writer.transport.is_closing()
                 return
             command = json.loads(line)
-            await self.came(command)
+            await self.on_received(command)
             match command["t"]:
                 case "bind":
                     self.send(writer, {"t": "bound", "status": "running", "time_ms": 5.0})
@@ -188,8 +198,8 @@
                         if notice["no"] > command["no"]:
                             self.send(writer, notice)
                 case "poll":
-                    busy = min(1.0, self.wanting / self.size)
-                    self.send(writer, {"t": "polled", "mark": command["mark"], "v": [busy, self.wanting, 0.1, 3]})
+                    busy = min(1.0, self.core_demand / self.size)
+                    self.send(writer, {"t": "polled", "mark": command["mark"], "v": [busy, self.core_demand, 0.1, 3]})
                 case "verify":
                     self.send(writer, {"t": "verified", "mark": command["mark"], "status": "fine"})
                 case "spawn":
@@ -213,10 +223,10 @@
             self._run(rid)
 
     def on_run_started(self, rid: str) -> None:
-        """A run begins."""
+        """Called at the first spawn command of each run; for subclasses."""
 
     def spawn_commands(self) -> list[dict[str, Any]]:
-        """The commands that began a run, by the journal."""
+        """The spawn commands in the journal."""
         return [entry for entry in self.log.entries if entry["t"] == "spawn"]
 
     def _run(self, rid: str) -> None:
@@ -235,20 +245,20 @@
         self.finish(rid, took_ms)
 
     async def work(self, took_ms: float) -> None:
-        """Keep one of the cores busy for so long, once there is one."""
-        self.wanting += 1
+        """Wait for a free core, and keep it busy for ``took_ms``."""
+        self.core_demand += 1
         try:
             async with self.cores:
                 await asyncio.sleep(took_ms / 1000)
         finally:
-            self.wanting -= 1
+            self.core_demand -= 1
 
     def finish(self, rid: str, took_ms: float = 1.0) -> None:
         result = base64.b64encode(f"result of {rid}\n".encode()).decode()
         self.send_notice(rid, "finished", {"status": "fine", "time_ms": took_ms, "b64": result})
 
     def send_notice(self, rid: str, kind: str, more: dict[str, Any]) -> None:
-        notice = {"t": kind, "no": next(self.numbers), "rid": rid, **more}
+        notice = {"t": kind, "no": next(self.notice_numbers), "rid": rid, **more}
         self.notices.append(notice)
         del self.notices[:-4000]
         for writer in self.links:
@@ -261,8 +271,10 @@
 
 
 class Vault(StandIn):
-    """The vault: says ``reply`` to each call at once, with the call's id in place of %b; None breaks the link under
-    it. Connections in ``links_to_reset`` are reset at their next call, which never runs."""
+    """The vault, which answers each call at once with ``reply``, where %b stands for the call's id.
+
+    ``reply`` None: the link is closed without an answer. A connection in ``links_to_reset`` is reset at its next call,
+    which never runs."""
 
     def __init__(self, port: int = 0, keep_journal: bool = False) -> None:
         super().__init__(port, keep_journal)
@@ -273,18 +285,20 @@
         while line := await reader.readline():
             if writer in self.links_to_reset:
                 return writer.transport.abort()
-            word, request, *rest = line.decode().split()
-            body = (await reader.readexactly(int(rest[1]) + 2))[:-2] if word == "ask" else b""
-            await self.came((word, request, body))
-            if word == "ask" and self.reply is None:
+            kind, request, *rest = line.decode().split()
+            body = (await reader.readexactly(int(rest[1]) + 2))[:-2] if kind == "ask" else b""
+            await self.on_received((kind, request, body))
+            if kind == "ask" and self.reply is None:
                 return None
-            if word == "ask" and self.reply is not None:
+            if kind == "ask" and self.reply is not None:
                 writer.write(self.reply.replace(b"%b", request.encode()))
 
 
 class Names(StandIn):
-    """The name service: takes each report; ``serving`` is set while a node says that it serves, ``listed`` holds the
-    last word of each. ``unresponsive``: it takes reports and never answers."""
+    """The name service, which accepts every report.
+
+    ``serving`` is set while the last report says that its node serves; ``listed`` keeps the last report of each node.
+    ``unresponsive``: reports are received but not answered."""
 
     def __init__(self, port: int = 0, keep_journal: bool = False) -> None:
         super().__init__(port, keep_journal)
@@ -295,22 +309,22 @@
     async def serve(self, reader: RecordingReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
         size = int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
-        told = json.loads(await reader.readexactly(size))
+        report = json.loads(await reader.readexactly(size))
         if self.unresponsive:
             await reader.read()
         else:
             writer.write(b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n")
             await writer.drain()
         path = head.split(b" ")[1].decode()
-        self.listed[path.rpartition("/")[2]] = told["serving"]
-        (self.serving.set if told["serving"] == "yes" else self.serving.clear)()
-        await self.came((path, told["serving"]))
+        self.listed[path.rpartition("/")[2]] = report["serving"]
+        (self.serving.set if report["serving"] == "yes" else self.serving.clear)()
+        await self.on_received((path, report["serving"]))
 
 
 class Apps(StandIn):
-    """A uwsgi app server; ``spawned`` counts runs by id. It answers at once, or, on the cores of a worker pool that
-    it stands beside, after ``took_ms``.
-    """
+    """A uwsgi app server, which answers at once or after ``took_ms`` on a core of ``pool``.
+
+    ``spawned`` counts runs by id."""
 
     def __init__(self, port: int = 0, pool: Pool | None = None, keep_journal: bool = False) -> None:
         super().__init__(port, keep_journal)
@@ -324,7 +338,7 @@
         body = await reader.readexactly(int(variables["CONTENT_LENGTH"]))
         rid = variables["HTTP_X_JOB_ID"]
         self.spawned[rid] += 1
-        await self.came({"t": "spawn", "rid": rid, "body": body, "unique": variables.get("HTTP_X_UNIQUE")})
+        await self.on_received({"t": "spawn", "rid": rid, "body": body, "unique": variables.get("HTTP_X_UNIQUE")})
         if self.pool is not None and self.took_ms:
             await self.pool.work(self.took_ms)
         result = f"result of {rid}\n".encode()
@@ -333,7 +347,9 @@
 
 
 class Dns(asyncio.DatagramProtocol):
-    """A resolver with one zone in memory, which names one app server and takes updates."""
+    """A DNS resolver with one zone in memory, which lists one app server and accepts dynamic updates.
+
+    ``browse_finished`` is set at the first query for an AAAA record, the last of a browse."""
 
     def __init__(self, app_port: int, domain: str = "desks.example", keep_journal: bool = False) -> None:
         self.keep_journal, self.log = keep_journal, Journal()
@@ -341,20 +357,20 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.browse_finished = asyncio.Event()
         name = f"app1._uwsgi._tcp.{domain}."
-        for at, kind, text in (
+        for owner, kind, text in (
             (f"_uwsgi._tcp.{domain}.", "PTR", name),
             (name, "SRV", f"0 0 {app_port} app1.{domain}."),
             (name, "TXT", '"txtvers=1"'),
             (f"app1.{domain}.", "A", "127.0.0.1"),
         ):
-            self.put(at, kind, text)
+            self.add_record(owner, kind, text)
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
         self.port = free_ports(1)[0]
         self.transport, _ = await loop.create_datagram_endpoint(lambda: self, ("127.0.0.1", self.port))
 
-    def put(self, name: str, kind: str, text: str) -> None:
+    def add_record(self, name: str, kind: str, text: str) -> None:
         rrset = dns.rrset.from_text(name, 5, "IN", kind, text)
         self.records.setdefault((rrset.name, rrset.rdtype), []).extend(rrset)
 
