--- a/flintshift/lab/cold_start.py
+++ b/flintshift/lab/cold_start.py
@@ -1,5 +1,7 @@
-"""A fleet that starts, or loses its list service, on a clock of its own: the production heart of reports in hundreds or
-thousands of nodes, and a service with a capacity. Deterministic from the seed.
+"""Simulates a fleet that starts, or whose list service fails, on a simulated clock.
+
+Hundreds or thousands of nodes run the production state machine of reports (`ReportSchedule`) against one service with a
+capacity (`Capacity`). A simulation is deterministic by its seed.
 """
 
 from __future__ import annotations
@@ -21,43 +23,47 @@
     WakeAt,
 )
 
-QUIET_MS = 10_000.0  # before an outage
-AFTER_MS = 20_000.0  # that are watched past it
-LAPSE_MS = 3000.0  # after its last report that was taken, a node is off the list
+QUIET_MS = 10_000.0  # from the start to an outage
+AFTER_MS = 20_000.0  # simulated after the outage
+LAPSE_MS = 3000.0  # a node leaves the list so long after its last accepted report
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What a play came to."""
+class SimulationResult:
+    """The load that the service met, and how the nodes' entries fared."""
 
-    steady_per_s: float  # calls that the fleet needs when all is well
-    peak_start: float  # of any 100 ms, against the steady rate: while the fleet starts
-    peak_back: float  # and from the return of the service on
+    steady_per_s: float  # calls that the fleet makes while the service is healthy
+    peak_start: float  # highest load of any 100 ms, relative to the steady rate, up to the outage
+    peak_back: float  # the same from the service's return on
     collapses: int
-    listed_ms: float | None  # from the return until 95 in 100 nodes stand on the list again; None: they never did
-    lapsed_before: int  # nodes whose entry lapsed while the service was well
-    load_in_outage: float  # in times of the steady rate: its last 4 s
-    load_at_end: float  # and the last 4 s of all
+    listed_ms: float | None  # from the return until 95 of 100 nodes are listed again; None: never
+    lapsed_before: int  # entries that lapsed before the outage
+    load_in_outage: float  # relative to the steady rate, in the last 4 s of the outage
+    load_at_end: float  # the same in the last 4 s of the simulation
 
 
 @dataclass(slots=True)
 class SimNode:
+    """One simulated node."""
+
     reports: ReportSchedule
     starts_ms: float
-    taken_ms: float | None = None  # its last report that was taken
-    wakes: int = 0  # a wake of an earlier number is stale
+    taken_ms: float | None = None  # time of its last accepted report
+    wakes: int = 0  # a Tick that was scheduled at an earlier count is stale
     lapses: int = 0
 
 
 @dataclass
 class World:
-    """All start within ``start_ms``; the service is away for so long, `QUIET_MS` later, or collapses then.
-    ``before`` True: each node reports as the version that drew nothing did, at once, in fixed periods, and after 100 ms
-    again. ``longest_ms``: another longest wait between two tries than the nodes'."""
+    """A fleet and its list service.
+
+    All nodes start within ``start_ms``. After `QUIET_MS` the service is down for ``outage_s`` or, with ``collapse``,
+    collapses. ``before``: nodes report as the version without random delays did, that is at once, in fixed periods, and
+    again 100 ms after a failure. ``longest_ms`` replaces the nodes' own longest wait between two tries."""
 
     nodes: int
     seed: int
-    capacity: float  # times the steady rate
+    capacity: float  # relative to the steady rate
     start_ms: float = 1000.0
     outage_s: float = 0.0
     before: bool = False
@@ -68,49 +74,50 @@
 
     def __post_init__(self) -> None:
         self.down_ms = QUIET_MS, QUIET_MS + self.outage_s * 1000
-        self.draw = random.Random(self.seed)
-        self.pace = ReportTiming(nodes=self.nodes)
+        self.rng = random.Random(self.seed)
+        self.timing = ReportTiming(nodes=self.nodes)
         if self.longest_ms is not None:
-            self.pace = replace(self.pace, max_retry_ms=self.longest_ms)
-        self.steady_per_s = self.nodes * 1000.0 / self.pace.period_ms
+            self.timing = replace(self.timing, max_retry_ms=self.longest_ms)
+        self.steady_per_s = self.nodes * 1000.0 / self.timing.period_ms
         self.service = Capacity(self.capacity * self.steady_per_s)
         self.members = [
-            SimNode(self._reports(number), self.draw.uniform(0.0, self.start_ms)) for number in range(self.nodes)
+            SimNode(self._report_schedule(number), self.rng.uniform(0.0, self.start_ms)) for number in range(self.nodes)
         ]
         for node in self.members:
-            self._later(node.starts_ms, node, StatusChanged(True))
+            self._schedule(node.starts_ms, node, StatusChanged(True))
 
-    def _reports(self, number: int) -> ReportSchedule:
+    def _report_schedule(self, number: int) -> ReportSchedule:
         if self.before:
-            pace = ReportTiming(spread=0.0, max_retry_ms=self.pace.retry_ms, nodes=1)
-            return ReportSchedule(pace, lambda low, high: low)
-        return ReportSchedule(self.pace, random.Random(f"n{number} {self.seed}").uniform)
+            timing = ReportTiming(spread=0.0, max_retry_ms=self.timing.retry_ms, nodes=1)
+            return ReportSchedule(timing, lambda low, high: low)
+        return ReportSchedule(self.timing, random.Random(f"n{number} {self.seed}").uniform)
 
-    def _later(self, at_ms: float, node: SimNode, event: Event) -> None:
+    def _schedule(self, at_ms: float, node: SimNode, event: Event) -> None:
         heapq.heappush(self.queue, (at_ms, next(self.turn), node, event, node.wakes))
 
     def run(self, until_ms: float) -> None:
+        """Process all events up to this time."""
         while self.queue and self.queue[0][0] <= until_ms:
-            now, _, node, event, wakes = heapq.heappop(self.queue)
+            now_ms, _, node, event, wakes = heapq.heappop(self.queue)
             if isinstance(event, Tick) and wakes != node.wakes:
                 continue
             node.wakes += 1
-            for action in node.reports.handle(now, event):
+            for action in node.reports.handle(now_ms, event):
                 match action:
                     case WakeAt(at_ms):
-                        self._later(at_ms, node, Tick())
+                        self._schedule(at_ms, node, Tick())
                     case SendReport():
-                        self._call(now, node)
-
-    def _call(self, now: float, node: SimNode) -> None:
-        self.service.down = self.down_ms[0] <= now < self.down_ms[1]
-        verdict = self.service.call(now)
-        taken, took = verdict is not Verdict.REJECTED, SLOW_ANSWER_MS if verdict is Verdict.SLOW else 2.0
-        if taken:
-            if node.taken_ms is not None and now + took - node.taken_ms > LAPSE_MS:
+                        self._call(now_ms, node)
+
+    def _call(self, now_ms: float, node: SimNode) -> None:
+        self.service.down = self.down_ms[0] <= now_ms < self.down_ms[1]
+        verdict = self.service.call(now_ms)
+        accepted, took_ms = verdict is not Verdict.REJECTED, SLOW_ANSWER_MS if verdict is Verdict.SLOW else 2.0
+        if accepted:
+            if node.taken_ms is not None and now_ms + took_ms - node.taken_ms > LAPSE_MS:
                 node.lapses += 1
-            node.taken_ms = now + took
-        self._later(now + took, node, ReportAnswered(taken, now))
+            node.taken_ms = now_ms + took_ms
+        self._schedule(now_ms + took_ms, node, ReportAnswered(accepted, now_ms))
 
 
 def play(
@@ -122,39 +129,40 @@
     start_ms: float = 1000.0,
     collapse: bool = False,
     longest_ms: float | None = None,
-) -> Told:
+) -> SimulationResult:
+    """Simulate a fleet; the parameters are those of `World`."""
     return run(World(nodes, seed, capacity, start_ms, outage_s, before, collapse, longest_ms))
 
 
-def run(world: World) -> Told:
-    """Play a world to its end."""
-    down, nodes = world.down_ms, world.nodes
-    world.run(down[0])
+def run(world: World) -> SimulationResult:
+    """Simulate to the end, `AFTER_MS` after the outage."""
+    down_ms, nodes = world.down_ms, world.nodes
+    world.run(down_ms[0])
     world.service.collapsed = world.service.collapsed or world.collapse
     lapsed = sum(node.lapses for node in world.members)
-    back = None
-    at = down[0]
-    while at < down[1] + AFTER_MS:
-        at += 100.0
-        world.run(at)
+    listed_again_ms = None
+    now_ms = down_ms[0]
+    while now_ms < down_ms[1] + AFTER_MS:
+        now_ms += 100.0
+        world.run(now_ms)
         if (
-            at > down[1]
-            and back is None
-            and sum(node.taken_ms is not None and node.taken_ms >= down[1] for node in world.members) >= 0.95 * nodes
+            now_ms > down_ms[1]
+            and listed_again_ms is None
+            and sum(node.taken_ms is not None and node.taken_ms >= down_ms[1] for node in world.members) >= 0.95 * nodes
         ):
-            back = at - down[1]
-    bin_rate, service = world.steady_per_s / 10, world.service
+            listed_again_ms = now_ms - down_ms[1]
+    steady_per_bin, service = world.steady_per_s / 10, world.service
 
     def load(until_ms: float) -> float:
         return round(service.calls_between(until_ms - 4000.0, until_ms) / 4 / world.steady_per_s, 2)
 
-    return Told(
+    return SimulationResult(
         world.steady_per_s,
-        round(service.peak(0.0, down[0]) / bin_rate, 2),
-        round(service.peak(down[1], at) / bin_rate, 2),
+        round(service.peak(0.0, down_ms[0]) / steady_per_bin, 2),
+        round(service.peak(down_ms[1], now_ms) / steady_per_bin, 2),
         service.collapses,
-        back,
+        listed_again_ms,
         lapsed,
-        load(down[1]),
-        load(at),
+        load(down_ms[1]),
+        load(now_ms),
     )
