--- a/flintshift/lab/faulty_start.py
+++ b/flintshift/lab/faulty_start.py
@@ -1,7 +1,7 @@
-"""Starts of a real node while system calls of its process fail: how one ends, and after how long.
+"""Starts a real node while system calls of its process fail, and reports whether and when it became ready.
 
-A fault strikes one call at a rate for a span after the process's start; `play` starts a node under some of them, takes
-them back when their time is over, and tells what came of the start.
+A fault makes one system call fail at a rate, for some time after the process's start. `play` starts a node under
+several faults, ends each of them when its time is up, and returns the result of the start.
 """
 
 from __future__ import annotations
@@ -17,38 +17,40 @@
 from flintshift.lab.rig import Rig
 from flintshift.lab.syscall_faults import NO_FAULTS, Call, Rates, SyscallFaults
 
-READY_S = 30.0  # a process has so long to be ready, as the platform's pages tell
-DISK_S = 2.0  # that a disk refuses writes for
+READY_TIMEOUT_S = 30.0  # for a process to become ready, by the platform's pages
+DISK_FAULT_S = 2.0  # for which writes and syncs fail
 
 
 ABORTING_CALLS = frozenset({Call.EPOLL_CTL, Call.PIPE, Call.OPEN})
-"""Calls that a start outlasts only while each of them fails: where single ones do, the event loop's library aborts the
-process, or a module of the program can't be imported."""
+"""Calls of which single failures end a start: the event loop's library aborts the process, or a module of the program
+can't be imported. A start outlasts them only where each call fails."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A call that fails from a process's first moment on."""
+    """A system call that fails from the start of a process on."""
 
     call: Call
     rate: int  # of 1,000 calls
-    error: int = 0  # errno; 0: drawn anew for each call, of those that may pass
+    error: int = 0  # errno; 0: drawn for each call from the transient ones
     lasts_s: float = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class StartResult:
-    """What came of a start."""
+    """How a start ended."""
 
     ready_s: float | None  # from the process's start to its first report that it serves; None: never
-    exit_code: int | None  # of a process that ended before it was told to; None: it did not
-    left: int | None  # the exit code after the notice to leave; None: it had ended before
-    said: str  # on standard error
+    exit_code: int | None  # of a process that exited before the notice to leave; None: it did not
+    left: int | None  # the exit code after the notice to leave; None: it had exited before
+    said: str  # the text on standard error
 
     @property
     def served(self) -> bool:
-        """It was ready in time, and left when it was told to."""
-        return self.ready_s is not None and self.ready_s <= READY_S and self.exit_code is None and self.left == 0
+        """Whether it was ready in time, and exited with code 0 after the notice to leave."""
+        return (
+            self.ready_s is not None and self.ready_s <= READY_TIMEOUT_S and self.exit_code is None and self.left == 0
+        )
 
 
 async def play(
@@ -62,9 +64,10 @@
     host: str = "127.0.0.1",
     disk_span: tuple[int, int] = (0, 0),
 ) -> StartResult:
-    """Start a node under these faults, let it serve for a moment, and tell it to leave. ``disk``: of 1,000 writes and
-    syncs of files so many fail for ``DISK_S``. ``disk_span``: of these calls, counted from 0, so many fail from that
-    one on. ``host``: as its configuration names the machine."""
+    """Start a node under these faults, let it serve for a moment, and send it the notice to leave.
+
+    ``disk``: how many of 1,000 writes and syncs of files fail, for ``DISK_FAULT_S``. ``disk_span``: the first of the
+    writes and syncs that fail, counted from 0, and how many do. ``host``: the machine's name in the configuration."""
     folder.mkdir(parents=True, exist_ok=True)
     shared, errors = SyscallFaults(folder / "faults", seed=seed), folder / "stderr"
     rig = Rig(
@@ -73,7 +76,7 @@
         uwsgi=uwsgi,
         control=control,
         environment=shared.environment,
-        ready_s=READY_S,
+        ready_s=READY_TIMEOUT_S,
         host=host,
     )
     async with rig:
@@ -82,49 +85,49 @@
             shared.fail_call(fault.call, fault.rate, fault.error)
         shared.set_rates(Rates(disk=disk))
         shared.fail_disk_calls(*disk_span)
-        began, ready_s = time.monotonic(), None
-        taking_back = asyncio.create_task(_take_back(shared, faults, DISK_S if disk else 0.0))
+        started_s, ready_s = time.monotonic(), None
+        ending_faults = asyncio.create_task(_end_faults(shared, faults, DISK_FAULT_S if disk else 0.0))
         with errors.open("wb") as stderr:
             try:
                 await rig.start(stderr)
-                ready_s = time.monotonic() - began
+                ready_s = time.monotonic() - started_s
             except (RuntimeError, TimeoutError):
                 pass
         assert rig.process is not None
-        await taking_back
+        await ending_faults
         await asyncio.sleep(0.2)
         exit_code = rig.process.returncode
         left = None if exit_code is not None else await rig.leave()
     return StartResult(ready_s, exit_code, left, errors.read_text(errors="replace"))
 
 
-async def _take_back(shared: SyscallFaults, faults: list[Fault], disk_s: float) -> None:
-    """End each fault when its time is over, those of the disk first."""
+async def _end_faults(shared: SyscallFaults, faults: list[Fault], disk_s: float) -> None:
+    """End each fault when its time is up, those of the disk first."""
     await asyncio.sleep(disk_s)
     shared.set_rates(NO_FAULTS)
-    passed_s = disk_s
-    for fault in sorted(faults, key=lambda one: one.lasts_s):
-        await asyncio.sleep(max(0.0, fault.lasts_s - passed_s))
-        passed_s = fault.lasts_s
+    elapsed_s = disk_s
+    for fault in sorted(faults, key=lambda fault: fault.lasts_s):
+        await asyncio.sleep(max(0.0, fault.lasts_s - elapsed_s))
+        elapsed_s = fault.lasts_s
         shared.fail_call(fault.call, 0)
 
 
-def drawn(seed: int) -> tuple[list[Fault], bool]:
-    """Faults of one to four calls, and whether the uwsgi front is on."""
-    draw = random.Random(seed)
-    calls = draw.sample([call for call in Call if call not in ABORTING_CALLS], draw.randint(1, 4))
+def draw_faults(seed: int) -> tuple[list[Fault], bool]:
+    """Draw faults of one to four calls, and whether the uwsgi front is on."""
+    rng = random.Random(seed)
+    calls = rng.sample([call for call in Call if call not in ABORTING_CALLS], rng.randint(1, 4))
     faults = [
-        Fault(call, draw.choice((20, 100, 300, 500, 1000)), lasts_s=draw.choice((1.0, 3.0, 6.0, 9.0))) for call in calls
+        Fault(call, rng.choice((20, 100, 300, 500, 1000)), lasts_s=rng.choice((1.0, 3.0, 6.0, 9.0))) for call in calls
     ]
-    return faults, draw.random() < 0.4
+    return faults, rng.random() < 0.4
 
 
 async def soak(seed: int, folder: Path) -> dict[str, Any]:
-    """One drawn start: its faults and what came of it."""
-    faults, uwsgi = drawn(seed)
+    """Start a node under faults drawn by the seed; returns the faults and the result."""
+    faults, uwsgi = draw_faults(seed)
     start = await play(faults, folder, seed, uwsgi)
-    told = [
+    fault_texts = [
         f"{fault.call.name} {fault.rate} {errno.errorcode.get(fault.error, 'any')} {fault.lasts_s:g} s"
         for fault in faults
     ]
-    return {"seed": seed, "faults": told, "uwsgi": uwsgi, "served": start.served, **asdict(start)}
+    return {"seed": seed, "faults": fault_texts, "uwsgi": uwsgi, "served": start.served, **asdict(start)}
