--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -22,7 +22,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.lab.cold_start import play  # noqa: E402
+from flintshift.lab.cold_start import simulate  # noqa: E402
 from flintshift.lab.fleet import Fleet  # noqa: E402
 from flintshift.lab.services import LimitedNames, now_ms  # noqa: E402
 
@@ -82,7 +82,7 @@
                     "version": version,
                     "nodes": size,
                     "seed": seed,
-                    **asdict(play(size, seed, CAPACITY, OUTAGE_S, before=version == "before")),
+                    **asdict(simulate(size, seed, CAPACITY, OUTAGE_S, before=version == "before")),
                 }
                 for version in ("before", "now")
             ]
--- a/benchmarks/drain_soak.py
+++ b/benchmarks/drain_soak.py
@@ -23,12 +23,12 @@
 
 from kills import command  # noqa: E402
 
-from flintshift.lab.drain_soak import play  # noqa: E402
+from flintshift.lab.drain_soak import drain_under_faults  # noqa: E402
 
 
 def one(seed: int) -> dict[str, Any]:
     with tempfile.TemporaryDirectory(prefix="flintshift-drain-") as folder:
-        return asyncio.run(play(seed, Path(folder)))
+        return asyncio.run(drain_under_faults(seed, Path(folder)))
 
 
 async def soak(runs: int, parallel: int, seed: int) -> dict[str, Any]:
--- a/flintshift/lab/cold_start.py
+++ b/flintshift/lab/cold_start.py
@@ -120,7 +120,7 @@
         self._schedule(now_ms + took_ms, node, ReportAnswered(accepted, now_ms))
 
 
-def play(
+def simulate(
     nodes: int,
     seed: int,
     capacity: float = 1.3,
--- a/flintshift/lab/drain_soak.py
+++ b/flintshift/lab/drain_soak.py
@@ -1,6 +1,7 @@
-"""Drains of a real node under load and faults, one a seed: `play` starts a node among its stand-ins, lets callers use
-it, hurts it by a script that is drawn from the seed, gives it the notice to leave, kills it at the protocol's earliest
-moment, and has `drain_history` judge what the callers saw.
+"""Drains a real node under load and faults that are drawn from a seed.
+
+`drain_under_faults` starts a node with stand-ins and callers, injects the faults, sends the notice to leave, kills the
+node at the earliest time that the protocol allows, and has `drain_history` judge what the callers saw.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 from flintshift.settings.embedded import CLUBS
 
 DEADLINE_MS = 1500.0  # of each class of the embedded settings
-KILL_MS = DEADLINE_MS + 700.0  # the earliest moment that the protocol names
+KILL_AFTER_MS = DEADLINE_MS + 700.0  # the earliest moment that the protocol names
 WINDOW_S = 8.0
 CLASSES = ("race-results", "standings", "finish-times", "submit-time")
 STEPS_S = (-3600.0, -30.0, -2.0, 2.0, 30.0, 3600.0)
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What is done to one node; drawn from a seed by `drawn`."""
+    """What is done to one node; drawn from a seed by `draw_plan`."""
 
     seed: int
     callers: int  # that keep a connection and ask again after a pause
@@ -80,7 +81,7 @@
     calls: tuple[CallFault, ...]
 
 
-def drawn(seed: int) -> Plan:
+def draw_plan(seed: int) -> Plan:
     draw = random.Random(seed)
     crowd = draw.random() < 0.25
     return Plan(
@@ -279,7 +280,7 @@
             await asyncio.sleep(self.plan.pause_s * self.draw.random())
 
 
-class Play:
+class DrainRun:
     """One drain of one node."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
@@ -347,7 +348,7 @@
         self.callers.step_ms += self.plan.step_s * 1000
 
     async def _notice(self, process: asyncio.subprocess.Process) -> None:
-        self.termination = Termination(process, KILL_MS)
+        self.termination = Termination(process, KILL_AFTER_MS)
         await self.termination.prepare()
         for _ in range(self.plan.reloads):
             process.send_signal(signal.SIGHUP)
@@ -384,10 +385,10 @@
     return {}
 
 
-async def play(seed: int, folder: Path) -> dict[str, Any]:
+async def drain_under_faults(seed: int, folder: Path) -> dict[str, Any]:
     """One drawn play: its plan and what was seen."""
-    plan = drawn(seed)
-    verdict = await Play(plan, folder).run()
+    plan = draw_plan(seed)
+    verdict = await DrainRun(plan, folder).run()
     return {
         "plan": asdict(plan),
         "broken": dict(verdict.broken),
--- a/flintshift/lab/faulty_start.py
+++ b/flintshift/lab/faulty_start.py
@@ -1,7 +1,7 @@
 """Starts a real node while system calls of its process fail, and reports whether and when it became ready.
 
-A fault makes one system call fail at a rate, for some time after the process's start. `play` starts a node under
-several faults, ends each of them when its time is up, and returns the result of the start.
+A fault makes one system call fail at a rate, for some time after the process's start. `start_under_faults` starts a
+node under several faults, ends each of them when its time is up, and returns the result of the start.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
         )
 
 
-async def play(
+async def start_under_faults(
     faults: list[Fault],
     folder: Path,
     seed: int = 1,
@@ -125,7 +125,7 @@
 async def soak(seed: int, folder: Path) -> dict[str, Any]:
     """Start a node under faults drawn by the seed; returns the faults and the result."""
     faults, uwsgi = draw_faults(seed)
-    start = await play(faults, folder, seed, uwsgi)
+    start = await start_under_faults(faults, folder, seed, uwsgi)
     fault_texts = [
         f"{fault.call.name} {fault.rate} {errno.errorcode.get(fault.error, 'any')} {fault.lasts_s:g} s"
         for fault in faults
--- a/tests/lab/test_drain_soak_rig.py
+++ b/tests/lab/test_drain_soak_rig.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from flintshift.lab.drain_soak import KILL_MS, Play, drawn, now_ms
+from flintshift.lab.drain_soak import KILL_AFTER_MS, DrainRun, draw_plan, now_ms
 
 pytestmark = pytest.mark.anyio
 
@@ -35,23 +35,23 @@
         sys.executable, "-c", LEAVES.format(after_s=after_s), stdout=asyncio.subprocess.PIPE
     )
     await process.stdout.readline()
-    play = Play(drawn(NOTICE_ALONE), folder)
-    await play._notice(process)
+    drain = DrainRun(draw_plan(NOTICE_ALONE), folder)
+    await drain._notice(process)
     asyncio.get_running_loop().call_later(held_s[0], time.sleep, held_s[1] - held_s[0])
-    exit_code, departure = await play._ended(process)
+    exit_code, departure = await drain._ended(process)
     return exit_code, departure.left_ms
 
 
 async def test_a_node_that_left_in_time_was_not_killed_though_the_callers_were_busy(tmp_path):
-    kill_s = KILL_MS / 1000
+    kill_s = KILL_AFTER_MS / 1000
     exit_code, left_ms = await played(tmp_path, kill_s - 0.25, (kill_s - 0.5, kill_s + 0.3))
     assert exit_code == 0
-    assert left_ms is not None and left_ms < KILL_MS
+    assert left_ms is not None and left_ms < KILL_AFTER_MS
 
 
 async def test_a_node_that_leaves_too_late_is_killed_on_time_though_the_callers_were_busy(tmp_path):
-    kill_s = KILL_MS / 1000
+    kill_s = KILL_AFTER_MS / 1000
     began_ms = now_ms()
     exit_code, left_ms = await played(tmp_path, kill_s + 0.15, (kill_s - 0.5, kill_s + 0.3))
     assert exit_code == -signal.SIGKILL and left_ms is None
-    assert now_ms() - began_ms > KILL_MS
+    assert now_ms() - began_ms > KILL_AFTER_MS
--- a/tests/lifecycle/test_starts_under_faults.py
+++ b/tests/lifecycle/test_starts_under_faults.py
@@ -26,7 +26,7 @@
 import pytest
 from standins import ROOT
 
-from flintshift.lab.faulty_start import ABORTING_CALLS, Fault, StartResult, play
+from flintshift.lab.faulty_start import ABORTING_CALLS, Fault, StartResult, start_under_faults
 from flintshift.lab.ports import free_ports
 from flintshift.lab.rig import Rig
 from flintshift.lab.syscall_faults import Call
@@ -69,14 +69,14 @@
 
 @pytest.mark.parametrize("fault", OUTAGES, ids=named)
 async def test_a_start_outlasts_calls_that_fail_for_seconds(fault, tmp_path):
-    start = await play([fault], tmp_path / "node")
+    start = await start_under_faults([fault], tmp_path / "node")
     assert start.served, told(start)
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3))
 @pytest.mark.parametrize("fault", SINGLE, ids=named)
 async def test_a_start_outlasts_single_calls_that_fail(fault, seed, tmp_path):
-    start = await play([fault], tmp_path / "node", seed, uwsgi=True)
+    start = await start_under_faults([fault], tmp_path / "node", seed, uwsgi=True)
     assert start.served, told(start)
 
 
@@ -88,14 +88,14 @@
     ],
 )
 async def test_an_address_that_can_never_be_listened_at_ends_a_start_at_once(call, error, advice, tmp_path):
-    start = await play([Fault(call, EACH, error, 2)], tmp_path / "node")
+    start = await start_under_faults([Fault(call, EACH, error, 2)], tmp_path / "node")
     assert start.exit_code == 1
     assert "cannot start" in start.said
     assert advice in start.said
 
 
 async def test_why_a_start_waits_is_told_at_once(tmp_path):
-    start = await play(
+    start = await start_under_faults(
         [Fault(Call.BIND, EACH, errno.EADDRINUSE, 5)], tmp_path / "node"
     )  # past the imports on a busy machine
     assert "it is tried again" in start.said, told(start)
@@ -109,7 +109,7 @@
 async def test_a_start_outlasts_a_disk_that_refuses_while_the_ledger_opens(seed, tmp_path):
     folder = tmp_path / "ledger"
     folder.mkdir()
-    start = await play([], tmp_path / "node", seed, settings=USAGE.format(folder=folder), disk=400)
+    start = await start_under_faults([], tmp_path / "node", seed, settings=USAGE.format(folder=folder), disk=400)
     assert start.served, told(start)
 
 
@@ -131,7 +131,7 @@
     found = [sys.executable, "-m", "flintshift.cli", "copies", "found", str(folder)]
     await asyncio.to_thread(subprocess.run, found, cwd=ROOT, check=True, capture_output=True)
     settings = COPIES.format(ports=free_ports(3), folder=folder)
-    start = await play([], tmp_path / "node", seed, settings=settings, disk=400)
+    start = await start_under_faults([], tmp_path / "node", seed, settings=settings, disk=400)
     assert start.served, told(start)
 
 
@@ -141,7 +141,7 @@
     found = [sys.executable, "-m", "flintshift.cli", "copies", "found", str(folder)]
     await asyncio.to_thread(subprocess.run, found, cwd=ROOT, check=True, capture_output=True)
     settings = COPIES.format(ports=free_ports(3), folder=folder) + USAGE.format(folder=tmp_path / "ledger")
-    start = await play([], tmp_path / "node", seed, settings=settings, disk=400)
+    start = await start_under_faults([], tmp_path / "node", seed, settings=settings, disk=400)
     assert start.served, told(start)
 
 
@@ -154,7 +154,7 @@
     found = [sys.executable, "-m", "flintshift.cli", "copies", "found", str(folder)]
     await asyncio.to_thread(subprocess.run, found, cwd=ROOT, check=True, capture_output=True)
     settings = COPIES.format(ports=free_ports(3), folder=folder) + USAGE.format(folder=tmp_path / "ledger")
-    start = await play([], tmp_path / "node", settings=settings, disk_span=(call, 1))
+    start = await start_under_faults([], tmp_path / "node", settings=settings, disk_span=(call, 1))
     assert start.served, told(start)
 
 
@@ -163,18 +163,20 @@
     found = [sys.executable, "-m", "flintshift.cli", "copies", "found", str(folder)]
     await asyncio.to_thread(subprocess.run, found, cwd=ROOT, check=True, capture_output=True)
     settings = COPIES.format(ports=free_ports(3), folder=folder)
-    start = await play([Fault(Call.LISTEN, EACH, errno.EADDRINUSE, 4)], tmp_path / "node", settings=settings)
+    start = await start_under_faults(
+        [Fault(Call.LISTEN, EACH, errno.EADDRINUSE, 4)], tmp_path / "node", settings=settings
+    )
     assert start.served, told(start)
 
 
 @pytest.mark.parametrize("lasts_s", (1, 4))
 async def test_a_start_outlasts_names_of_hosts_that_cannot_be_looked_up_for_seconds(lasts_s, tmp_path):
-    start = await play([Fault(Call.LOOKUP, EACH, 0, lasts_s)], tmp_path / "node", host="localhost")
+    start = await start_under_faults([Fault(Call.LOOKUP, EACH, 0, lasts_s)], tmp_path / "node", host="localhost")
     assert start.served, told(start)
 
 
 async def test_an_upgrade_finds_its_addresses_though_calls_fail(tmp_path):
-    start = await play([Fault(Call.SOCKET, EACH, errno.ENETUNREACH, 1)], tmp_path / "node", control=True)
+    start = await start_under_faults([Fault(Call.SOCKET, EACH, errno.ENETUNREACH, 1)], tmp_path / "node", control=True)
     assert start.served, told(start)
 
 
--- a/tests/soak/test_drain_soak.py
+++ b/tests/soak/test_drain_soak.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from flintshift.lab.drain_soak import play
+from flintshift.lab.drain_soak import drain_under_faults
 
 pytestmark = pytest.mark.anyio
 
@@ -16,5 +16,5 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 async def test_a_drain_under_load_and_faults_breaks_no_rule(seed, tmp_path):
-    told = await play(seed, tmp_path / "node")
+    told = await drain_under_faults(seed, tmp_path / "node")
     assert not told["broken"], json.dumps(told)
--- a/tests/startup/test_reports.py
+++ b/tests/startup/test_reports.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintshift.lab.cold_start import LAPSE_MS, play
+from flintshift.lab.cold_start import LAPSE_MS, simulate
 from flintshift.startup.backoff import Backoff
 from flintshift.startup.reports import (
     ReportAnswered,
@@ -85,30 +85,30 @@
 @pytest.mark.parametrize(("nodes", "max_peak"), [(300, 1.6), (2000, 1.3)])  # 100 ms vary more with fewer nodes
 def test_a_fleet_stays_within_the_capacity_of_the_service_at_a_start_and_after_an_outage(nodes, max_peak):
     for seed in (1, 2, 3):
-        result = play(nodes, seed)
+        result = simulate(nodes, seed)
         assert result.peak_start <= max_peak and result.peak_back <= max_peak, f"seed {seed}"
         assert result.collapses == 0 and result.listed_ms <= LAPSE_MS and result.lapsed_before == 0, f"seed {seed}"
 
 
 def test_a_collapsed_service_gets_few_enough_reports_to_recover():
     for seed in (1, 2, 3):
-        result = play(300, seed, outage_s=0.0, collapse=True)
+        result = simulate(300, seed, outage_s=0.0, collapse=True)
         assert result.listed_ms is not None and result.collapses == 0 and result.load_at_end <= 1.05, f"seed {seed}"
     # It does not recover without random delays, or with a maximum delay of 1.6 s.
     plays = [
-        play(300, 1, outage_s=0.0, collapse=True, before=True),
-        play(300, 1, outage_s=0.0, collapse=True, longest_ms=1600.0),
+        simulate(300, 1, outage_s=0.0, collapse=True, before=True),
+        simulate(300, 1, outage_s=0.0, collapse=True, longest_ms=1600.0),
     ]
     assert [one.listed_ms for one in plays] == [None, None] and plays[0].load_at_end > 5.0
 
 
 def test_the_version_without_random_delays_keeps_its_retry_storm_alive():
-    result = play(300, 1, before=True)
+    result = simulate(300, 1, before=True)
     assert result.peak_back > 5.0 and result.collapses and result.listed_ms is None
 
 
 def test_a_simulation_is_deterministic():
-    assert play(200, 7) == play(200, 7)
+    assert simulate(200, 7) == simulate(200, 7)
 
 
 def test_the_simulation_is_a_command_with_json_and_exit_codes():
