--- a/flintshift/lab/drain_history.py
+++ b/flintshift/lab/drain_history.py
@@ -1,7 +1,7 @@
-"""What callers of one node saw around its notice to leave, and the judge of it. Without I/O.
+"""Judges a drain by what the callers of a node saw around its notice to leave, without I/O.
 
-The judge knows callers' requests, how each of them ended, and what the worker pool was told to run; nothing that the
-node says of itself. Times are milliseconds of one monotonic clock, the callers'.
+`judge` knows the callers' requests, how each of them ended, and which runs the worker pool was asked for; it uses
+nothing that the node reports of itself. Times are milliseconds of the callers' monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,36 +10,36 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-CROSSING_MS = 50.0  # the protocol page: what crosses a close within this time is sent once more
-LATE_MS = 100.0  # past its due time: 50 ms are the protocol's, the rest is for a machine that is busy
-REFUSED = (429, 503)
+CROSSING_MS = 50.0  # by the protocol, a request that crosses a close within this time is sent once more
+LATE_TOLERANCE_MS = 100.0  # past the deadline: 50 ms by the protocol, the rest for a busy machine
+REJECTED_STATUSES = (429, 503)
 
 
 class End(Enum):
-    """How one try ended for its caller."""
+    """How one attempt ended for its caller."""
 
     ANSWERED = "answered"
-    ENDED = "ended"  # the connection ended in good order, without a whole answer
-    RESET = "reset"  # it was reset, without a whole answer
-    GIVEN_UP = "given_up"  # its caller stopped waiting
+    ENDED = "ended"  # the connection was closed before a complete answer
+    RESET = "reset"  # the connection was reset before a complete answer
+    GIVEN_UP = "given_up"  # the caller stopped waiting
 
 
 @dataclass(slots=True)
-class Try:
-    """One try of a request: what was sent, and what came back."""
+class Attempt:
+    """One attempt of a request: what was sent, and how it was answered."""
 
     id: str
     front: str
     class_name: str
     body: bytes
-    key: str | None  # the same for all tries of one keyed request; None: a read
-    due_ms: float
-    whole_ms: float | None = None  # when its last byte was written; None: never
+    key: str | None  # shared by all attempts of one keyed request; None: a read
+    deadline_ms: float
+    written_ms: float | None = None  # when the last byte was written; None: never
     end: End | None = None
     end_ms: float = 0.0
     status: int = 0
     result: bytes = b""
-    said_close: bool = False  # the answer was the last on its connection
+    announced_close: bool = False  # the answer said that the connection closes
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,112 +47,127 @@
     """How the node's process ended."""
 
     exit_code: int
-    left_ms: float | None  # from the notice to its end; None: it was killed
-    requests_after_end: int = 0  # read on a connection after its end was sent
-    torn_commands: int = 0  # to the worker pool, in whose middle the node ended the link
+    left_ms: float | None  # from the notice to the exit; None: it was killed
+    requests_after_end: int = 0  # that the node read from a connection after it had shut down its sending side
+    truncated_commands: int = 0  # to the worker pool; the node closed the link in the middle
     counters: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Verdict:
-    """``broken``: how often each rule was broken, none of it allowed. ``seen``: all else, for the record."""
+    """The result of `judge`.
+
+    ``broken`` counts violations by rule, none of which is allowed; ``seen`` counts everything else, for the record."""
 
     broken: Counter[str] = field(default_factory=Counter)
     seen: Counter[str] = field(default_factory=Counter)
     examples: list[str] = field(default_factory=list)
 
-    def add(self, rule: str, example: str) -> None:
+    def add_violation(self, rule: str, example: str) -> None:
         self.broken[rule] += 1
         if len(self.examples) < 20:
             self.examples.append(f"{rule}: {example}")
 
 
 def judge(
-    tries: list[Try], spawned: Counter[str], strangers: int, process: Process, notice_ms: float, lag_ms: float = 0.0
+    attempts: list[Attempt],
+    spawned: Counter[str],
+    unknown_runs: int,
+    process: Process,
+    notice_ms: float,
+    lag_ms: float = 0.0,
 ) -> Verdict:
-    """Which rules were broken. ``spawned``: runs by id; ``strangers``: commands to run what no caller had sent;
-    ``lag_ms``: how late the callers' own loop was at the most, and so what they saw."""
+    """Find the rules that were broken.
+
+    ``spawned``: runs by id. ``unknown_runs``: commands to run requests that no caller had sent. ``lag_ms``: the largest
+    lag of the callers' event loop, by which the times that they saw may be late."""
     verdict = Verdict()
-    for one in tries:
-        _judge_end(verdict, one, notice_ms, lag_ms)
-        _judge_answer(verdict, one, tries, spawned, notice_ms, lag_ms)
+    for attempt in attempts:
+        _judge_end(verdict, attempt, notice_ms, lag_ms)
+        _judge_answer(verdict, attempt, attempts, spawned, notice_ms, lag_ms)
     crossed = verdict.seen["crossed"]
     if crossed:
-        verdict.add("crossed", f"{crossed} requests crossed the end of a connection")
-    _judge_runs(verdict, tries, spawned)
-    if strangers:
-        verdict.add("strangers", f"{strangers} runs of what nobody had sent")
+        verdict.add_violation("crossed", f"{crossed} requests crossed the end of a connection")
+    _judge_runs(verdict, attempts, spawned)
+    if unknown_runs:
+        verdict.add_violation("strangers", f"{unknown_runs} runs of requests that no caller had sent")
     if process.left_ms is None:
-        verdict.add(
+        verdict.add_violation(
             "killed",
-            f"the node had not left when the kill came: exit code {process.exit_code} (-9: the kill's)",
+            f"the node had not exited when SIGKILL was due: exit code {process.exit_code} (-9: by that signal)",
         )
     elif process.exit_code:
-        verdict.add("crashed", f"exit code {process.exit_code}")
+        verdict.add_violation("crashed", f"exit code {process.exit_code}")
     if process.requests_after_end:
-        verdict.add("read_after_end", f"{process.requests_after_end} requests read after their connection's end")
-    if process.torn_commands and process.left_ms is not None:
-        verdict.add("torn_command", f"{process.torn_commands} commands were left half written")
-    left = [f"{name}={count}" for name, count in process.counters.items() if name.startswith("left.")]
-    if left:
-        verdict.add("left", " ".join(left))
+        verdict.add_violation(
+            "read_after_end", f"{process.requests_after_end} requests read after their connection's end"
+        )
+    if process.truncated_commands and process.left_ms is not None:
+        verdict.add_violation("torn_command", f"{process.truncated_commands} commands were truncated")
+    leftovers = [f"{name}={count}" for name, count in process.counters.items() if name.startswith("left.")]
+    if leftovers:
+        verdict.add_violation("left", " ".join(leftovers))
     return verdict
 
 
-def _judge_end(verdict: Verdict, one: Try, notice_ms: float, lag_ms: float) -> None:
-    if one.whole_ms is not None and one.whole_ms >= notice_ms:
+def _judge_end(verdict: Verdict, attempt: Attempt, notice_ms: float, lag_ms: float) -> None:
+    if attempt.written_ms is not None and attempt.written_ms >= notice_ms:
         verdict.seen["after_notice"] += 1
-    if one.end is End.ANSWERED or one.end is End.GIVEN_UP:
+    if attempt.end is End.ANSWERED or attempt.end is End.GIVEN_UP:
         return
-    after_ms = one.whole_ms - notice_ms if one.whole_ms is not None else 0.0
-    took_ms = one.end_ms - one.whole_ms if one.whole_ms is not None else 0.0
-    told = f"{one.id} {one.front} written {after_ms:.0f} ms after the notice, ended {took_ms:.1f} ms later"
-    if one.whole_ms is None:
+    after_ms = attempt.written_ms - notice_ms if attempt.written_ms is not None else 0.0
+    took_ms = attempt.end_ms - attempt.written_ms if attempt.written_ms is not None else 0.0
+    description = (
+        f"{attempt.id} {attempt.front} written {after_ms:.0f} ms after the notice, closed {took_ms:.1f} ms later"
+    )
+    if attempt.written_ms is None:
         verdict.seen["pieces_cut"] += 1
-    elif one.end is End.RESET:
-        verdict.add("reset", told)
-    elif one.end is None:
-        verdict.add("unanswered", told)
+    elif attempt.end is End.RESET:
+        verdict.add_violation("reset", description)
+    elif attempt.end is None:
+        verdict.add_violation("unanswered", description)
     elif took_ms > CROSSING_MS + lag_ms:
-        verdict.add("lost", told)
+        verdict.add_violation("lost", description)
     else:
         verdict.seen["crossed"] += 1
 
 
-def _told_of_late(one: Try, notice_ms: float, lag_ms: float) -> str:
-    whole_ms = one.whole_ms if one.whole_ms is not None else one.end_ms
+def _describe_late_answer(attempt: Attempt, notice_ms: float, lag_ms: float) -> str:
+    written_ms = attempt.written_ms if attempt.written_ms is not None else attempt.end_ms
     return (
-        f"{one.id} {one.class_name} by {one.end_ms - one.due_ms:.0f} ms, status {one.status}, the callers' loop late "
-        f"by {lag_ms:.0f} ms; whole {one.due_ms - whole_ms:.0f} ms before its due time, {whole_ms - notice_ms:.0f} ms "
-        "after the notice"
+        f"{attempt.id} {attempt.class_name} by {attempt.end_ms - attempt.deadline_ms:.0f} ms, status {attempt.status}, "
+        f"the callers' loop late by {lag_ms:.0f} ms; written {attempt.deadline_ms - written_ms:.0f} ms before its "
+        f"deadline, {written_ms - notice_ms:.0f} ms after the notice"
     )
 
 
 def _judge_answer(
-    verdict: Verdict, one: Try, tries: list[Try], spawned: Counter[str], notice_ms: float, lag_ms: float
+    verdict: Verdict, attempt: Attempt, attempts: list[Attempt], spawned: Counter[str], notice_ms: float, lag_ms: float
 ) -> None:
-    if one.end is not End.ANSWERED:
+    if attempt.end is not End.ANSWERED:
         return
-    verdict.seen[f"status_{one.status}"] += 1
-    verdict.seen["latest_ms"] = max(verdict.seen["latest_ms"], round(one.end_ms - one.due_ms))
-    if one.end_ms > one.due_ms + LATE_MS + lag_ms:
-        verdict.add("late", _told_of_late(one, notice_ms, lag_ms))
-    if one.status == 200:
-        ran = {one.id} if one.key is None else {other.id for other in tries if other.key == one.key}
-        if one.result not in {f"result of {rid}\n".encode() for rid in ran}:
-            verdict.add("false_result", f"{one.id}: {one.result[:40]!r}")
-    elif one.status in REFUSED:
-        if spawned[one.id]:
-            verdict.add("refused_once_run", one.id)
-    elif one.status != 500:
-        verdict.add(f"status_{one.status}", f"{one.id} {one.front}")
-
-
-def _judge_runs(verdict: Verdict, tries: list[Try], spawned: Counter[str]) -> None:
+    verdict.seen[f"status_{attempt.status}"] += 1
+    verdict.seen["latest_ms"] = max(verdict.seen["latest_ms"], round(attempt.end_ms - attempt.deadline_ms))
+    if attempt.end_ms > attempt.deadline_ms + LATE_TOLERANCE_MS + lag_ms:
+        verdict.add_violation("late", _describe_late_answer(attempt, notice_ms, lag_ms))
+    if attempt.status == 200:
+        possible_runs = (
+            {attempt.id} if attempt.key is None else {other.id for other in attempts if other.key == attempt.key}
+        )
+        if attempt.result not in {f"result of {rid}\n".encode() for rid in possible_runs}:
+            verdict.add_violation("false_result", f"{attempt.id}: {attempt.result[:40]!r}")
+    elif attempt.status in REJECTED_STATUSES:
+        if spawned[attempt.id]:
+            verdict.add_violation("refused_once_run", attempt.id)
+    elif attempt.status != 500:
+        verdict.add_violation(f"status_{attempt.status}", f"{attempt.id} {attempt.front}")
+
+
+def _judge_runs(verdict: Verdict, attempts: list[Attempt], spawned: Counter[str]) -> None:
     runs: Counter[str] = Counter()
-    for one in tries:
-        if one.key is not None and spawned[one.id]:
-            runs[one.key] += 1
+    for attempt in attempts:
+        if attempt.key is not None and spawned[attempt.id]:
+            runs[attempt.key] += 1
     for key, count in runs.items():
         if count > 1:
-            verdict.add("ran_twice", f"key {key}: {count} runs")
+            verdict.add_violation("ran_twice", f"key {key}: {count} runs")
