--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -1,17 +1,15 @@
-"""A stand-in meets the node of its own test alone, and says who else it met.
+"""Tests that a stand-in is reached by the node of its own test only, and names the sender of anything else.
 
-What happened: in one whole run of the tests beside four busy processes, the drain of soak seed 11 failed: two
-connections had brought its app servers' stand-in bytes that are no uwsgi. The same seed passed in all plays after it.
+Guards against this failure: in a run of all tests beside four busy processes, the drain of soak seed 11 failed, since
+two connections had sent bytes that are not uwsgi to its app server's stand-in. The same seed passed in all later runs.
 
-Sequence: a test stops the worker pool, or the name service, of a node that lives on, as many do. The node goes on
-linking to that port, as it should. The system gives the port to a stand-in of a test in another process.
+A test stops the worker pool or the name service of a node that goes on running. The node keeps connecting to that port,
+as it should. Stand-ins listened at ports that the system chose, and the system gave the released port to a stand-in of
+a test in another process. Besides, a rig whose start failed left its node running, which went on reporting.
 
-Cause: stand-ins listened at ports of the system's choice, and a port that was left is given again. A rig whose start
-failed left its node behind besides, which reported for as long as it liked.
-
-What settled it: a node whose pool was stopped met an app servers' stand-in at that port six times in 3 s, and four
-times where its name service was stopped, each with the error of the failed run; its sender was not told there, and is
-told now.
+Reproduction: a node whose pool was stopped connected to an app server's stand-in at that port six times in 3 s, and
+four times where its name service was stopped, each with the error of the failed run. The error did not name the sender
+then; now it does.
 """
 
 from __future__ import annotations
@@ -34,7 +32,7 @@
 
 pytestmark = pytest.mark.anyio
 
-SENDER = """
+SENDER_PROGRAM = """
 import socket, sys, time
 raw = socket.create_connection(("127.0.0.1", int(sys.argv[1])))
 raw.sendall(b'PUT /ns/hosts/n1 HTTP/1.1\\r\\n')
@@ -42,7 +40,7 @@
 """
 
 
-async def started(kind, folder):
+async def start_stand_in(kind, folder):
     if kind is Billing:
         billing = Billing(folder)
         await billing.start()
@@ -51,32 +49,32 @@
         dns = Dns(1)
         await dns.start()
         return dns
-    peer = kind()
-    await peer.start()
-    return peer
+    stand_in = kind()
+    await stand_in.start()
+    return stand_in
 
 
-def ended(peer):
-    if isinstance(peer, Billing):
-        peer.stop()
-    elif isinstance(peer, Dns):
-        peer.transport.close()
+def release_port(stand_in):
+    if isinstance(stand_in, Billing):
+        stand_in.stop()
+    elif isinstance(stand_in, Dns):
+        stand_in.transport.close()
     else:
-        peer.server.close()
+        stand_in.server.close()
 
 
 @pytest.mark.parametrize("kind", [Pool, Vault, Names, Apps, Dns, Billing])
-async def test_a_port_that_a_stand_in_has_left_is_given_to_no_other_process(kind, tmp_path):
+async def test_port_released_by_a_stand_in_is_not_given_to_another_process(kind, tmp_path):
     ports = set()
     for _ in range(8):
-        peer = await started(kind, tmp_path)
-        ports.add(peer.port)
-        ended(peer)
+        stand_in = await start_stand_in(kind, tmp_path)
+        ports.add(stand_in.port)
+        release_port(stand_in)
     assert len(ports) == 8
     assert ports <= set(port_range())
 
 
-async def test_a_stand_in_that_moves_takes_a_port_of_its_own_process():
+async def test_stand_in_that_changes_its_port_takes_one_reserved_for_its_process():
     names = Names()
     await names.start()
     await names.change_port()
@@ -84,73 +82,73 @@
     await names.stop()
 
 
-async def test_what_a_stand_in_cannot_read_is_told_with_its_first_bytes_and_who_sent_it():
+async def test_error_on_unreadable_data_shows_its_first_bytes_and_its_sender():
     failed = asyncio.Event()
-    told = []
+    messages = []
 
     def handler(loop, context):
-        told.append(str(context["exception"]))
+        messages.append(str(context["exception"]))
         failed.set()
 
     asyncio.get_running_loop().set_exception_handler(handler)
     apps = Apps()
     await apps.start()
-    sender = subprocess.Popen([sys.executable, "-c", SENDER, str(apps.port)])
+    sender = subprocess.Popen([sys.executable, "-c", SENDER_PROGRAM, str(apps.port)])
     async with asyncio.timeout(10):
         await failed.wait()
     await apps.stop()
     sender.wait(10)
-    assert "PUT /ns/hosts/n1" in told[0]
-    assert f"process {sender.pid}" in told[0]
-    assert "its modifiers are not 0" in told[0]
+    assert "PUT /ns/hosts/n1" in messages[0]
+    assert f"process {sender.pid}" in messages[0]
+    assert "its modifiers are not 0" in messages[0]
 
 
-async def test_a_rig_whose_node_does_not_serve_in_time_leaves_no_process(tmp_path):
+async def test_rig_whose_node_is_not_ready_in_time_leaves_no_process(tmp_path):
     rig = Rig(tmp_path, ready_s=0.05)
     with pytest.raises(RuntimeError):
         await rig.__aenter__()
-    await all_ended(rig.started, rig.peers)
+    await assert_all_ended(rig.started, rig.peers)
 
 
-async def test_a_fleet_whose_member_does_not_serve_leaves_no_process(tmp_path):
+async def test_fleet_whose_member_does_not_start_leaves_no_process(tmp_path):
     fleet = Fleet(tmp_path, {"ruwi-hall": 2}, more="log: {unknown: 1}\n")
     with pytest.raises(RuntimeError):
         await fleet.__aenter__()
-    await all_ended([member.process for member in fleet.members.values()], [fleet.vault, fleet.names])
+    await assert_all_ended([member.process for member in fleet.members.values()], [fleet.vault, fleet.names])
 
 
-async def test_the_tests_own_rig_leaves_no_process_where_its_start_fails(tmp_path):
+async def test_rig_of_the_tests_leaves_no_process_if_its_start_fails(tmp_path):
     rig = standins.Rig(tmp_path, extra_settings="unknown: 1")
     rig.start_timeout_s = 1.0
     with pytest.raises(TimeoutError):
         await rig.__aenter__()
-    await all_ended([rig.process], (rig.pool, rig.vault, rig.names, rig.apps))
+    await assert_all_ended([rig.process], (rig.pool, rig.vault, rig.names, rig.apps))
 
 
-async def all_ended(processes, peers):
-    """Each process has ended, and nobody listens at a stand-in's port."""
-    left = [process.pid for process in processes if process is not None and process.returncode is None]
-    for pid in left:
-        os.kill(pid, 9)  # by this test, so that it leaves none either
-    assert not left
-    for peer in peers:
+async def assert_all_ended(processes, stand_ins):
+    """Assert that each process has ended and that no stand-in listens any longer."""
+    running = [process.pid for process in processes if process is not None and process.returncode is None]
+    for pid in running:
+        os.kill(pid, 9)  # so that this test leaves no process either
+    assert not running
+    for stand_in in stand_ins:
         with pytest.raises(ConnectionRefusedError):
-            await asyncio.open_connection("127.0.0.1", peer.port)
+            await asyncio.open_connection("127.0.0.1", stand_in.port)
 
 
-@pytest.mark.parametrize("settled", [False, True], ids=["connections still opening", "connections open"])
+@pytest.mark.parametrize("accepted", [False, True], ids=["connections still opening", "connections open"])
 @pytest.mark.parametrize("kind", [Pool, Vault, Names, Apps])
-def test_a_stand_in_that_was_stopped_leaves_nothing_for_the_end_of_its_loop(kind, settled, caplog):
-    """A whole run beside load met "Exception in callback ... Task cancelled" at the end of a test, seven times: the
-    tasks of connections that `stop` had cut, and did not wait for, were cancelled with the loop."""
+def test_stopped_stand_in_leaves_no_task_to_its_event_loop(kind, accepted, caplog):
+    """Guards against "Exception in callback ... Task cancelled" at the end of a test, seen seven times in a run of all
+    tests under load: `stop` aborted connections without waiting for their tasks, which were cancelled with the loop."""
 
     async def main() -> None:
-        peer = kind()
-        await peer.start()
-        links = [await asyncio.open_connection("127.0.0.1", peer.port) for _ in range(7)]
-        if settled:
+        stand_in = kind()
+        await stand_in.start()
+        links = [await asyncio.open_connection("127.0.0.1", stand_in.port) for _ in range(7)]
+        if accepted:
             await asyncio.sleep(0.05)
-        await peer.stop()
+        await stand_in.stop()
         assert asyncio.all_tasks() == {asyncio.current_task()}
         for _, writer in links:
             writer.close()
@@ -159,33 +157,33 @@
     assert not [record.getMessage() for record in caplog.records if record.name == "asyncio"]
 
 
-@pytest.mark.parametrize("turns", range(6))
-def test_a_stand_in_that_was_stopped_in_any_turn_of_an_accept_leaves_nothing(turns, caplog):
+@pytest.mark.parametrize("loop_iterations", range(6))
+def test_stand_in_stopped_at_any_stage_of_an_accept_leaves_no_task(loop_iterations, caplog):
     async def main() -> None:
-        peer = Vault()
-        await peer.start()
-        raws = [socket.create_connection(("127.0.0.1", peer.port)) for _ in range(7)]
-        for _ in range(turns):
+        stand_in = Vault()
+        await stand_in.start()
+        sockets = [socket.create_connection(("127.0.0.1", stand_in.port)) for _ in range(7)]
+        for _ in range(loop_iterations):
             await asyncio.sleep(0)
-        await peer.stop()
+        await stand_in.stop()
         assert asyncio.all_tasks() == {asyncio.current_task()}
-        for raw in raws:
-            raw.close()
+        for client in sockets:
+            client.close()
 
     asyncio.run(main())
     assert not [record.getMessage() for record in caplog.records if record.name == "asyncio"]
 
 
-def test_a_fault_proxy_that_was_stopped_leaves_nothing_for_the_end_of_its_loop(caplog):
+def test_stopped_fault_proxy_leaves_no_task_to_its_event_loop(caplog):
     async def main() -> None:
-        peer = Vault()
-        await peer.start()
-        proxy = FaultProxy(free_ports(1)[0], peer.port, seed=1)
+        stand_in = Vault()
+        await stand_in.start()
+        proxy = FaultProxy(free_ports(1)[0], stand_in.port, seed=1)
         await proxy.start()
         _, writer = await asyncio.open_connection("127.0.0.1", proxy.port)
         await asyncio.sleep(0.05)
         await proxy.stop()
-        await peer.stop()
+        await stand_in.stop()
         assert asyncio.all_tasks() == {asyncio.current_task()}
         writer.close()
 
@@ -193,7 +191,7 @@
     assert not [record.getMessage() for record in caplog.records if record.name == "asyncio"]
 
 
-def test_a_billing_systems_open_connections_are_ended_in_silence_with_its_loop(tmp_path, caplog):
+def test_open_connections_of_a_billing_system_end_with_its_loop_without_an_error(tmp_path, caplog):
     async def main() -> None:
         billing = Billing(tmp_path)
         _, writer = await asyncio.open_connection("127.0.0.1", await billing.start())
--- a/tests/soak/test_drain_soak.py
+++ b/tests/soak/test_drain_soak.py
@@ -1,4 +1,4 @@
-"""Drains of a real node under load and faults, by seed: the short run of `benchmarks/drain_soak.py`."""
+"""Drains a real node under load and faults by seed; a short run of `benchmarks/drain_soak.py`."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 pytestmark = pytest.mark.anyio
 
 SEEDS = (1, 5, 8, 11, 12, 15, 18, 24, 30, 36, 101, 102)
-"""The first ten are those which broke a rule each on the version that failed its trial."""
+"""Each of the first ten broke a rule on the version that failed its trial."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 async def test_a_drain_under_load_and_faults_breaks_no_rule(seed, tmp_path):
-    told = await drain_under_faults(seed, tmp_path / "node")
-    assert not told["broken"], json.dumps(told)
+    result = await drain_under_faults(seed, tmp_path / "node")
+    assert not result["broken"], json.dumps(result)
--- a/tests/soak/test_start_soak.py
+++ b/tests/soak/test_start_soak.py
@@ -1,4 +1,4 @@
-"""Starts of a real node under drawn faults, by seed: the short run of `benchmarks/start_soak.py`."""
+"""Starts a real node under faults drawn by seed; a short run of `benchmarks/start_soak.py`."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 pytestmark = pytest.mark.anyio
 
 SEEDS = (3, 20, 23, 34, 38, 41, 48, 59, 61, 64)
-"""Of the 29 from 1 to 100 whose start failed on the version that failed its trial."""
+"""Some of the 29 seeds from 1 to 100 whose start failed on the version that failed its trial."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 async def test_a_start_under_drawn_faults_serves_and_leaves(seed, tmp_path):
-    told = await soak(seed, tmp_path / "node")
-    assert told["served"], json.dumps(told)
+    result = await soak(seed, tmp_path / "node")
+    assert result["served"], json.dumps(result)
