--- a/flintshift/lab/drain_soak.py
+++ b/flintshift/lab/drain_soak.py
@@ -31,7 +31,7 @@
 WINDOW_S = 8.0
 CLASSES = ("race-results", "standings", "finish-times", "submit-time")
 CLOCK_STEPS_S = (-3600.0, -30.0, -2.0, 2.0, 30.0, 3600.0)
-RATES_CHOICES = (
+RATE_CHOICES = (
     NO_FAULTS,
     Rates(accept=30),
     Rates(connect=100),
@@ -93,7 +93,7 @@
         resting=rng.choice((0, 10, 40)),
         pieces=rng.choice((0.0, 0.1, 0.4)),
         uwsgi=rng.random() < 0.4,
-        rates=rng.choice(RATES_CHOICES),
+        rates=rng.choice(RATE_CHOICES),
         reloads=rng.choice((0, 0, 1, 20)),
         signals_in_drain=rng.choice((0, 0, 30)),
         step_s=rng.choice((0.0, 0.0, *CLOCK_STEPS_S)),
--- a/flintshift/lab/faulty_start.py
+++ b/flintshift/lab/faulty_start.py
@@ -106,7 +106,7 @@
     await asyncio.sleep(disk_s)
     shared.set_rates(NO_FAULTS)
     elapsed_s = disk_s
-    for fault in sorted(faults, key=lambda fault: fault.lasts_s):
+    for fault in sorted(faults, key=lambda item: item.lasts_s):
         await asyncio.sleep(max(0.0, fault.lasts_s - elapsed_s))
         elapsed_s = fault.lasts_s
         shared.fail_call(fault.call, 0)
