--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -29,8 +29,8 @@
 sys.path.insert(0, str(ROOT))
 
 from flintshift.lab.callers import Caller, Tally  # noqa: E402
-from flintshift.lab.peers import Pool  # noqa: E402
 from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.standins import Pool  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
 WORKERS = 3
@@ -57,7 +57,7 @@
         for caller in clients:
             caller.classes = ("standings", "finish-times")
         await asyncio.gather(*(caller.run(never_stopped, max_requests // callers) for caller in clients))
-        return sum(tally.answers.values()), tally.delays
+        return sum(tally.answers.values()), tally.delays_ms
 
     return asyncio.run(run_all())
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -28,9 +28,9 @@
 
 from request_cost import PLATFORM, WORKERS, cpu_s, resident_mb  # noqa: E402
 
-from flintshift.lab.callers import REQUESTS, fields_of, reply  # noqa: E402
-from flintshift.lab.peers import Pool  # noqa: E402
+from flintshift.lab.callers import REQUEST_BUILDERS, read_reply, request_fields  # noqa: E402
 from flintshift.lab.rig import Rig  # noqa: E402
+from flintshift.lab.standins import Pool  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
 STEADY_S = 1.0
@@ -48,14 +48,14 @@
             turn += 1
             class_name, pair = "submit-time" if turn % 4 < 2 else "standings", turn // 2
             request_id, key = f"{rng.getrandbits(64):016x}", f"{seed}-{number}-{pair}" if turn % 4 < 2 else ""
-            fields = fields_of(request_id, list(CLUBS)[pair % len(CLUBS)], class_name, number, turn % 2 == 1)
+            fields = request_fields(request_id, list(CLUBS)[pair % len(CLUBS)], class_name, number, turn % 2 == 1)
             fields["X-Unique"] = key or "none"
             began_s = time.time()
             try:
                 if connection is None:
                     connection = await asyncio.open_connection("127.0.0.1", ports[front])
-                connection[1].write(REQUESTS[front](class_name, b"12:01.5", fields))
-                status, result, keep_alive = await reply(connection[0])
+                connection[1].write(REQUEST_BUILDERS[front](class_name, b"12:01.5", fields))
+                status, result, keep_alive = await read_reply(connection[0])
                 keep_alive = keep_alive and front == "http"
             except (OSError, asyncio.IncompleteReadError):
                 status, result, keep_alive = 0, b"", False
--- a/flintshift/cli/main.py
+++ b/flintshift/cli/main.py
@@ -107,9 +107,9 @@
     from flintshift.lab import demo as lab
 
     if peers_only:
-        sys.exit(lab.peers_only(click.echo))
+        sys.exit(lab.run_standins(click.echo))
     result = lab.run(seconds, callers, keep, partial(click.echo, err=True))
-    click.echo(json.dumps(result) if as_json else lab.shown(result))
+    click.echo(json.dumps(result) if as_json else lab.format_result(result))
     sys.exit(0 if result["counted"] == result["booked"] and not result["in_doubt"] else 3)
 
 
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -26,11 +26,11 @@
 from typing import Any
 
 from flintshift.cli.status_client import query_status
-from flintshift.lab.callers import fields_of, http_request, reply_with_head
+from flintshift.lab.callers import http_request, read_reply_with_head, request_fields
 from flintshift.lab.faults import FaultProxy
 from flintshift.lab.history import Answered, Asked, Broke, Died, Event, Ran, Result, judge
-from flintshift.lab.peers import Names, Pool, Vault
 from flintshift.lab.ports import free_ports
+from flintshift.lab.standins import Names, Pool, Vault
 from flintshift.lab.syscall_faults import Rates, SyscallFaults
 from flintshift.replication.store import STATUS_SOCKET
 from flintshift.settings.embedded import CLUBS, configuration
@@ -83,7 +83,7 @@
         super().__init__(cores=cores, took_ms=took_ms)
         self.member, self.events = member, events
 
-    def begun(self, rid: str) -> None:
+    def on_run_started(self, rid: str) -> None:
         self.events.append(Ran(now_ms(), rid, self.member))
 
 
@@ -441,7 +441,7 @@
         for name in self.members if names is None else names:
             faults = self.members[name].faults
             if faults is not None:
-                faults.set(Rates(disk=rate))
+                faults.set_rates(Rates(disk=rate))
         self.told(f"disks of {'all' if names is None else ','.join(names)} refuse {rate} of 1,000 writes")
 
     def fail_disk(self, name: str, fail: bool = True) -> None:
@@ -491,7 +491,7 @@
         """One try at a member over a connection of its own; None: it ended without an answer."""
         rid = self.rid()
         class_name = class_name or (KEYED if key is not None else "standings")
-        told = fields_of(rid, next(iter(CLUBS)), class_name, 1, again)
+        told = request_fields(rid, next(iter(CLUBS)), class_name, 1, again)
         if key is not None:
             told["X-Unique"] = key
         member = self.members[name]
@@ -501,7 +501,7 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", member.ports["http"])
                 self.events.append(Asked(now_ms(), rid, key, body, name))
                 writer.write(http_request(class_name, body, told))
-                status, result, head = await reply_with_head(reader)
+                status, result, head = await read_reply_with_head(reader)
         except (OSError, asyncio.IncompleteReadError):
             self.events.append(Broke(now_ms(), rid))
             return None
--- a/tests/test_ledger_node.py
+++ b/tests/test_ledger_node.py
@@ -15,10 +15,10 @@
 import pytest
 
 from flintshift.lab.billing import Billing
-from flintshift.lab.callers import Caller, Tally, fields_of, http_request, reply
-from flintshift.lab.demo import booked_in
-from flintshift.lab.peers import Pool
+from flintshift.lab.callers import Caller, Tally, http_request, read_reply, request_fields
+from flintshift.lab.demo import recorded_requests
 from flintshift.lab.rig import Rig
+from flintshift.lab.standins import Pool
 from flintshift.settings.embedded import CLUBS
 from flintshift.storage.files import DiskFiles
 from flintshift.usage import documents
@@ -37,8 +37,8 @@
 
 async def send_request(rig, class_name="standings", club="sur-pacers", rid="00000000000000aa", **headers):
     reader, writer = await asyncio.open_connection("127.0.0.1", rig.ports["http"])
-    writer.write(http_request(class_name, b"12:01.5", fields_of(rid, club, class_name, 1) | headers))
-    status, body, _ = await reply(reader)
+    writer.write(http_request(class_name, b"12:01.5", request_fields(rid, club, class_name, 1) | headers))
+    status, body, _ = await read_reply(reader)
     writer.close()
     return status, body
 
@@ -85,7 +85,7 @@
     pool = Pool(took_ms={"standings": 400.0, "finish-times": 1700.0})
     async with Rig(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT, pool=pool) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.ports["http"])
-        writer.write(http_request("standings", b"1", fields_of("00000000000000b1", "sur-pacers", "standings", 1)))
+        writer.write(http_request("standings", b"1", request_fields("00000000000000b1", "sur-pacers", "standings", 1)))
         await wait_until(lambda: pool.spawned, "no run began")
         writer.transport.abort()
         assert (await send_request(rig, "finish-times", rid="00000000000000b2"))[0] == 500  # cancelled at its deadline
@@ -143,7 +143,7 @@
             "no document lists the gap",
         )
         assert await rig.leave() == 0
-    recorded, in_doubt = booked_in(tmp_path / "usage")
+    recorded, in_doubt = recorded_requests(tmp_path / "usage")
     assert in_doubt == 0
     if mode == "serve":  # a request that can't be recorded is rejected before it reaches the ledger
         assert recorded["sur-pacers"] >= 62
@@ -271,5 +271,5 @@
     counted = Counter()
     for (club, *_), count in tally.answers.items():
         counted[club] += count
-    recorded, in_doubt = booked_in(tmp_path / "usage")
+    recorded, in_doubt = recorded_requests(tmp_path / "usage")
     assert recorded == counted and in_doubt == 0 and sum(counted.values()) > 100 and recorded["late-comers"] > 5
