--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -18,8 +18,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.door.messages import Arrived, Began, Ended, Weighed  # noqa: E402
-from flintshift.door.shares import PLACE_BYTES, Shares  # noqa: E402
+from flintshift.fair_queueing.messages import Arrived, Began, Ended, Weighed  # noqa: E402
+from flintshift.fair_queueing.shares import PLACE_BYTES, Shares  # noqa: E402
 
 CLUBS = [f"club{number}" for number in range(5)]
 WEIGHED = Weighed(dict.fromkeys(CLUBS, 1.0), 2, {"look": 20.0}, True)
--- a/benchmarks/door_model.py
+++ b/benchmarks/door_model.py
@@ -23,8 +23,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.door.messages import Arrived, Began, ComeBack, Ended, TurnedAway, Weighed  # noqa: E402
-from flintshift.door.shares import Shares  # noqa: E402
+from flintshift.fair_queueing.messages import Arrived, Began, ComeBack, Ended, TurnedAway, Weighed  # noqa: E402
+from flintshift.fair_queueing.shares import Shares  # noqa: E402
 
 RUN_MS, NEXT, MOST_MS = 10.0, 5, 1000.0
 
--- a/flintshift/door/shares.py
+++ b/flintshift/fair_queueing/shares.py
@@ -30,7 +30,7 @@
 from hashlib import blake2b
 from operator import attrgetter
 
-from flintshift.door.messages import (
+from flintshift.fair_queueing.messages import (
     Action,
     Arrived,
     Began,
@@ -42,7 +42,7 @@
     TurnedAway,
     Weighed,
 )
-from flintshift.door.promises import Calendar, CalendarBounds
+from flintshift.fair_queueing.promises import Calendar, CalendarBounds
 
 PLACE_BYTES = 350  # that an entry of a table takes at the most, with what it holds
 LEARN = 0.1  # the weight of a sample in what a class is taken to cost
--- a/flintshift/door/surges.py
+++ b/flintshift/fair_queueing/surges.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from flintshift.door.messages import SurgeBegan, SurgeEnded, SurgeGoesOn
+from flintshift.fair_queueing.messages import SurgeBegan, SurgeEnded, SurgeGoesOn
 
 WINDOW_MS = 1000.0
 BEGINS = 1.2  # times its share: less than that is no news while the node as a whole is full
--- a/flintshift/lifecycle/fair_door.py
+++ b/flintshift/lifecycle/fair_door.py
@@ -16,7 +16,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log, log_nothing
-from flintshift.door.messages import (
+from flintshift.fair_queueing.messages import (
     Arrived,
     Began,
     Ended,
@@ -27,9 +27,9 @@
     TurnedAway,
     Weighed,
 )
-from flintshift.door.promises import CalendarBounds
-from flintshift.door.shares import FIRST_MS, PLACE_BYTES, Bounds, Shares
-from flintshift.door.surges import Surges, Told
+from flintshift.fair_queueing.promises import CalendarBounds
+from flintshift.fair_queueing.shares import FIRST_MS, PLACE_BYTES, Bounds, Shares
+from flintshift.fair_queueing.surges import Surges, Told
 
 
 def weighed(settings: api.Settings) -> Weighed:
--- a/tests/door/test_fair_door.py
+++ b/tests/fair_queueing/test_fair_door.py
@@ -96,7 +96,7 @@
         "import sys, anyio\nfrom flintshift.lifecycle.config import embedded\n"
         "from flintshift.lifecycle.node import Node\n"
         "async def made(): assert Node(embedded(), embedded).fair is None\nanyio.run(made)\n"
-        "print([name for name in sys.modules if 'door' in name and name.startswith('flintshift')])"
+        "print([name for name in sys.modules if ('door' in name or 'fair' in name) and name.startswith('flintshift')])"
     )
     assert subprocess.run([sys.executable, "-c", text], capture_output=True).stdout == b"[]\n"
 
--- a/tests/door/test_promises.py
+++ b/tests/fair_queueing/test_promises.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintshift.door.promises import LATE_SLOTS, PART, Calendar, CalendarBounds
+from flintshift.fair_queueing.promises import LATE_SLOTS, PART, Calendar, CalendarBounds
 
 sys.path.insert(0, str(Path(__file__).parent.parent.parent / "benchmarks"))
 import door_model
--- a/tests/door/test_shares.py
+++ b/tests/fair_queueing/test_shares.py
@@ -12,9 +12,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintshift.door.messages import Arrived, Began, Ended, Left, TurnedAway, Weighed
-from flintshift.door.promises import CalendarBounds
-from flintshift.door.shares import PLACE_BYTES, Bounds, Shares
+from flintshift.fair_queueing.messages import Arrived, Began, Ended, Left, TurnedAway, Weighed
+from flintshift.fair_queueing.promises import CalendarBounds
+from flintshift.fair_queueing.shares import PLACE_BYTES, Bounds, Shares
 
 KEY, EVEN = b"k" * 16, {"a": 1.0, "b": 1.0}
 
--- a/tests/door/test_surges.py
+++ b/tests/fair_queueing/test_surges.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from flintshift.door.messages import SurgeBegan, SurgeEnded, SurgeGoesOn
-from flintshift.door.surges import CALM, TOLD_MS, Surges
+from flintshift.fair_queueing.messages import SurgeBegan, SurgeEnded, SurgeGoesOn
+from flintshift.fair_queueing.surges import CALM, TOLD_MS, Surges
 
 
 class Clubs:
