--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -18,11 +18,11 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.fair_queueing.messages import Arrived, Began, Ended, Weighed  # noqa: E402
+from flintshift.fair_queueing.messages import QueueSettings, RequestArrived, RunEnded, RunStarted  # noqa: E402
 from flintshift.fair_queueing.shares import PLACE_BYTES, Shares  # noqa: E402
 
 CLUBS = [f"club{number}" for number in range(5)]
-WEIGHED = Weighed(dict.fromkeys(CLUBS, 1.0), 2, {"look": 20.0}, True)
+WEIGHED = QueueSettings(dict.fromkeys(CLUBS, 1.0), 2, {"look": 20.0}, True)
 
 
 def play(callers: int, waiting: int, requests: int) -> tuple[float, int]:
@@ -32,13 +32,13 @@
     queue: list[str] = []
     began = time.perf_counter()
     for at, (request, club, caller) in enumerate(asked):
-        shares.handle(at * 2.0, Arrived(request, club, caller, "look"))
+        shares.handle(at * 2.0, RequestArrived(request, club, caller, "look"))
         queue.append(request)
         if len(queue) > waiting:
             first = min(queue, key=shares.rank_ms)
             queue.remove(first)
-            shares.handle(at * 2.0, Began(first))
-            shares.handle(at * 2.0, Ended(first, 20.0))
+            shares.handle(at * 2.0, RunStarted(first))
+            shares.handle(at * 2.0, RunEnded(first, 20.0))
     return (time.perf_counter() - began) / requests * 1e6, shares.places
 
 
--- a/benchmarks/door_model.py
+++ b/benchmarks/door_model.py
@@ -23,7 +23,14 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.fair_queueing.messages import Arrived, Began, ComeBack, Ended, TurnedAway, Weighed  # noqa: E402
+from flintshift.fair_queueing.messages import (
+    QueueSettings,
+    RequestArrived,
+    RequestRejected,
+    RetryAfter,
+    RunEnded,
+    RunStarted,
+)
 from flintshift.fair_queueing.shares import Shares  # noqa: E402
 
 RUN_MS, NEXT, MOST_MS = 10.0, 5, 1000.0
@@ -52,7 +59,7 @@
 def play(heeds: bool, seed: int, flood: int = 3, storm: int = 0, ticks: int = 2000) -> Told:
     """``flood``: first tries of club "a" in the time of a run, by callers that never come twice by themselves;
     ``storm``: further ones, which nobody told to come; "b" has one caller."""
-    shares = Shares(Weighed({"a": 1.0, "b": 1.0}, 1, {"look": RUN_MS}, True), b"model".ljust(16))
+    shares = Shares(QueueSettings({"a": 1.0, "b": 1.0}, 1, {"look": RUN_MS}, True), b"model".ljust(16))
     draw, told = random.Random(seed), Told()
     back: list[tuple[float, str, int]] = []
     waiting: dict[str, float | None] = {}  # by request: the time that it was told, of those who come back
@@ -67,7 +74,7 @@
         draw.shuffle(come)
         for number, (club, caller, at) in enumerate(come):
             request = f"{tick}-{number}-{club}"
-            shares.handle(now, Arrived(request, club, caller, "look", at is not None))
+            shares.handle(now, RequestArrived(request, club, caller, "look", at is not None))
             waiting[request] = at
         order = sorted(waiting, key=shares.rank_ms)
         for request in order[NEXT:]:
@@ -75,12 +82,12 @@
             told.broken += at is not None and at < math.inf
             told.first_broken += at is None
             caller, club = shares.open[request].caller, request[-1]
-            (answer,) = shares.handle(now, TurnedAway(request, 0.0, MOST_MS, draw.random()))
-            assert isinstance(answer, ComeBack) and answer.wait_ms <= MOST_MS
-            if answer.promised and at != math.inf:
+            (answer,) = shares.handle(now, RequestRejected(request, 0.0, MOST_MS, draw.random()))
+            assert isinstance(answer, RetryAfter) and answer.wait_ms <= MOST_MS
+            if answer.reserved and at != math.inf:
                 back.append((now + answer.wait_ms * (1.0 if heeds else 0.25), club, caller))
-        shares.handle(now, Began(order[0]))
-        shares.handle(now, Ended(order[0], RUN_MS))
+        shares.handle(now, RunStarted(order[0]))
+        shares.handle(now, RunEnded(order[0], RUN_MS))
         at = waiting.pop(order[0])
         told.first_kept += at is None
         told.served[order[0][-1]] += 1
--- a/flintshift/fair_queueing/messages.py
+++ b/flintshift/fair_queueing/messages.py
@@ -10,50 +10,50 @@
 
 
 @dataclass(slots=True)
-class Arrived:
+class RequestArrived:
     """A request is on its way to the decisions."""
 
     request: str
     club: str | None
     caller: int
     class_name: str
-    again: bool = False  # it is marked as a further try
+    marked_repeat: bool = False  # it is marked as a further try
 
 
 @dataclass(slots=True)
-class Began:
+class RunStarted:
     """Its run has begun."""
 
     request: str
 
 
 @dataclass(slots=True)
-class Left:
+class RequestWithdrawn:
     """It is over and never ran: its caller went, or another's result answered it."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class RequestRejected:
     """It was refused, and is told when to come back: answered by the time."""
 
     request: str
-    least_ms: float  # that the decisions ask for: a node in trouble has no room sooner
-    most_ms: float  # the longest that may be told
-    draw: float  # from 0 to 1, random
+    min_wait_ms: float  # that the decisions ask for: a node in trouble has no room sooner
+    max_wait_ms: float  # the longest that may be told
+    jitter: float  # from 0 to 1, random
 
 
 @dataclass(frozen=True, slots=True)
-class ComeBack:
-    """The time after which there is room for it; it is kept free, unless this is not promised."""
+class RetryAfter:
+    """The time after which there is room for it; it is kept free, unless this is not reserved."""
 
     wait_ms: float
-    promised: bool
+    reserved: bool
 
 
 @dataclass(slots=True)
-class Ended:
+class RunEnded:
     """Its run has ended after so long on a core."""
 
     request: str
@@ -61,50 +61,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Weighed:
+class QueueSettings:
     """From now on the clubs have these weights, above 0, and the node so many cores. Clubs that are not named share the
     least weight of those that are, as one."""
 
     weights: Mapping[str, float]
     cores: int
-    first_ms: Mapping[str, float]  # what a class is taken to cost before one of it has run; others are forgotten
-    marks: bool  # further tries are marked, so no other comes at a time that was told
+    initial_cost_ms: Mapping[str, float]  # what a class is taken to cost before one of it has run; others are forgotten
+    repeats_marked: bool  # further tries are marked, so no other comes at a time that was told
 
 
-Event = Arrived | Began | Left | TurnedAway | Ended | Weighed
-Action = ComeBack
+Event = RequestArrived | RunStarted | RequestWithdrawn | RequestRejected | RunEnded | QueueSettings
+Action = RetryAfter
 
 
 # What is told of surges.
 
 
 @dataclass(frozen=True, slots=True)
-class SurgeBegan:
-    """A club asks for so many times its share, and so many of its requests were turned away in the last second."""
+class OverloadStarted:
+    """A club asks for so many demand_ratio its share, and so many of its requests were turned away in the last second."""
 
     club: str | None
-    times: float
+    demand_ratio: float
     turned_away: int
 
 
 @dataclass(frozen=True, slots=True)
-class SurgeGoesOn:
+class OverloadContinued:
     club: str | None
-    since_ms: float
-    times: float  # now
+    duration_ms: float
+    demand_ratio: float  # now
     turned_away: int  # since it began
 
 
 @dataclass(frozen=True, slots=True)
-class SurgeEnded:
+class OverloadEnded:
     club: str | None
-    lasted_ms: float
-    most_times: float
+    duration_ms: float
+    peak_demand_ratio: float
     turned_away: int
 
 
 @dataclass(frozen=True, slots=True)
-class Shown:
+class ClubStatus:
     """A club as it stands now. Times are at its share, but for ``served_ms``: on cores, since the start."""
 
     club: str | None
--- a/flintshift/fair_queueing/shares.py
+++ b/flintshift/fair_queueing/shares.py
@@ -32,15 +32,15 @@
 
 from flintshift.fair_queueing.messages import (
     Action,
-    Arrived,
-    Began,
-    ComeBack,
-    Ended,
+    ClubStatus,
     Event,
-    Left,
-    Shown,
-    TurnedAway,
-    Weighed,
+    QueueSettings,
+    RequestArrived,
+    RequestRejected,
+    RequestWithdrawn,
+    RetryAfter,
+    RunEnded,
+    RunStarted,
 )
 from flintshift.fair_queueing.promises import Calendar, CalendarBounds
 
@@ -106,7 +106,7 @@
 
 
 class Shares:
-    def __init__(self, weighed: Weighed, key: bytes, bounds: Bounds | None = None) -> None:
+    def __init__(self, weighed: QueueSettings, key: bytes, bounds: Bounds | None = None) -> None:
         """``key``: random, kept to itself."""
         self.bounds = bounds or Bounds()
         self.key, self.keyed_ms = key, 0.0
@@ -119,46 +119,46 @@
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         match event:
-            case Arrived():
+            case RequestArrived():
                 self._arrived(now_ms, event)
-            case Began(request):
+            case RunStarted(request):
                 entry = self.open.get(request)
                 if entry is not None and not entry.began:
                     self._began(entry)
-            case Ended(request, took_ms):
+            case RunEnded(request, took_ms):
                 entry = self.open.pop(request, None)
                 if entry is not None:
                     self._ended(entry, took_ms)
-            case Left(request):
+            case RequestWithdrawn(request):
                 entry = self.open.get(request)
                 if entry is not None and not entry.began:  # what runs on is charged until it ends
                     del self.open[request]
                     self._waits_no_more(entry)
-            case TurnedAway():
+            case RequestRejected():
                 return [self._turned_away(now_ms, event)]
-            case Weighed():
+            case QueueSettings():
                 self._weigh(event)
         return []
 
-    def _turned_away(self, now_ms: float, event: TurnedAway) -> ComeBack:
+    def _turned_away(self, now_ms: float, event: RequestRejected) -> RetryAfter:
         """It may come when the others have caught up with its club. What waits there now does not stand before it then:
         who comes at its time goes to the front."""
         entry = self.open.get(event.request)
         if entry is None or entry.began:
-            return ComeBack(event.most_ms, False)
+            return RetryAfter(event.max_wait_ms, False)
         del self.open[event.request]
         self._waits_no_more(entry)
         club = entry.club
         club.turned_away += 1
-        from_ms = max(event.least_ms, club.charged - self.virtual)
+        from_ms = max(event.min_wait_ms, club.charged - self.virtual)
         wait_ms = (
             None
             if entry.tag == LAST
             else club.calendar.promise(
-                now_ms, entry.caller, entry.cost / club.weight, from_ms, event.most_ms, event.draw
+                now_ms, entry.caller, entry.cost / club.weight, from_ms, event.max_wait_ms, event.jitter
             )
         )
-        return ComeBack(event.most_ms, False) if wait_ms is None else ComeBack(wait_ms, True)
+        return RetryAfter(event.max_wait_ms, False) if wait_ms is None else RetryAfter(wait_ms, True)
 
     def rank_ms(self, request: str) -> float:
         """Where it stands now: the least is next in a fair order. Past all that waits where it is not followed."""
@@ -179,7 +179,7 @@
             entry.place = place
             place += entry.cost / club.weight
 
-    def _weigh(self, told: Weighed) -> None:
+    def _weigh(self, told: QueueSettings) -> None:
         """Charges and what is known of costs stay. What waits keeps its rank, also of a club that is named no more."""
         whole = sum(told.weights.values())
         self.weights = {club: weight / whole * told.cores for club, weight in told.weights.items()}
@@ -187,10 +187,10 @@
         self.clubs = {name: club for name, club in self.clubs.items() if name is None or name in self.weights}
         for name, club in self.clubs.items():
             club.weight = self.weights.get(name or "", self.least)
-        self.cost_ms = {name: self.cost_ms.get(name, first) for name, first in told.first_ms.items()}
-        self.marks = told.marks
+        self.cost_ms = {name: self.cost_ms.get(name, first) for name, first in told.initial_cost_ms.items()}
+        self.marks = told.repeats_marked
 
-    def _arrived(self, now_ms: float, event: Arrived) -> None:
+    def _arrived(self, now_ms: float, event: RequestArrived) -> None:
         if len(self.open) >= self.bounds.open or event.request in self.open:
             return
         if now_ms >= self.keyed_ms + self.bounds.rekey_ms:
@@ -207,13 +207,13 @@
             club.virtual,
             max(club.virtual, lane.charged) + lane.waiting_ms,
         )
-        if (event.again or not self.marks) and club.calendar.keeps(now_ms, event.caller):
+        if (event.marked_repeat or not self.marks) and club.calendar.keeps(now_ms, event.caller):
             entry.tag = FRONT
-        elif event.again and min(club.tries, lane.tries) < 1.0:
+        elif event.marked_repeat and min(club.tries, lane.tries) < 1.0:
             entry.tag = LAST
             club.not_paid += 1
         else:
-            paid = -1.0 if event.again else TRY_PART
+            paid = -1.0 if event.marked_repeat else TRY_PART
             club.tries, lane.tries = min(club.tries + paid, TRIES_MOST[0]), min(lane.tries + paid, TRIES_MOST[1])
         club.asked += 1
         lane.waiting += 1
@@ -287,9 +287,9 @@
         if known is not None:
             self.cost_ms[entry.class_name] = known + LEARN * (took_ms - known)
 
-    def shown(self) -> list[Shown]:
+    def shown(self) -> list[ClubStatus]:
         return [
-            Shown(
+            ClubStatus(
                 name,
                 club.weight,
                 club.served_ms,
--- a/flintshift/fair_queueing/surges.py
+++ b/flintshift/fair_queueing/surges.py
@@ -10,14 +10,14 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from flintshift.fair_queueing.messages import SurgeBegan, SurgeEnded, SurgeGoesOn
+from flintshift.fair_queueing.messages import OverloadContinued, OverloadEnded, OverloadStarted
 
 WINDOW_MS = 1000.0
 BEGINS = 1.2  # times its share: less than that is no news while the node as a whole is full
 CALM = 3
 TOLD_MS = 60_000.0  # a surge that goes on is told of again
 
-Told = SurgeBegan | SurgeGoesOn | SurgeEnded
+Told = OverloadStarted | OverloadContinued | OverloadEnded
 
 
 @dataclass(slots=True)
@@ -70,7 +70,7 @@
                 return []
             count.since_ms = count.told_ms = now_ms
             count.calm, count.shed, count.most = 0, count.turned_away, times
-            return [SurgeBegan(club, times, count.turned_away)]
+            return [OverloadStarted(club, times, count.turned_away)]
         count.shed += count.turned_away
         count.most = max(count.most, times)
         count.calm = 0 if count.turned_away else count.calm + 1
@@ -78,13 +78,13 @@
             return self._over(now_ms, club, count)
         if now_ms >= count.told_ms + TOLD_MS:
             count.told_ms = now_ms
-            return [SurgeGoesOn(club, now_ms - count.since_ms, times, count.shed)]
+            return [OverloadContinued(club, now_ms - count.since_ms, times, count.shed)]
         return []
 
     @staticmethod
     def _over(now_ms: float, club: str | None, count: Count) -> list[Told]:
         since_ms, count.since_ms = count.since_ms, None
-        return [] if since_ms is None else [SurgeEnded(club, now_ms - since_ms, count.most, count.shed)]
+        return [] if since_ms is None else [OverloadEnded(club, now_ms - since_ms, count.most, count.shed)]
 
     def _count(self, club: str | None) -> Count:
         name = club if club in self.weights else None
--- a/flintshift/lifecycle/fair_door.py
+++ b/flintshift/lifecycle/fair_door.py
@@ -17,24 +17,24 @@
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log, log_nothing
 from flintshift.fair_queueing.messages import (
-    Arrived,
-    Began,
-    Ended,
-    Left,
-    SurgeBegan,
-    SurgeEnded,
-    SurgeGoesOn,
-    TurnedAway,
-    Weighed,
+    OverloadContinued,
+    OverloadEnded,
+    OverloadStarted,
+    QueueSettings,
+    RequestArrived,
+    RequestRejected,
+    RequestWithdrawn,
+    RunEnded,
+    RunStarted,
 )
 from flintshift.fair_queueing.promises import CalendarBounds
 from flintshift.fair_queueing.shares import FIRST_MS, PLACE_BYTES, Bounds, Shares
 from flintshift.fair_queueing.surges import Surges, Told
 
 
-def weighed(settings: api.Settings) -> Weighed:
+def weighed(settings: api.Settings) -> QueueSettings:
     """Clubs weigh as their quotas; a class is first taken to cost what the decisions take it to."""
-    return Weighed(
+    return QueueSettings(
         {tenant.name: tenant.quota_per_s for tenant in settings.tenants if tenant.quota_per_s > 0},
         settings.cores,
         {kind.name: INITIAL_RUN_SHARE * kind.aim_ms for kind in settings.classes},
@@ -79,24 +79,24 @@
     def on_arrival(self, attempt: Attempt) -> None:
         self.shares.handle(
             self.now_ms(),
-            Arrived(attempt.id, attempt.tenant, attempt.caller, attempt.class_name, attempt.marked_repeat),
+            RequestArrived(attempt.id, attempt.tenant, attempt.caller, attempt.class_name, attempt.marked_repeat),
         )
         self.surges.asked(attempt.tenant, self.shares.cost_ms.get(attempt.class_name, FIRST_MS))
 
     def on_start(self, request: str) -> None:
-        self.shares.handle(self.now_ms(), Began(request))
+        self.shares.handle(self.now_ms(), RunStarted(request))
 
     def on_withdrawal(self, request: str) -> None:
-        self.shares.handle(self.now_ms(), Left(request))
+        self.shares.handle(self.now_ms(), RequestWithdrawn(request))
 
     def retry_after_ms(self, attempt: Attempt, least_ms: float, most_ms: float) -> float:
         self.surges.turned_away(attempt.tenant)
-        (told,) = self.shares.handle(self.now_ms(), TurnedAway(attempt.id, least_ms, most_ms, self.draw()))
-        self.counters.add("door.promised" if told.promised else "door.not_promised")
+        (told,) = self.shares.handle(self.now_ms(), RequestRejected(attempt.id, least_ms, most_ms, self.draw()))
+        self.counters.add("door.promised" if told.reserved else "door.not_promised")
         return told.wait_ms
 
     def on_end(self, request: str, took_ms: float) -> None:
-        self.shares.handle(self.now_ms(), Ended(request, took_ms))
+        self.shares.handle(self.now_ms(), RunEnded(request, took_ms))
 
     def tick(self) -> None:
         self._tell(self.surges.tick(self.now_ms()))
@@ -104,7 +104,7 @@
     def _tell(self, all_told: list[Told]) -> None:
         for told in all_told:
             match told:
-                case SurgeBegan(club, times, turned_away):
+                case OverloadStarted(club, times, turned_away):
                     self.counters.add("door.surges")
                     self.log(
                         "warning",
@@ -113,7 +113,7 @@
                         times_its_share=round(times, 1),
                         turned_away=turned_away,
                     )
-                case SurgeGoesOn(club, since_ms, times, turned_away):
+                case OverloadContinued(club, since_ms, times, turned_away):
                     self.log(
                         "warning",
                         "door.surge_goes_on",
@@ -122,7 +122,7 @@
                         times_its_share=round(times, 1),
                         turned_away=turned_away,
                     )
-                case SurgeEnded(club, lasted_ms, most, turned_away):
+                case OverloadEnded(club, lasted_ms, most, turned_away):
                     self.log(
                         "info",
                         "door.surge_ended",
--- a/tests/fair_queueing/test_shares.py
+++ b/tests/fair_queueing/test_shares.py
@@ -12,7 +12,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintshift.fair_queueing.messages import Arrived, Began, Ended, Left, TurnedAway, Weighed
+from flintshift.fair_queueing.messages import (
+    QueueSettings,
+    RequestArrived,
+    RequestRejected,
+    RequestWithdrawn,
+    RunEnded,
+    RunStarted,
+)
 from flintshift.fair_queueing.promises import CalendarBounds
 from flintshift.fair_queueing.shares import PLACE_BYTES, Bounds, Shares
 
@@ -23,13 +30,13 @@
     """The heart with a queue that serves the least rank first, as a fair server would."""
 
     def __init__(self, weights=EVEN, marks=True, **bounds):
-        self.shares = Shares(Weighed(weights, 1, {"look": 10.0, "dear": 10.0}, marks), KEY, Bounds(**bounds))
+        self.shares = Shares(QueueSettings(weights, 1, {"look": 10.0, "dear": 10.0}, marks), KEY, Bounds(**bounds))
         self.numbers, self.waiting, self.served = itertools.count(), [], Counter()
 
     def arrive(self, club="a", caller=1, times=1, class_name="look", now_ms=0.0):
         for _ in range(times):
             request = f"r{next(self.numbers)}"
-            self.shares.handle(now_ms, Arrived(request, club, caller, class_name))
+            self.shares.handle(now_ms, RequestArrived(request, club, caller, class_name))
             self.waiting.append((request, club, caller))
         return request
 
@@ -42,15 +49,15 @@
         for _ in range(times):
             first = request, club, caller = self.next()
             self.waiting.remove(first)
-            self.shares.handle(0.0, Began(request))
-            self.shares.handle(0.0, Ended(request, took_ms))
+            self.shares.handle(0.0, RunStarted(request))
+            self.shares.handle(0.0, RunEnded(request, took_ms))
             self.served.update({club: took_ms, (club, caller): took_ms})
             order.append(club)
         return order
 
     def turn_away(self, request):
         self.waiting = [one for one in self.waiting if one[0] != request]
-        self.shares.handle(0.0, Left(request))
+        self.shares.handle(0.0, RequestWithdrawn(request))
 
     def takes_turns(self, most=2, times=20):
         order = self.begin(times)
@@ -157,11 +164,11 @@
         if number % 7 == 0:
             door.turn_away(request)
         elif number % 5 == 0:
-            door.shares.handle(0.0, Began(request))
+            door.shares.handle(0.0, RunStarted(request))
         elif number % 3 == 0 and door.waiting:
             door.begin()
         elif number % 11 == 0:
-            door.shares.handle(number * 5.0, TurnedAway(request, 0.0, 1e6, 0.5))
+            door.shares.handle(number * 5.0, RequestRejected(request, 0.0, 1e6, 0.5))
         assert door.shares.places <= door.shares.most_places
         del door.waiting[200:]
     # Two clubs: "a" and all others; open requests, classes, and of each club lanes, buckets and slots with places.
@@ -173,11 +180,11 @@
     names, draw = [f"c{number}" for number in range(clubs)], random.Random(1)
     asked = [(f"{number:016x}", names[number % clubs], draw.getrandbits(63)) for number in range(12_000)]
     tracemalloc.start()
-    shares = Shares(Weighed(dict.fromkeys(names, 1.0), 2, {"look": 20.0}, True), KEY)
+    shares = Shares(QueueSettings(dict.fromkeys(names, 1.0), 2, {"look": 20.0}, True), KEY)
     for number, (request, club, caller) in enumerate(asked):
-        shares.handle(0.0, Arrived(request, club, caller, "look"))
+        shares.handle(0.0, RequestArrived(request, club, caller, "look"))
         if number % 3:
-            shares.handle(0.0, TurnedAway(request, 0.0, 20_000.0, 0.5))
+            shares.handle(0.0, RequestRejected(request, 0.0, 20_000.0, 0.5))
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert shares.places > 4000 and used <= shares.places * PLACE_BYTES
@@ -218,7 +225,7 @@
 def test_new_weights_hold_for_what_comes_and_what_waits_keeps_its_rank():
     door = Door()
     before = [door.arrive(club) for club in "abab"]
-    door.shares.handle(0.0, Weighed({"b": 3.0, "c": 1.0}, 2, {"look": 70.0, "new": 30.0}, True))
+    door.shares.handle(0.0, QueueSettings({"b": 3.0, "c": 1.0}, 2, {"look": 70.0, "new": 30.0}, True))
     assert door.shares.cost_ms == {"look": 10.0, "new": 30.0}
     for request in before[:2]:
         door.turn_away(request)
@@ -239,11 +246,11 @@
     door.arrive("b")  # waits, so that what "a" is served puts it ahead
     door.arrive(times=4)
     for request, *_ in door.waiting[1:4]:
-        door.shares.handle(0.0, Began(request))
-    (told,) = door.shares.handle(0.0, TurnedAway(door.waiting[4][0], 0.0, 1000.0, 0.0))
-    assert told.promised and told.wait_ms == 100.0  # three runs of 20 ms at its share are caught up with after 60
+        door.shares.handle(0.0, RunStarted(request))
+    (told,) = door.shares.handle(0.0, RequestRejected(door.waiting[4][0], 0.0, 1000.0, 0.0))
+    assert told.reserved and told.wait_ms == 100.0  # three runs of 20 ms at its share are caught up with after 60
     door.arrive(caller=2, times=5)
-    door.shares.handle(100.0, Arrived("back", "a", 1, "look", again))
+    door.shares.handle(100.0, RequestArrived("back", "a", 1, "look", again))
     assert (door.shares.open["back"].tag < 0) == kept
 
 
@@ -254,11 +261,13 @@
         door.turn_away(door.arrive(caller=number % callers))
 
     def further(request, caller):
-        door.shares.handle(0.0, Arrived(request, "a", caller, "look", True))
+        door.shares.handle(0.0, RequestArrived(request, "a", caller, "look", True))
         return door.shares.open[request].tag < math.inf
 
     assert [further(f"s{number}", number % callers) for number in range(20)] == [True] * paid + [False] * (20 - paid)
-    assert [door.shares.handle(0.0, TurnedAway(f"s{number}", 0.0, 1000.0, 0.0))[0].promised for number in (0, 19)] == [
+    assert [
+        door.shares.handle(0.0, RequestRejected(f"s{number}", 0.0, 1000.0, 0.0))[0].reserved for number in (0, 19)
+    ] == [
         True,
         False,
     ]
@@ -273,20 +282,20 @@
     """Six steps over two clubs and two callers: arrivals, starts, ends and refusals in every order."""
 
     def walk(steps):
-        shares = Shares(Weighed({"a": 2.0, "b": 1.0}, 1, {"look": 10.0}, True), KEY)
+        shares = Shares(QueueSettings({"a": 2.0, "b": 1.0}, 1, {"look": 10.0}, True), KEY)
         waiting, running, least = [], [], 0.0
         for number, step in enumerate(steps):
             if isinstance(step, tuple):
-                shares.handle(0.0, Arrived(f"r{number}", *step, "look"))
+                shares.handle(0.0, RequestArrived(f"r{number}", *step, "look"))
                 waiting.append(f"r{number}")
             elif step == "begin" and waiting:
                 running.append(min(waiting, key=shares.rank_ms))
                 waiting.remove(running[-1])
-                shares.handle(0.0, Began(running[-1]))
+                shares.handle(0.0, RunStarted(running[-1]))
             elif step == "leave" and waiting:
-                shares.handle(0.0, Left(waiting.pop()))
+                shares.handle(0.0, RequestWithdrawn(waiting.pop()))
             elif step == "end" and running:
-                shares.handle(0.0, Ended(running.pop(0), 25.0))
+                shares.handle(0.0, RunEnded(running.pop(0), 25.0))
             else:
                 return
             assert shares.virtual >= least
@@ -314,10 +323,17 @@
 def test_a_request_that_came_twice_or_that_nobody_knows_changes_nothing():
     door = Door({"a": 1.0}, open=2)
     first = door.arrive()
-    door.shares.handle(0.0, Arrived(first, "a", 1, "look"))
+    door.shares.handle(0.0, RequestArrived(first, "a", 1, "look"))
     assert door.shares.clubs["a"].lanes[1].waiting == 1
     second, third = door.arrive(), door.arrive()  # the third is past the bound: ranked last, not followed
     assert len(door.shares.open) == 2 and door.shares.rank_ms(third) > door.shares.rank_ms(second)
-    for event in (Began("none"), Left("none"), Ended("none", 5.0), Ended(first, 5.0), Left(first), Left(second)):
+    for event in (
+        RunStarted("none"),
+        RequestWithdrawn("none"),
+        RunEnded("none", 5.0),
+        RunEnded(first, 5.0),
+        RequestWithdrawn(first),
+        RequestWithdrawn(second),
+    ):
         door.shares.handle(0.0, event)
     assert not door.shares.open and not door.shares.backlogged
--- a/tests/fair_queueing/test_surges.py
+++ b/tests/fair_queueing/test_surges.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from flintshift.fair_queueing.messages import SurgeBegan, SurgeEnded, SurgeGoesOn
+from flintshift.fair_queueing.messages import OverloadContinued, OverloadEnded, OverloadStarted
 from flintshift.fair_queueing.surges import CALM, TOLD_MS, Surges
 
 
@@ -27,20 +27,20 @@
 CASES = {  # each second: times its share, and turned away; what is told, by the second
     "as it begins and ends, with what it cost": (
         [(0.9, 0), (5.9, 40), (8.0, 70), *[(1.0, 0)] * 2, (0.0, 0), (0.0, 0)],
-        {1: SurgeBegan("a", 5.9, 40), 5: SurgeEnded("a", 4000.0, 8.0, 110)},
+        {1: OverloadStarted("a", 5.9, 40), 5: OverloadEnded("a", 4000.0, 8.0, 110)},
     ),
     "not of a club within its share": ([(1.0, 30)] * 5, {}),
     "not of one past it that is served": ([(9.0, 0)] * 5, {}),
     "one that comes and goes by the second is one": (
         [(0.0, 0), (6.0, 50)] * 10 + [(0.0, 0)] * CALM,
-        {1: SurgeBegan("a", 6.0, 50), 19 + CALM: SurgeEnded("a", (18 + CALM) * 1000.0, 6.0, 500)},
+        {1: OverloadStarted("a", 6.0, 50), 19 + CALM: OverloadEnded("a", (18 + CALM) * 1000.0, 6.0, 500)},
     ),
     "one that goes on is told again by the minute": (
         [(6.0, 5)] * (1 + 2 * MINUTE),
         {
-            0: SurgeBegan("a", 6.0, 5),
-            MINUTE: SurgeGoesOn("a", TOLD_MS, 6.0, 5 * (MINUTE + 1)),
-            2 * MINUTE: SurgeGoesOn("a", 2 * TOLD_MS, 6.0, 5 * (2 * MINUTE + 1)),
+            0: OverloadStarted("a", 6.0, 5),
+            MINUTE: OverloadContinued("a", TOLD_MS, 6.0, 5 * (MINUTE + 1)),
+            2 * MINUTE: OverloadContinued("a", 2 * TOLD_MS, 6.0, 5 * (2 * MINUTE + 1)),
         },
     ),
 }
@@ -55,7 +55,7 @@
 
 def test_a_window_that_ends_late_is_counted_as_long_as_it_was_and_a_clock_that_stands_still_ends_none():
     clubs = Clubs()
-    assert clubs.second(4.0, 9, takes_ms=3000.0) == [SurgeBegan("a", 4.0, 9)]
+    assert clubs.second(4.0, 9, takes_ms=3000.0) == [OverloadStarted("a", 4.0, 9)]
     assert clubs.surges.tick(clubs.now) == []
 
 
@@ -65,7 +65,7 @@
         clubs.surges.asked(f"made up {number}", 10.0)
         clubs.surges.turned_away(f"made up {number}")
     assert len(clubs.surges.counts) == 1
-    assert clubs.second() == [SurgeBegan(None, 10.0, 1000)]
+    assert clubs.second() == [OverloadStarted(None, 10.0, 1000)]
     clubs.second(3.0, 1)
-    assert clubs.surges.weigh(clubs.now + 500.0, {"b": 2.0}) == [SurgeEnded("a", 500.0, 3.0, 1)]
+    assert clubs.surges.weigh(clubs.now + 500.0, {"b": 2.0}) == [OverloadEnded("a", 500.0, 3.0, 1)]
     assert set(clubs.surges.counts) == {None}
