--- a/flintshift/fair_queueing/shares.py
+++ b/flintshift/fair_queueing/shares.py
@@ -42,7 +42,7 @@
     RunEnded,
     RunStarted,
 )
-from flintshift.fair_queueing.promises import Calendar, CalendarBounds
+from flintshift.fair_queueing.reservations import Calendar, CalendarBounds
 
 PLACE_BYTES = 350  # that an entry of a table takes at the most, with what it holds
 LEARN = 0.1  # the weight of a sample in what a class is taken to cost
@@ -154,7 +154,7 @@
         wait_ms = (
             None
             if entry.tag == LAST
-            else club.calendar.promise(
+            else club.calendar.reserve(
                 now_ms, entry.caller, entry.cost / club.weight, from_ms, event.max_wait_ms, event.jitter
             )
         )
@@ -207,7 +207,7 @@
             club.virtual,
             max(club.virtual, lane.charged) + lane.waiting_ms,
         )
-        if (event.marked_repeat or not self.marks) and club.calendar.keeps(now_ms, event.caller):
+        if (event.marked_repeat or not self.marks) and club.calendar.claim(now_ms, event.caller):
             entry.tag = FRONT
         elif event.marked_repeat and min(club.tries, lane.tries) < 1.0:
             entry.tag = LAST
@@ -297,7 +297,7 @@
                 len(club.waiting),
                 sum(entry.cost for entry in club.waiting) / club.weight,
                 len(club.lanes),
-                club.calendar.kept,
+                club.calendar.open_reservations,
                 club.asked,
                 club.turned_away,
                 club.not_paid,
@@ -311,12 +311,12 @@
         return (
             len(self.open)
             + len(self.cost_ms)
-            + sum(1 + len(club.lanes) + len(club.buckets) + club.calendar.places for club in self.clubs.values())
+            + sum(1 + len(club.lanes) + len(club.buckets) + club.calendar.entries for club in self.clubs.values())
         )
 
     @property
     def most_places(self) -> int:
         """As many as there can be under these settings, whatever comes."""
         bounds = self.bounds
-        club = 1 + bounds.lanes + bounds.buckets + bounds.calendar.most
+        club = 1 + bounds.lanes + bounds.buckets + bounds.calendar.max_entries
         return bounds.open + len(self.cost_ms) + (len(self.weights) + 1) * club
--- a/flintshift/lifecycle/fair_door.py
+++ b/flintshift/lifecycle/fair_door.py
@@ -27,7 +27,7 @@
     RunEnded,
     RunStarted,
 )
-from flintshift.fair_queueing.promises import CalendarBounds
+from flintshift.fair_queueing.reservations import CalendarBounds
 from flintshift.fair_queueing.shares import FIRST_MS, PLACE_BYTES, Bounds, Shares
 from flintshift.fair_queueing.surges import Surges, Told
 
--- a/tests/fair_queueing/test_promises.py
+++ b/tests/fair_queueing/test_reservations.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintshift.fair_queueing.promises import LATE_SLOTS, PART, Calendar, CalendarBounds
+from flintshift.fair_queueing.reservations import LATE_SLOTS, RESERVABLE_SHARE, Calendar, CalendarBounds
 
 sys.path.insert(0, str(Path(__file__).parent.parent.parent / "benchmarks"))
 import door_model
@@ -25,41 +25,41 @@
     for caller in range(150):
         now += draw.random() * 20
         from_ms = draw.random() * 300
-        wait = calendar.promise(now, caller, cost, from_ms, most, draw.random())
+        wait = calendar.reserve(now, caller, cost, from_ms, most, draw.random())
         if wait is not None:
             assert from_ms <= wait <= most
             told.setdefault(int((now + wait) / 50.0), []).append(cost)
-        assert calendar.places <= (most / 50 + 3 + LATE_SLOTS) * 65
+        assert calendar.entries <= (most / 50 + 3 + LATE_SLOTS) * 65
     for costs in told.values():
-        assert len(costs) == 1 or sum(costs) <= PART * 50.0 + 1e-9
+        assert len(costs) == 1 or sum(costs) <= RESERVABLE_SHARE * 50.0 + 1e-9
 
 
 def test_who_comes_at_its_time_finds_its_place_once_and_who_comes_before_or_too_late_none():
     calendar = Calendar(KEY)
-    wait = calendar.promise(1000.0, 7, 10.0, 120.0, 1000.0, 0.0)
+    wait = calendar.reserve(1000.0, 7, 10.0, 120.0, 1000.0, 0.0)
     assert wait == 150.0
-    assert not calendar.keeps(1100.0, 7) and not calendar.keeps(1160.0, 8)
-    assert calendar.keeps(1160.0, 7) and not calendar.keeps(1161.0, 7)
-    assert calendar.promise(1200.0, 7, 10.0, 0.0, 1000.0, 0.5) == 75.0  # spread over the slot
-    assert not calendar.keeps(1250.0 + 50.0 * (LATE_SLOTS + 1), 7) and calendar.places == 0
+    assert not calendar.claim(1100.0, 7) and not calendar.claim(1160.0, 8)
+    assert calendar.claim(1160.0, 7) and not calendar.claim(1161.0, 7)
+    assert calendar.reserve(1200.0, 7, 10.0, 0.0, 1000.0, 0.5) == 75.0  # spread over the slot
+    assert not calendar.claim(1250.0 + 50.0 * (LATE_SLOTS + 1), 7) and calendar.entries == 0
 
 
 def test_a_clock_that_is_set_back_takes_no_promise_back():
     calendar = Calendar(KEY)
-    assert calendar.promise(10_000.0, 7, 10.0, 0.0, 1000.0, 0.0) == 50.0
-    assert not calendar.keeps(4000.0, 7) and calendar.keeps(10_050.0, 7)
+    assert calendar.reserve(10_000.0, 7, 10.0, 0.0, 1000.0, 0.0) == 50.0
+    assert not calendar.claim(4000.0, 7) and calendar.claim(10_050.0, 7)
     for clock in range(50, 0, -1):  # set back again and again, slots stay, and their number has its bound
         for caller in range(300):
-            calendar.promise(clock * 20_000.0, caller, 40.0, 0.0, 1e9, 0.0)
+            calendar.reserve(clock * 20_000.0, caller, 40.0, 0.0, 1e9, 0.0)
         assert len(calendar.slots) <= 64 + LATE_SLOTS + 1
 
 
 def test_memory_is_fixed_whatever_is_asked():
-    calendar = Calendar(KEY, CalendarBounds(slots=20, places=8))
+    calendar = Calendar(KEY, CalendarBounds(slots=20, reservations_per_slot=8))
     draw = random.Random(5)
     for number in range(30_000):
-        calendar.promise(number * 0.5, draw.getrandbits(63), 0.01, 0.0, 1e9, draw.random())
-        assert calendar.places <= (20 + 2 + LATE_SLOTS) * 9
+        calendar.reserve(number * 0.5, draw.getrandbits(63), 0.01, 0.0, 1e9, draw.random())
+        assert calendar.entries <= (20 + 2 + LATE_SLOTS) * 9
 
 
 @pytest.mark.parametrize("heeds", [True, False])
--- a/tests/fair_queueing/test_shares.py
+++ b/tests/fair_queueing/test_shares.py
@@ -20,7 +20,7 @@
     RunEnded,
     RunStarted,
 )
-from flintshift.fair_queueing.promises import CalendarBounds
+from flintshift.fair_queueing.reservations import CalendarBounds
 from flintshift.fair_queueing.shares import PLACE_BYTES, Bounds, Shares
 
 KEY, EVEN = b"k" * 16, {"a": 1.0, "b": 1.0}
@@ -156,7 +156,7 @@
 
 @pytest.mark.parametrize("callers", ["all new", "one bucket"])
 def test_its_tables_are_bounded_whatever_numbers_and_clubs_come(callers):
-    door = Door({"a": 1.0}, lanes=8, buckets=4, open=50, calendar=CalendarBounds(slots=10, places=6))
+    door = Door({"a": 1.0}, lanes=8, buckets=4, open=50, calendar=CalendarBounds(slots=10, reservations_per_slot=6))
     draw = random.Random(3)
     for number in range(20_000):
         caller = draw.getrandbits(63) if callers == "all new" else 1 + number % 3
