--- a/flintshift/fair_queueing/surges.py
+++ b/flintshift/fair_queueing/overload.py
@@ -1,7 +1,7 @@
 """Notices when a club surges: it asks for more than its share, and some of it is turned away. Without I/O.
 
 Counted in windows of a second. A surge begins with the first window in which a club asked for more than ``BEGINS``
-times its share and was turned away, and ends with ``CALM`` windows in a row in which it was not turned away: so a club
+times its share and was turned away, and ends with ``CALM_WINDOWS`` windows in a row in which it was not turned away: so a club
 that comes and goes by the second is one surge, and not a line a second.
 """
 
@@ -14,10 +14,10 @@
 
 WINDOW_MS = 1000.0
 BEGINS = 1.2  # times its share: less than that is no news while the node as a whole is full
-CALM = 3
-TOLD_MS = 60_000.0  # a surge that goes on is told of again
+CALM_WINDOWS = 3
+REPORT_INTERVAL_MS = 60_000.0  # a surge that goes on is told of again
 
-Told = OverloadStarted | OverloadContinued | OverloadEnded
+OverloadEvent = OverloadStarted | OverloadContinued | OverloadEnded
 
 
 @dataclass(slots=True)
@@ -31,40 +31,40 @@
     most: float = 0.0  # times its share, at the most
 
 
-class Surges:
+class OverloadDetector:
     """Of clubs by name; whoever has none is one. As many entries as there are clubs with a weight, and one."""
 
     def __init__(self, weights: Mapping[str, float], now_ms: float) -> None:
         """``weights``: time on a core a millisecond, each club's share."""
         self.weights, self.counts, self.ends_ms = dict(weights), dict[str | None, Count](), now_ms + WINDOW_MS
 
-    def weigh(self, now_ms: float, weights: Mapping[str, float]) -> list[Told]:
+    def set_weights(self, now_ms: float, weights: Mapping[str, float]) -> list[OverloadEvent]:
         """What is no longer a club of its own is counted with the others from now on, and its surge has ended."""
         self.weights = dict(weights)
         gone = [name for name in self.counts if name is not None and name not in self.weights]
         return [told for name in gone for told in self._over(now_ms, name, self.counts.pop(name))]
 
-    def asked(self, club: str | None, cost_ms: float) -> None:
+    def record_arrival(self, club: str | None, cost_ms: float) -> None:
         self._count(club).asked_ms += cost_ms
 
-    def turned_away(self, club: str | None) -> None:
+    def record_rejection(self, club: str | None) -> None:
         self._count(club).turned_away += 1
 
-    def tick(self, now_ms: float) -> list[Told]:
+    def tick(self, now_ms: float) -> list[OverloadEvent]:
         """What there is to tell, once a window has ended."""
         if now_ms < self.ends_ms:
             return []
         window_ms = WINDOW_MS + now_ms - self.ends_ms  # a busy node comes late
         self.ends_ms = now_ms + WINDOW_MS
         least = min(self.weights.values(), default=1.0)
-        told: list[Told] = []
+        told: list[OverloadEvent] = []
         for club, count in self.counts.items():
             times = count.asked_ms / window_ms / self.weights.get(club or "", least)
             told += self._window(now_ms, club, count, times)
             count.asked_ms, count.turned_away = 0.0, 0
         return told
 
-    def _window(self, now_ms: float, club: str | None, count: Count, times: float) -> list[Told]:
+    def _window(self, now_ms: float, club: str | None, count: Count, times: float) -> list[OverloadEvent]:
         if count.since_ms is None:
             if not count.turned_away or times <= BEGINS:
                 return []
@@ -74,15 +74,15 @@
         count.shed += count.turned_away
         count.most = max(count.most, times)
         count.calm = 0 if count.turned_away else count.calm + 1
-        if count.calm >= CALM:
+        if count.calm >= CALM_WINDOWS:
             return self._over(now_ms, club, count)
-        if now_ms >= count.told_ms + TOLD_MS:
+        if now_ms >= count.told_ms + REPORT_INTERVAL_MS:
             count.told_ms = now_ms
             return [OverloadContinued(club, now_ms - count.since_ms, times, count.shed)]
         return []
 
     @staticmethod
-    def _over(now_ms: float, club: str | None, count: Count) -> list[Told]:
+    def _over(now_ms: float, club: str | None, count: Count) -> list[OverloadEvent]:
         since_ms, count.since_ms = count.since_ms, None
         return [] if since_ms is None else [OverloadEnded(club, now_ms - since_ms, count.most, count.shed)]
 
--- a/flintshift/lifecycle/fair_door.py
+++ b/flintshift/lifecycle/fair_door.py
@@ -27,9 +27,9 @@
     RunEnded,
     RunStarted,
 )
+from flintshift.fair_queueing.overload import OverloadDetector, OverloadEvent
 from flintshift.fair_queueing.reservations import CalendarBounds
 from flintshift.fair_queueing.shares import FIRST_MS, PLACE_BYTES, Bounds, Shares
-from flintshift.fair_queueing.surges import Surges, Told
 
 
 def weighed(settings: api.Settings) -> QueueSettings:
@@ -56,7 +56,7 @@
         )
         self.shares = Shares(weighed(settings), os.urandom(16), bounds)
         self.rank_ms = self.shares.rank_ms  # asked for all that is held at each choice: no call between
-        self.surges = Surges(self.shares.weights, now_ms())
+        self.surges = OverloadDetector(self.shares.weights, now_ms())
         self.log: Log = log_nothing
 
     def shown(self) -> dict[str, Any]:
@@ -74,14 +74,14 @@
 
     def change(self, settings: api.Settings) -> None:
         self.shares.handle(self.now_ms(), weighed(settings))
-        self._tell(self.surges.weigh(self.now_ms(), self.shares.weights))
+        self._tell(self.surges.set_weights(self.now_ms(), self.shares.weights))
 
     def on_arrival(self, attempt: Attempt) -> None:
         self.shares.handle(
             self.now_ms(),
             RequestArrived(attempt.id, attempt.tenant, attempt.caller, attempt.class_name, attempt.marked_repeat),
         )
-        self.surges.asked(attempt.tenant, self.shares.cost_ms.get(attempt.class_name, FIRST_MS))
+        self.surges.record_arrival(attempt.tenant, self.shares.cost_ms.get(attempt.class_name, FIRST_MS))
 
     def on_start(self, request: str) -> None:
         self.shares.handle(self.now_ms(), RunStarted(request))
@@ -90,7 +90,7 @@
         self.shares.handle(self.now_ms(), RequestWithdrawn(request))
 
     def retry_after_ms(self, attempt: Attempt, least_ms: float, most_ms: float) -> float:
-        self.surges.turned_away(attempt.tenant)
+        self.surges.record_rejection(attempt.tenant)
         (told,) = self.shares.handle(self.now_ms(), RequestRejected(attempt.id, least_ms, most_ms, self.draw()))
         self.counters.add("door.promised" if told.reserved else "door.not_promised")
         return told.wait_ms
@@ -101,7 +101,7 @@
     def tick(self) -> None:
         self._tell(self.surges.tick(self.now_ms()))
 
-    def _tell(self, all_told: list[Told]) -> None:
+    def _tell(self, all_told: list[OverloadEvent]) -> None:
         for told in all_told:
             match told:
                 case OverloadStarted(club, times, turned_away):
