--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -18,8 +18,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
+from flintshift.fair_queueing.fair_queue import MAX_ENTRY_BYTES, FairQueue  # noqa: E402
 from flintshift.fair_queueing.messages import QueueSettings, RequestArrived, RunEnded, RunStarted  # noqa: E402
-from flintshift.fair_queueing.shares import PLACE_BYTES, Shares  # noqa: E402
 
 CLUBS = [f"club{number}" for number in range(5)]
 WEIGHED = QueueSettings(dict.fromkeys(CLUBS, 1.0), 2, {"look": 20.0}, True)
@@ -27,7 +27,7 @@
 
 def play(callers: int, waiting: int, requests: int) -> tuple[float, int]:
     """Microseconds a request, and the places of its tables at the end."""
-    draw, shares = random.Random(1), Shares(WEIGHED, b"k" * 16)
+    draw, shares = random.Random(1), FairQueue(WEIGHED, b"k" * 16)
     asked = [(f"{number:016x}", draw.choice(CLUBS), draw.randrange(callers)) for number in range(requests)]
     queue: list[str] = []
     began = time.perf_counter()
@@ -39,7 +39,7 @@
             queue.remove(first)
             shares.handle(at * 2.0, RunStarted(first))
             shares.handle(at * 2.0, RunEnded(first, 20.0))
-    return (time.perf_counter() - began) / requests * 1e6, shares.places
+    return (time.perf_counter() - began) / requests * 1e6, shares.entries
 
 
 def main() -> None:
@@ -57,7 +57,7 @@
                     "callers": callers,
                     "us": round(us, 1),
                     "places": places,
-                    "kb_at_most": round(places * PLACE_BYTES / 1024),
+                    "kb_at_most": round(places * MAX_ENTRY_BYTES / 1024),
                 }
             )
             print(rows[-1])
--- a/benchmarks/door_model.py
+++ b/benchmarks/door_model.py
@@ -23,6 +23,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
+from flintshift.fair_queueing.fair_queue import FairQueue  # noqa: E402
 from flintshift.fair_queueing.messages import (
     QueueSettings,
     RequestArrived,
@@ -31,7 +32,6 @@
     RunEnded,
     RunStarted,
 )
-from flintshift.fair_queueing.shares import Shares  # noqa: E402
 
 RUN_MS, NEXT, MOST_MS = 10.0, 5, 1000.0
 
@@ -59,7 +59,7 @@
 def play(heeds: bool, seed: int, flood: int = 3, storm: int = 0, ticks: int = 2000) -> Told:
     """``flood``: first tries of club "a" in the time of a run, by callers that never come twice by themselves;
     ``storm``: further ones, which nobody told to come; "b" has one caller."""
-    shares = Shares(QueueSettings({"a": 1.0, "b": 1.0}, 1, {"look": RUN_MS}, True), b"model".ljust(16))
+    shares = FairQueue(QueueSettings({"a": 1.0, "b": 1.0}, 1, {"look": RUN_MS}, True), b"model".ljust(16))
     draw, told = random.Random(seed), Told()
     back: list[tuple[float, str, int]] = []
     waiting: dict[str, float | None] = {}  # by request: the time that it was told, of those who come back
@@ -81,7 +81,7 @@
             at = waiting.pop(request)
             told.broken += at is not None and at < math.inf
             told.first_broken += at is None
-            caller, club = shares.open[request].caller, request[-1]
+            caller, club = shares.tracked[request].caller, request[-1]
             (answer,) = shares.handle(now, RequestRejected(request, 0.0, MOST_MS, draw.random()))
             assert isinstance(answer, RetryAfter) and answer.wait_ms <= MOST_MS
             if answer.reserved and at != math.inf:
--- a/flintshift/lifecycle/fair_door.py
+++ b/flintshift/lifecycle/fair_door.py
@@ -16,6 +16,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log, log_nothing
+from flintshift.fair_queueing.fair_queue import DEFAULT_COST_MS, MAX_ENTRY_BYTES, FairQueue, QueueBounds
 from flintshift.fair_queueing.messages import (
     OverloadContinued,
     OverloadEnded,
@@ -29,7 +30,6 @@
 )
 from flintshift.fair_queueing.overload import OverloadDetector, OverloadEvent
 from flintshift.fair_queueing.reservations import CalendarBounds
-from flintshift.fair_queueing.shares import FIRST_MS, PLACE_BYTES, Bounds, Shares
 
 
 def weighed(settings: api.Settings) -> QueueSettings:
@@ -47,14 +47,14 @@
 
     def __init__(self, settings: api.Settings, limits: Limits, counters: Counters, now_ms: Callable[[], float]) -> None:
         self.counters, self.now_ms, self.draw = counters, now_ms, random.random
-        bounds = Bounds(
+        bounds = QueueBounds(
             limits.max_known_callers,
             limits.caller_buckets,
             limits.max_tracked_requests,
             limits.bucket_rekey_interval_ms,
             CalendarBounds(limits.reservation_slot_ms, limits.reservation_slots, limits.reservations_per_slot),
         )
-        self.shares = Shares(weighed(settings), os.urandom(16), bounds)
+        self.shares = FairQueue(weighed(settings), os.urandom(16), bounds)
         self.rank_ms = self.shares.rank_ms  # asked for all that is held at each choice: no call between
         self.surges = OverloadDetector(self.shares.weights, now_ms())
         self.log: Log = log_nothing
@@ -62,10 +62,10 @@
     def shown(self) -> dict[str, Any]:
         """How the clubs stand, for operators."""
         return {
-            "clubs": [asdict(one) for one in self.shares.shown()],
-            "places": self.shares.places,
-            "most_places": self.shares.most_places,
-            "bytes_at_most": self.shares.places * PLACE_BYTES,
+            "clubs": [asdict(one) for one in self.shares.status()],
+            "places": self.shares.entries,
+            "most_places": self.shares.max_entries,
+            "bytes_at_most": self.shares.entries * MAX_ENTRY_BYTES,
         }
 
     def refuses(self, settings: api.Settings) -> str | None:
@@ -81,7 +81,7 @@
             self.now_ms(),
             RequestArrived(attempt.id, attempt.tenant, attempt.caller, attempt.class_name, attempt.marked_repeat),
         )
-        self.surges.record_arrival(attempt.tenant, self.shares.cost_ms.get(attempt.class_name, FIRST_MS))
+        self.surges.record_arrival(attempt.tenant, self.shares.class_cost_ms.get(attempt.class_name, DEFAULT_COST_MS))
 
     def on_start(self, request: str) -> None:
         self.shares.handle(self.now_ms(), RunStarted(request))
--- a/tests/fair_queueing/test_fair_door.py
+++ b/tests/fair_queueing/test_fair_door.py
@@ -137,16 +137,16 @@
     taken = sum(one in node.runs[: begun + 8] for one in other)
     assert taken == (3 if fair else 0)  # by turns; without it the oldest go first, which is the flood
     if fair:
-        assert len(node.fair.shares.open) == node.decisions.open
+        assert len(node.fair.shares.tracked) == node.decisions.open
 
 
 def test_a_repeat_that_waits_for_the_run_of_another_try_waits_for_no_core():
     node = node_of()
     first = node.arrive(class_name="pay", request_key="k")
     repeat = node.arrive(class_name="pay", request_key="k", marked_repeat=True)
-    assert len(node.runs) == 1 and list(node.fair.shares.open) == [first.id]
+    assert len(node.runs) == 1 and list(node.fair.shares.tracked) == [first.id]
     node.end(first)
-    assert repeat.answer == first.answer == Answer(Verdict.SERVED, b"done") and not node.fair.shares.open
+    assert repeat.answer == first.answer == Answer(Verdict.SERVED, b"done") and not node.fair.shares.tracked
 
 
 def surge(node, times, before=lambda node: None):
--- a/tests/fair_queueing/test_shares.py
+++ b/tests/fair_queueing/test_fair_queue.py
@@ -12,6 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from flintshift.fair_queueing.fair_queue import MAX_ENTRY_BYTES, FairQueue, QueueBounds
 from flintshift.fair_queueing.messages import (
     QueueSettings,
     RequestArrived,
@@ -21,7 +22,6 @@
     RunStarted,
 )
 from flintshift.fair_queueing.reservations import CalendarBounds
-from flintshift.fair_queueing.shares import PLACE_BYTES, Bounds, Shares
 
 KEY, EVEN = b"k" * 16, {"a": 1.0, "b": 1.0}
 
@@ -30,7 +30,9 @@
     """The heart with a queue that serves the least rank first, as a fair server would."""
 
     def __init__(self, weights=EVEN, marks=True, **bounds):
-        self.shares = Shares(QueueSettings(weights, 1, {"look": 10.0, "dear": 10.0}, marks), KEY, Bounds(**bounds))
+        self.shares = FairQueue(
+            QueueSettings(weights, 1, {"look": 10.0, "dear": 10.0}, marks), KEY, QueueBounds(**bounds)
+        )
         self.numbers, self.waiting, self.served = itertools.count(), [], Counter()
 
     def arrive(self, club="a", caller=1, times=1, class_name="look", now_ms=0.0):
@@ -143,7 +145,7 @@
     for _ in range(202):
         door.begin(took_ms=1000.0 if door.next()[1] == "a" else 10.0)
     assert door.served == {"a": 2000.0, "b": 2000.0, ("a", 1): 2000.0, ("b", 1): 2000.0}
-    assert door.shares.cost_ms == {"look": 10.0, "dear": pytest.approx(10.0 + 990.0 * (0.1 + 0.09))}
+    assert door.shares.class_cost_ms == {"look": 10.0, "dear": pytest.approx(10.0 + 990.0 * (0.1 + 0.09))}
     # Among callers of one club as well: the one whose request was dear stands back for as long.
     door = Door({"a": 1.0})
     door.arrive(caller=1)
@@ -156,7 +158,13 @@
 
 @pytest.mark.parametrize("callers", ["all new", "one bucket"])
 def test_its_tables_are_bounded_whatever_numbers_and_clubs_come(callers):
-    door = Door({"a": 1.0}, lanes=8, buckets=4, open=50, calendar=CalendarBounds(slots=10, reservations_per_slot=6))
+    door = Door(
+        {"a": 1.0},
+        max_known_callers=8,
+        caller_buckets=4,
+        max_tracked_requests=50,
+        calendar=CalendarBounds(slots=10, reservations_per_slot=6),
+    )
     draw = random.Random(3)
     for number in range(20_000):
         caller = draw.getrandbits(63) if callers == "all new" else 1 + number % 3
@@ -169,10 +177,10 @@
             door.begin()
         elif number % 11 == 0:
             door.shares.handle(number * 5.0, RequestRejected(request, 0.0, 1e6, 0.5))
-        assert door.shares.places <= door.shares.most_places
+        assert door.shares.entries <= door.shares.max_entries
         del door.waiting[200:]
     # Two clubs: "a" and all others; open requests, classes, and of each club lanes, buckets and slots with places.
-    assert door.shares.most_places == 50 + 2 + 2 * (1 + 8 + 4 + 13 * 7)
+    assert door.shares.max_entries == 50 + 2 + 2 * (1 + 8 + 4 + 13 * 7)
 
 
 @pytest.mark.parametrize("clubs", [1, 5, 50])
@@ -180,45 +188,45 @@
     names, draw = [f"c{number}" for number in range(clubs)], random.Random(1)
     asked = [(f"{number:016x}", names[number % clubs], draw.getrandbits(63)) for number in range(12_000)]
     tracemalloc.start()
-    shares = Shares(QueueSettings(dict.fromkeys(names, 1.0), 2, {"look": 20.0}, True), KEY)
+    shares = FairQueue(QueueSettings(dict.fromkeys(names, 1.0), 2, {"look": 20.0}, True), KEY)
     for number, (request, club, caller) in enumerate(asked):
         shares.handle(0.0, RequestArrived(request, club, caller, "look"))
         if number % 3:
             shares.handle(0.0, RequestRejected(request, 0.0, 20_000.0, 0.5))
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert shares.places > 4000 and used <= shares.places * PLACE_BYTES
-    assert sum(one.asked for one in shares.shown()) == 12_000
+    assert shares.entries > 4000 and used <= shares.entries * MAX_ENTRY_BYTES
+    assert sum(one.asked for one in shares.status()) == 12_000
 
 
 def test_a_full_table_of_callers_keeps_who_waits_and_who_is_charged_and_lets_the_others_go():
-    door = Door({"a": 1.0}, lanes=4, buckets=2)
+    door = Door({"a": 1.0}, max_known_callers=4, caller_buckets=2)
     door.arrive(times=20)
     for caller in range(2, 30):
         door.arrive(caller=caller)
-    assert set(door.shares.clubs["a"].lanes) == {1, 2, 3, 4}
+    assert set(door.shares.clubs["a"].caller_flows) == {1, 2, 3, 4}
     door.begin(len(door.waiting))
     door.arrive(caller=50)
-    assert {1, 50} <= set(door.shares.clubs["a"].lanes) and 2 not in door.shares.clubs["a"].lanes
+    assert {1, 50} <= set(door.shares.clubs["a"].caller_flows) and 2 not in door.shares.clubs["a"].caller_flows
 
 
 def test_callers_chosen_to_meet_in_a_bucket_meet_no_longer_once_the_key_has_changed():
-    door = Door({"a": 1.0}, lanes=1, buckets=16, rekey_ms=1000.0)
+    door = Door({"a": 1.0}, max_known_callers=1, caller_buckets=16, rekey_interval_ms=1000.0)
     door.arrive(caller=0)  # has the one place by number
 
     def bucket(caller, now_ms):
         request = door.arrive(caller=caller, now_ms=now_ms)
-        lane = door.shares.open[request].lane
+        lane = door.shares.tracked[request].flow
         door.turn_away(request)
         return lane
 
     victim = bucket(1, 0.0)
     for caller in range(2000):
-        bucket(caller, 0.5).charged = 1000.0  # what any of them ran is charged to all of its bucket
+        bucket(caller, 0.5).charged_ms = 1000.0  # what any of them ran is charged to all of its bucket
     meets = [caller for caller in range(2, 2000) if bucket(caller, 1.0) is victim]
     assert len(meets) > 50
     after = bucket(1, 1500.0)
-    assert after is not victim and after.charged == 0.0
+    assert after is not victim and after.charged_ms == 0.0
     assert sum(bucket(caller, 1501.0) is after for caller in meets) < len(meets) / 4
 
 
@@ -226,7 +234,7 @@
     door = Door()
     before = [door.arrive(club) for club in "abab"]
     door.shares.handle(0.0, QueueSettings({"b": 3.0, "c": 1.0}, 2, {"look": 70.0, "new": 30.0}, True))
-    assert door.shares.cost_ms == {"look": 10.0, "new": 30.0}
+    assert door.shares.class_cost_ms == {"look": 10.0, "new": 30.0}
     for request in before[:2]:
         door.turn_away(request)
     assert set(door.shares.clubs) == {"b"} and door.shares.clubs["b"].weight == 1.5
@@ -235,7 +243,7 @@
     door.begin(42)
     assert door.served["b"] > 2 * door.served["c"]
     door.begin(len(door.waiting))
-    assert not door.shares.open and not door.shares.backlogged
+    assert not door.shares.tracked and not door.shares.backlogged
 
 
 @pytest.mark.parametrize(
@@ -251,7 +259,7 @@
     assert told.reserved and told.wait_ms == 100.0  # three runs of 20 ms at its share are caught up with after 60
     door.arrive(caller=2, times=5)
     door.shares.handle(100.0, RequestArrived("back", "a", 1, "look", again))
-    assert (door.shares.open["back"].tag < 0) == kept
+    assert (door.shares.tracked["back"].start_tag < 0) == kept
 
 
 @pytest.mark.parametrize(("callers", "paid"), [(1, 2), (100, 10)])
@@ -262,7 +270,7 @@
 
     def further(request, caller):
         door.shares.handle(0.0, RequestArrived(request, "a", caller, "look", True))
-        return door.shares.open[request].tag < math.inf
+        return door.shares.tracked[request].start_tag < math.inf
 
     assert [further(f"s{number}", number % callers) for number in range(20)] == [True] * paid + [False] * (20 - paid)
     assert [
@@ -282,7 +290,7 @@
     """Six steps over two clubs and two callers: arrivals, starts, ends and refusals in every order."""
 
     def walk(steps):
-        shares = Shares(QueueSettings({"a": 2.0, "b": 1.0}, 1, {"look": 10.0}, True), KEY)
+        shares = FairQueue(QueueSettings({"a": 2.0, "b": 1.0}, 1, {"look": 10.0}, True), KEY)
         waiting, running, least = [], [], 0.0
         for number, step in enumerate(steps):
             if isinstance(step, tuple):
@@ -298,20 +306,24 @@
                 shares.handle(0.0, RunEnded(running.pop(0), 25.0))
             else:
                 return
-            assert shares.virtual >= least
-            least = shares.virtual
-            assert len(shares.open) == len(waiting) + len(running)
+            assert shares.virtual_ms >= least
+            least = shares.virtual_ms
+            assert len(shares.tracked) == len(waiting) + len(running)
             for club in shares.clubs.values():
-                lanes = [*club.lanes.values(), *club.buckets.values()]
-                assert len(club.waiting) == sum(lane.waiting for lane in lanes)
+                lanes = [*club.caller_flows.values(), *club.bucket_flows.values()]
+                assert len(club.waiting) == sum(lane.waiting_count for lane in lanes)
                 assert (club in shares.backlogged) == bool(club.waiting)
-                costs = sum(entry.cost for entry in shares.open.values() if entry.club is club and not entry.began)
-                assert abs(sum(lane.waiting_ms for lane in lanes) - costs) < 1e-6
+                costs = sum(
+                    entry.cost_ms for entry in shares.tracked.values() if entry.club is club and not entry.running
+                )
+                assert abs(sum(lane.waiting_cost_ms for lane in lanes) - costs) < 1e-6
             # One club's places follow each other without a gap, from its charge on: nobody is passed over for ever.
             for club in shares.backlogged:
-                at = max(shares.virtual, club.charged)
+                at = max(shares.virtual_ms, club.charged_ms)
                 for rank, cost in sorted(
-                    (shares.rank_ms(name), entry.cost) for name, entry in shares.open.items() if entry in club.waiting
+                    (shares.rank_ms(name), entry.cost_ms)
+                    for name, entry in shares.tracked.items()
+                    if entry in club.waiting
                 ):
                     assert abs(rank - at) < 1e-6
                     at += cost / club.weight
@@ -321,12 +333,12 @@
 
 
 def test_a_request_that_came_twice_or_that_nobody_knows_changes_nothing():
-    door = Door({"a": 1.0}, open=2)
+    door = Door({"a": 1.0}, max_tracked_requests=2)
     first = door.arrive()
     door.shares.handle(0.0, RequestArrived(first, "a", 1, "look"))
-    assert door.shares.clubs["a"].lanes[1].waiting == 1
+    assert door.shares.clubs["a"].caller_flows[1].waiting_count == 1
     second, third = door.arrive(), door.arrive()  # the third is past the bound: ranked last, not followed
-    assert len(door.shares.open) == 2 and door.shares.rank_ms(third) > door.shares.rank_ms(second)
+    assert len(door.shares.tracked) == 2 and door.shares.rank_ms(third) > door.shares.rank_ms(second)
     for event in (
         RunStarted("none"),
         RequestWithdrawn("none"),
@@ -336,4 +348,4 @@
         RequestWithdrawn(second),
     ):
         door.shares.handle(0.0, event)
-    assert not door.shares.open and not door.shares.backlogged
+    assert not door.shares.tracked and not door.shares.backlogged
