--- a/benchmarks/door_model.py
+++ b/benchmarks/door_model.py
@@ -24,7 +24,7 @@
 sys.path.insert(0, str(ROOT))
 
 from flintshift.fair_queueing.fair_queue import FairQueue  # noqa: E402
-from flintshift.fair_queueing.messages import (
+from flintshift.fair_queueing.messages import (  # noqa: E402
     QueueSettings,
     RequestArrived,
     RequestRejected,
