--- a/flintshift/lifecycle/config.py
+++ b/flintshift/lifecycle/config.py
@@ -13,7 +13,7 @@
 from flintshift import interface as api
 from flintshift.core.limits import Limits
 from flintshift.lifecycle.start_retry import WAIT_S, StartRetry
-from flintshift.settings.options import Address, Operators
+from flintshift.settings.options import Address, OperatorSettings
 from flintshift.settings.platform import GAUGES, FormError, flat, settings_from
 from flintshift.settings.shape import fault
 from flintshift.settings.units import address
@@ -111,7 +111,7 @@
     return made(configuration(), "the embedded default", operators(operators_file))
 
 
-def made(told: Any, path: str, operators: Operators, control: str | None = None) -> Config:
+def made(told: Any, path: str, operators: OperatorSettings, control: str | None = None) -> Config:
     """A configuration of the platform's form, as JSON read it; ``path`` is for the words of faults, and ``control``
     the address of the control door where the file names none."""
     try:
@@ -147,10 +147,10 @@
         raise ConfigError(f"{path}: {' '.join(str(error).split())}") from error
 
 
-def operators(path: Path | None) -> Operators:
+def operators(path: Path | None) -> OperatorSettings:
     """The operators' file; all parts are off where none is named, and no reader of YAML is imported."""
     if path is None:
-        return Operators()
+        return OperatorSettings()
     from flintshift.settings.operators import FaultsError, read
 
     try:
--- a/flintshift/lifecycle/durable_state.py
+++ b/flintshift/lifecycle/durable_state.py
@@ -15,7 +15,7 @@
 from flintshift.lifecycle.clock import Clock
 from flintshift.lifecycle.config import Config, ConfigError
 from flintshift.lifecycle.start_retry import StartRetry
-from flintshift.settings.options import CopiesOptions, PeersOptions, UsageOptions
+from flintshift.settings.options import PeersOptions, ReplicationOptions, UsageOptions
 from flintshift.storage.files import LockedError
 from flintshift.storage.snapshot import DamagedError
 
@@ -52,7 +52,7 @@
 def open_replication(
     config: Config,
     peers: PeersOptions,
-    options: CopiesOptions,
+    options: ReplicationOptions,
     decisions: Decisions,
     counters: Counters,
     now_ms: Clock,
--- a/flintshift/lifecycle/exports.py
+++ b/flintshift/lifecycle/exports.py
@@ -50,7 +50,7 @@
     ``replicated``: the state of the ledger if other members have replicas of it; its owner exports under its epoch.
     """
     files = files or DiskFiles()
-    delivery_config = DeliveryConfig(options.backoff_ms, options.backoff_most_ms, options.attempts_per_hour)
+    delivery_config = DeliveryConfig(options.backoff_ms, options.max_backoff_ms, options.attempts_per_hour)
     ledger = f"{replicated.node}.{replicated.life.hex()}" if replicated is not None else ""
     return ExportDriver(
         files,
--- a/flintshift/lifecycle/ledger_replicas.py
+++ b/flintshift/lifecycle/ledger_replicas.py
@@ -18,7 +18,7 @@
 from flintshift.replication.log_holders import HolderConfig, LogReplicas
 from flintshift.replication.logs import LogId
 from flintshift.replication.placement import Placement
-from flintshift.settings.options import CopiesOptions
+from flintshift.settings.options import ReplicationOptions
 from flintshift.storage.files import Files
 from flintshift.storage.log import BrokenLogError
 from flintshift.storage.snapshot import DamagedError
@@ -43,7 +43,7 @@
         name: str,
         identity: str,
         placement: Placement,
-        options: CopiesOptions,
+        options: ReplicationOptions,
         files: Files,
         boot: str,
         is_alive: Callable[[str], bool],
@@ -57,7 +57,7 @@
         self.send, self.answer, self.counters, self.log = send, answer, counters, log
         self.folder = options.folder / LEDGERS_FOLDER
         self.log_replicas = LogReplicas(
-            name, identity, placement.log_holders, is_alive, HolderConfig(options.take_over_ms)
+            name, identity, placement.log_holders, is_alive, HolderConfig(options.takeover_after_ms)
         )
         self.replicas: dict[LogId, Replica] = {}
         self.rejected_due_ms: dict[LogId, float] = {}  # by log, when its owner is notified of the error
--- a/flintshift/lifecycle/logs.py
+++ b/flintshift/lifecycle/logs.py
@@ -52,7 +52,7 @@
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper("iso", utc=True),
-            Repeats(options.repeats_ms, lambda: time.monotonic() * 1000),
+            Repeats(options.repeat_interval_ms, lambda: time.monotonic() * 1000),
             show,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(options.level),
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -25,11 +25,11 @@
 from flintshift.lifecycle.signal_queue import SignalQueue
 from flintshift.lifecycle.start_retry import StartRetry
 from flintshift.settings.options import (
-    CopiesOptions,
-    DoorOptions,
+    FairQueueingOptions,
     LogOptions,
-    Operators,
+    OperatorSettings,
     PeersOptions,
+    ReplicationOptions,
     StartupOptions,
     UsageOptions,
     UwsgiOptions,
@@ -106,7 +106,7 @@
         self.fronts.append((http, config.listen))
         self.actors += [self.decisions.run, self.pool.run, self.vault.run]
 
-    def _wire_operators(self, options: Operators) -> None:
+    def _wire_operators(self, options: OperatorSettings) -> None:
         """The parts that the operators' file switches on; each is imported only then."""
         self.ledger: Ledger | None = None
         self.books: LedgerRecorder | None = None
@@ -168,7 +168,7 @@
         for front, _ in self.fronts:
             front.log = self.log if requests_too else None
 
-    def _rank_clubs(self, options: DoorOptions) -> None:
+    def _rank_clubs(self, options: FairQueueingOptions) -> None:
         from flintshift.lifecycle.fair_door import FairDoor
 
         self.fair = FairDoor(self.config.settings, self.limits, self.counters, self.now_ms)
@@ -213,7 +213,7 @@
 
             self.actors.append(create_export_actor(self.ledger, options, self.log))
 
-    def _keep_copies(self, peers: PeersOptions, options: CopiesOptions) -> None:
+    def _keep_copies(self, peers: PeersOptions, options: ReplicationOptions) -> None:
         from flintshift.lifecycle.durable_state import open_replication, replicate_ledger
         from flintshift.replication.store import STATUS_SOCKET
 
@@ -232,8 +232,10 @@
         from flintshift.startup.phases import NodeState
 
         settings = self.config.settings
-        if options.at_once is not None and self.copying is not None:
-            self.permits = self.copying.create_start_permits(options.at_once, self.uniform, self.tell_lists)
+        if options.max_concurrent_starts is not None and self.copying is not None:
+            self.permits = self.copying.create_start_permits(
+                options.max_concurrent_starts, self.uniform, self.tell_lists
+            )
         permits = self.permits
         starting = self.starting = Starting(
             options,
--- a/flintshift/lifecycle/replica_store.py
+++ b/flintshift/lifecycle/replica_store.py
@@ -23,7 +23,7 @@
 from flintshift.replication.refill import FillAsk, Page, Refill, build_page
 from flintshift.replication.registers import Entry, HolderBounds, Registers
 from flintshift.replication.store import ReplicaFolder, boot_id
-from flintshift.settings.options import CopiesOptions
+from flintshift.settings.options import ReplicationOptions
 from flintshift.storage.files import Files
 from flintshift.storage.log import BrokenLogError
 from flintshift.wire.peer_codec import decode_entry, encode_entry
@@ -66,7 +66,7 @@
         host: Host,
         name: str,
         placement: Placement,
-        options: CopiesOptions,
+        options: ReplicationOptions,
         files: Files,
         now_ms: Callable[[], float],
         counters: Counters,
@@ -89,7 +89,7 @@
         self.opened = anyio.Event()  # set once this process owns the store
 
     def _bounds(self) -> HolderBounds:
-        return HolderBounds(self.options.keys, self.options.bytes, self.host.max_retention_ms())
+        return HolderBounds(self.options.max_keys, self.options.max_bytes, self.host.max_retention_ms())
 
     # The incarnation of the store.
 
--- a/flintshift/lifecycle/replication.py
+++ b/flintshift/lifecycle/replication.py
@@ -48,7 +48,7 @@
 from flintshift.replication.proposals import Proposals
 from flintshift.replication.refill import FillAsk, Page
 from flintshift.replication.store import boot_id
-from flintshift.settings.options import CopiesOptions, PeersOptions, UsageOptions
+from flintshift.settings.options import PeersOptions, ReplicationOptions, UsageOptions
 from flintshift.startup.backoff import Uniform
 from flintshift.startup.permits import Permit, PermitRequest
 from flintshift.storage.files import DiskFiles, Files, LockedError
@@ -79,7 +79,7 @@
         self,
         name: str,
         peers: PeersOptions,
-        options: CopiesOptions,
+        options: ReplicationOptions,
         decisions: Decisions,
         limits: Limits,
         counters: Counters,
@@ -107,7 +107,7 @@
         )
         self.store = ReplicaStore(self, name, self.placement, options, self.files, self.now_ms, counters, log)
         self.members = membership.Membership(
-            self.identity, halls, membership.HeartbeatTiming(peers.beat_ms, peers.lease_ms), self.now_ms()
+            self.identity, halls, membership.HeartbeatTiming(peers.heartbeat_ms, peers.lease_ms), self.now_ms()
         )
         self.proposals = Proposals(self.identity, self.placement, self._is_alive, self.rng)
         greeting = self.greeting = Handshake(name, self.identity, peers.epoch, members_digest(peers))
--- a/flintshift/settings/operators.py
+++ b/flintshift/settings/operators.py
@@ -18,13 +18,13 @@
 
 from flintshift.settings import units
 from flintshift.settings.options import (
-    CopiesOptions,
-    DoorOptions,
     ExportOptions,
+    FairQueueingOptions,
     HttpSinkOptions,
     LogOptions,
-    Operators,
+    OperatorSettings,
     PeersOptions,
+    ReplicationOptions,
     StartupOptions,
     UsageOptions,
     UwsgiOptions,
@@ -190,7 +190,7 @@
     startup: StartupPart = StartupPart()
 
 
-def read(path: Path) -> Operators:
+def read(path: Path) -> OperatorSettings:
     """The file's settings.
 
     Raises:
@@ -207,7 +207,7 @@
         raise FaultsError([Fault(str(path), 0, 0, "", f"can't be read: {text}")]) from error
 
 
-def parse(name: str, text: str, base: Path) -> Operators:
+def parse(name: str, text: str, base: Path) -> OperatorSettings:
     """Settings from a text; relative folders in it are taken from ``base``."""
     reader = YAML(typ="rt", pure=True)
     try:
@@ -326,9 +326,9 @@
             return f"{text}, found {found['input']!r}"
 
 
-def _options(told: File, base: Path) -> Operators:
+def _options(told: File, base: Path) -> OperatorSettings:
     uwsgi, log, usage = told.uwsgi, told.log, told.usage
-    return Operators(
+    return OperatorSettings(
         uwsgi=UwsgiOptions(uwsgi.listen, uwsgi.resolver, uwsgi.domain, uwsgi.app_service, uwsgi.node_service)
         if uwsgi.enabled
         else None,
@@ -346,7 +346,7 @@
         )
         if usage.enabled
         else None,
-        door=DoorOptions(base / told.door.socket if told.door.socket else None) if told.door.enabled else None,
+        door=FairQueueingOptions(base / told.door.socket if told.door.socket else None) if told.door.enabled else None,
         peers=_peers(told.peers),
         copies=_copies(told.copies, base),
         startup=_startup(told.startup, base),
@@ -360,10 +360,10 @@
     return PeersOptions(told.listen, members, told.epoch, told.beat, told.lease)
 
 
-def _copies(told: CopiesPart, base: Path) -> CopiesOptions | None:
+def _copies(told: CopiesPart, base: Path) -> ReplicationOptions | None:
     if not told.enabled:
         return None
-    return CopiesOptions(
+    return ReplicationOptions(
         base / told.folder, told.copies, told.durability, told.keys, told.memory, told.segment, told.take_over_use
     )
 
--- a/flintshift/settings/options.py
+++ b/flintshift/settings/options.py
@@ -25,7 +25,7 @@
 class LogOptions:
     format: str  # "json" or "text"
     level: str  # "debug", "info", "warning" or "error"
-    repeats_ms: float  # the same event is written at most so often; 0: each time
+    repeat_interval_ms: float  # the same event is written at most so often; 0: each time
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     folder: Path | None
     http: HttpSinkOptions | None
     backoff_ms: float  # the first wait after a failed delivery, doubled up to the most
-    backoff_most_ms: float
+    max_backoff_ms: float
     attempts_per_hour: int
 
 
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DoorOptions:
+class FairQueueingOptions:
     """Fair queues by club and caller."""
 
     socket: Path | None  # where `flintshift door show` asks
@@ -70,21 +70,21 @@
     listen: Address
     members: dict[str, tuple[str, Address]]  # by name: the hall, and where it listens for members
     epoch: int  # of this list
-    beat_ms: float
+    heartbeat_ms: float
     lease_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class CopiesOptions:
+class ReplicationOptions:
     """What is held for others on further members."""
 
     folder: Path
     copies: int
     durability: str  # "power-cut" or "process-death"
-    keys: int
-    bytes: int
+    max_keys: int
+    max_bytes: int
     segment_bytes: int
-    take_over_ms: float = 60_000.0  # a member's ledger of use is taken over once it has been dead for so long
+    takeover_after_ms: float = 60_000.0  # a member's ledger of use is taken over once it has been dead for so long
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,15 +93,15 @@
 
     socket: Path | None  # where `flintshift startup status` asks
     folder: Path | None  # on a disk that lasts: lives are remembered there, and a crash loop is slowed
-    at_once: int | None = None  # so many members of the fleet start at a time; None: all may
+    max_concurrent_starts: int | None = None  # so many members of the fleet start at a time; None: all may
 
 
 @dataclass(frozen=True, slots=True)
-class Operators:
+class OperatorSettings:
     uwsgi: UwsgiOptions | None = None
     log: LogOptions | None = None
     usage: UsageOptions | None = None
-    door: DoorOptions | None = None
+    door: FairQueueingOptions | None = None
     peers: PeersOptions | None = None
-    copies: CopiesOptions | None = None
+    copies: ReplicationOptions | None = None
     startup: StartupOptions | None = None
--- a/tests/lifecycle/test_reconfiguration.py
+++ b/tests/lifecycle/test_reconfiguration.py
@@ -11,9 +11,9 @@
 from flintshift.lifecycle.config import ConfigError, made
 from flintshift.lifecycle.reconfiguration import Reconfiguration
 from flintshift.settings.embedded import configuration
-from flintshift.settings.operators import Operators
+from flintshift.settings.operators import OperatorSettings
 
-BEFORE = made(configuration(), "FILE", Operators())
+BEFORE = made(configuration(), "FILE", OperatorSettings())
 
 
 class Part:
--- a/tests/replication/test_replica_store.py
+++ b/tests/replication/test_replica_store.py
@@ -12,7 +12,7 @@
 from flintshift.replication.messages import ReachabilityChanged
 from flintshift.replication.placement import Placement
 from flintshift.replication.refill import FillAsk
-from flintshift.settings.options import CopiesOptions
+from flintshift.settings.options import ReplicationOptions
 
 WINDOW_MS = 9000.0
 REACHED = {"n2", "n3"}
@@ -43,7 +43,7 @@
 def store(host):
     """A store whose disk is empty."""
     placement = Placement({"n1": "ruwi-hall", "n2": "ruwi-hall", "n3": "seeb-hall"}, 3)
-    options = CopiesOptions(Path("/srv/copies"), 3, "process-death", 1000, 1 << 20, 1 << 20)
+    options = ReplicationOptions(Path("/srv/copies"), 3, "process-death", 1000, 1 << 20, 1 << 20)
     store = ReplicaStore(
         host, "n1", placement, options, SimFiles(), lambda: host.now, Counters(), lambda *_, **__: None
     )
--- a/tests/replication/test_store_refusals.py
+++ b/tests/replication/test_store_refusals.py
@@ -28,7 +28,7 @@
 from flintshift.replication.refill import Page
 from flintshift.replication.registers import Entry
 from flintshift.replication.store import boot_id, create_empty_store
-from flintshift.settings.options import CopiesOptions
+from flintshift.settings.options import ReplicationOptions
 
 pytestmark = pytest.mark.anyio
 
@@ -67,7 +67,7 @@
             self.host,
             "n1",
             placement,
-            CopiesOptions(FOLDER, 3, durability, 1000, 1 << 20, 1 << 20),
+            ReplicationOptions(FOLDER, 3, durability, 1000, 1 << 20, 1 << 20),
             self.files,
             lambda: self.host.now,
             Counters(),
--- a/tests/replication/test_usage_replica_refusals.py
+++ b/tests/replication/test_usage_replica_refusals.py
@@ -29,7 +29,7 @@
 from flintshift.replication.log_holders import HolderConfig
 from flintshift.replication.log_writer import LogWriter, ReplicaState
 from flintshift.replication.placement import Placement
-from flintshift.settings.options import CopiesOptions, UsageOptions
+from flintshift.settings.options import ReplicationOptions, UsageOptions
 from flintshift.usage import replica as on_disk
 from flintshift.usage.accounts import UsageAccounts
 from flintshift.usage.folder import load
@@ -61,7 +61,7 @@
             name,
             f"{name}#1",
             placement,
-            CopiesOptions(Path("/srv/copies"), 3, "process-death", 1000, 1 << 20, 1 << 20, 1000.0),
+            ReplicationOptions(Path("/srv/copies"), 3, "process-death", 1000, 1 << 20, 1 << 20, 1000.0),
             self.files,
             "boot",
             lambda runner: self.writer_is_alive,
--- a/tests/settings/test_operators.py
+++ b/tests/settings/test_operators.py
@@ -10,7 +10,7 @@
 
 from flintshift.settings import units
 from flintshift.settings.operators import FaultsError, parse, read
-from flintshift.settings.options import Operators
+from flintshift.settings.options import OperatorSettings
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -22,11 +22,11 @@
 
 
 def test_the_shipped_file_is_good_and_all_off():
-    assert read(ROOT / "deploy" / "flintshift.yaml") == Operators()
+    assert read(ROOT / "deploy" / "flintshift.yaml") == OperatorSettings()
 
 
 def test_an_empty_file_sets_nothing():
-    assert parse("f.yaml", "", Path()) == parse("f.yaml", "# nothing\n", Path()) == Operators()
+    assert parse("f.yaml", "", Path()) == parse("f.yaml", "# nothing\n", Path()) == OperatorSettings()
 
 
 def test_units_become_base_values_and_folders_stand_beside_the_file():
