--- a/flintshift/benchlink.py
+++ b/flintshift/benchlink.py
@@ -15,25 +15,25 @@
 from flintshift import interface as api
 from flintshift.control import Controller
 from flintshift.settings.platform import (
-    GAUGES,
-    FormError,
-    build,
-    flag,
-    listed,
-    number,
-    present,
-    settings_from,
+    GAUGE_FIELDS,
+    SettingsFormatError,
+    absent_if_zero,
+    build_object,
+    parse_flag,
+    parse_number,
+    parse_settings,
+    split_list,
 )
 
 
-class WireError(FormError):
+class WireError(SettingsFormatError):
     """The input does not follow the format of the wire."""
 
 
 def parse_gauges(text: str) -> api.Gauges:
     """Return the gauges of a ``name:value,...`` list; unknown ones are skipped."""
-    pairs = (part.split(":", 1) for part in listed(text))
-    return api.Gauges(**{GAUGES[name]: number(value) for name, value in pairs if name in GAUGES})
+    pairs = (part.split(":", 1) for part in split_list(text))
+    return api.Gauges(**{GAUGE_FIELDS[name]: parse_number(value) for name, value in pairs if name in GAUGE_FIELDS})
 
 
 OUTCOMES = {
@@ -55,13 +55,13 @@
         {
             "opId": REQUEST_FIELD,
             "tierClass": ("class_name", str),
-            "footprint": ("held_kb", number),
-            "ageMs": ("age_ms", number),
+            "footprint": ("held_kb", parse_number),
+            "ageMs": ("age_ms", parse_number),
             "src": ("caller", int),
-            "team": ("tenant", present(str)),
-            "dupOf": ("repeat_of", present(str)),
-            "againByClient": ("marked_repeat", flag),
-            "expiresInMs": ("patience_ms", present(number)),
+            "team": ("tenant", absent_if_zero(str)),
+            "dupOf": ("repeat_of", absent_if_zero(str)),
+            "againByClient": ("marked_repeat", parse_flag),
+            "expiresInMs": ("patience_ms", absent_if_zero(parse_number)),
             "resource": ("subject", int),
         },
     ),
@@ -70,7 +70,7 @@
         {
             "opId": REQUEST_FIELD,
             "how": ("outcome", OUTCOMES.__getitem__),
-            "timeTakenMs": ("took_ms", number),
+            "timeTakenMs": ("took_ms", parse_number),
         },
     ),
     "DROPPED": (api.CallerDisconnected, {"opId": REQUEST_FIELD}),
@@ -80,10 +80,10 @@
         {
             "opId": REQUEST_FIELD,
             "how": ("outcome", OUTCOMES.__getitem__),
-            "timeTakenMs": ("took_ms", number),
+            "timeTakenMs": ("took_ms", parse_number),
         },
     ),
-    "DRAIN": (api.DrainStarted, {"expiresInMs": ("stops_in_ms", number)}),
+    "DRAIN": (api.DrainStarted, {"expiresInMs": ("stops_in_ms", parse_number)}),
     "DUE": (api.Woken, {"nonce": ("token", str), "telemetry": ("gauges", parse_gauges)}),
 }
 START_EVENT, CRASH_EVENT, SERVER_KEY, SEED_KEY, FAULT_REPLY = "ENLIST", "CRASH_NOW", "serverId", "nonce64", "EXCEPTION"
@@ -155,11 +155,11 @@
                 seed = int(pairs.pop(SEED_KEY))
             except (KeyError, ValueError) as error:
                 raise WireError(f"{START_EVENT} has no whole number as {SEED_KEY}") from error
-            settings = settings_from(pairs)
+            settings = parse_settings(pairs)
             self.classes[server] = {kind.name for kind in settings.classes}
             event = api.Started()
         elif event_name in EVENTS:
-            event = build(*EVENTS[event_name], pairs)
+            event = build_object(*EVENTS[event_name], pairs)
             if server not in self.controllers:
                 raise WireError(f"{event_name} for an instance that was never started: {server}")
             if isinstance(event, api.Arrived) and event.class_name not in self.classes[server]:
@@ -182,7 +182,7 @@
     if line_name != BATCH_START:
         raise WireError(f"expected {BATCH_START}, found {line_name!r}")
     try:
-        return number(parse_pairs(parts)[CLOCK_KEY])
+        return parse_number(parse_pairs(parts)[CLOCK_KEY])
     except (KeyError, ValueError) as error:
         raise WireError(f"{BATCH_START} has no number as {CLOCK_KEY}") from error
 
@@ -204,7 +204,7 @@
                 now_ms, reply_lines = None, []
             else:
                 reply_lines.extend(fleet.handle_line(now_ms, line))
-        except FormError as error:
+        except SettingsFormatError as error:
             raise WireError(f"line {line_number}: {error}") from error
     if now_ms is not None:
         raise WireError("the input ends within a batch")
--- a/flintshift/lifecycle/config.py
+++ b/flintshift/lifecycle/config.py
@@ -14,7 +14,7 @@
 from flintshift.core.limits import Limits
 from flintshift.lifecycle.start_retry import WAIT_S, StartRetry
 from flintshift.settings.options import Address, OperatorSettings
-from flintshift.settings.platform import GAUGES, FormError, flat, settings_from
+from flintshift.settings.platform import GAUGE_FIELDS, SettingsFormatError, flatten, parse_settings
 from flintshift.settings.shape import fault
 from flintshift.settings.units import address
 from flintshift.wire.failures import is_transient
@@ -118,14 +118,14 @@
         wrong = fault(told)
         if wrong is not None:
             raise ConfigError(f"{path}: {wrong}")
-        pairs = flat(told["settings"])
+        pairs = flatten(told["settings"])
         asked = told.get("limits", {})
         limits = Limits(
             memory_mb=int(asked.get("memory_mb", Limits().memory_mb)),
             sockets=int(asked.get("sockets", Limits().sockets)),
             stop_ms=float(told["stop_ms"]),
         )
-        settings = settings_from(pairs)
+        settings = parse_settings(pairs)
         door, vault = told.get("control") or control, told.get("vault")
         return Config(
             name=str(told["name"]),
@@ -137,13 +137,13 @@
             seed=int(str(told["seed"]), 16),
             settings=settings,
             limits=replace(limits, max_key_result_bytes=limits.memory_mb * (1 << 20) // 6),
-            gauge_names=[GAUGES.get(name) for name in pairs.get("familyInfo.gauges", "").split(",")],
+            gauge_names=[GAUGE_FIELDS.get(name) for name in pairs.get("familyInfo.gauges", "").split(",")],
             operators=operators,
             told=told,
         )
     except KeyError as error:
         raise ConfigError(f"{path}: {error.args[0]} is missing") from error
-    except (ValueError, TypeError, AttributeError, FormError) as error:
+    except (ValueError, TypeError, AttributeError, SettingsFormatError) as error:
         raise ConfigError(f"{path}: {' '.join(str(error).split())}") from error
 
 
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -16,7 +16,7 @@
 from flintshift.core.limits import Limits
 from flintshift.core.mailbox import Mailbox
 from flintshift.interface import Outcome
-from flintshift.settings.platform import flat
+from flintshift.settings.platform import flatten
 from flintshift.settings.units import address
 from flintshift.wire import uwsgi
 from flintshift.wire.fields import RequestError
@@ -275,8 +275,8 @@
 
 def test_nested_settings_are_flattened_to_the_simulators_pairs():
     settings = {"a": {"b": [1, True, "x"], "c": [{"d": 0.5}, {"d": False}]}, "e": []}
-    assert flat(settings) == {"a.b": "1,true,x", "a.c.count": "2", "a.c.0.d": "0.5", "a.c.1.d": "false", "e": ""}
-    assert benchlink.listed(flat({"e": []})["e"]) == []
+    assert flatten(settings) == {"a.b": "1,true,x", "a.c.count": "2", "a.c.0.d": "0.5", "a.c.1.d": "false", "e": ""}
+    assert benchlink.split_list(flatten({"e": []})["e"]) == []
 
 
 @pytest.mark.parametrize(("marked_repeat", "verdict"), [(False, Verdict.REFUSED), (True, Verdict.FAILED)])
--- a/tests/wire/front_harness.py
+++ b/tests/wire/front_harness.py
@@ -15,7 +15,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.core.ports import ServingStatus
-from flintshift.settings.platform import flat, settings_from
+from flintshift.settings.platform import flatten, parse_settings
 from flintshift.wire.acceptor import Acceptor, open_listener
 from flintshift.wire.fields import AttemptBuilder
 from flintshift.wire.http_front import HttpFront
@@ -57,7 +57,7 @@
 
     def __init__(self, **limits: float) -> None:
         self.limits, self.counters, self.decisions = Limits(**limits), Counters(), ScriptedDecisions()
-        attempt_builder = AttemptBuilder(Catalogue(settings_from(flat(SETTINGS)), self.limits), self.limits, now_ms)
+        attempt_builder = AttemptBuilder(Catalogue(parse_settings(flatten(SETTINGS)), self.limits), self.limits, now_ms)
         self.front = HttpFront(attempt_builder, self.decisions, self.limits, self.counters, now_ms, 100, None)
 
     async def __aenter__(self):
