--- a/flintshift/lifecycle/config.py
+++ b/flintshift/lifecycle/config.py
@@ -15,7 +15,7 @@
 from flintshift.lifecycle.start_retry import WAIT_S, StartRetry
 from flintshift.settings.options import Address, OperatorSettings
 from flintshift.settings.platform import GAUGE_FIELDS, SettingsFormatError, flatten, parse_settings
-from flintshift.settings.shape import fault
+from flintshift.settings.platform_schema import first_fault
 from flintshift.settings.units import address
 from flintshift.wire.failures import is_transient
 
@@ -115,7 +115,7 @@
     """A configuration of the platform's form, as JSON read it; ``path`` is for the words of faults, and ``control``
     the address of the control door where the file names none."""
     try:
-        wrong = fault(told)
+        wrong = first_fault(told)
         if wrong is not None:
             raise ConfigError(f"{path}: {wrong}")
         pairs = flatten(told["settings"])
--- a/flintshift/lifecycle/reconfiguration.py
+++ b/flintshift/lifecycle/reconfiguration.py
@@ -11,7 +11,7 @@
 from flintshift.core.ports import Log
 from flintshift.interface import Settings
 from flintshift.lifecycle.config import Config, ConfigError, TornError, UnreadableError
-from flintshift.settings.shape import lost
+from flintshift.settings.platform_schema import missing_key
 from flintshift.wire.names import NameService
 from flintshift.wire.pool import PoolLink
 from flintshift.wire.vault import VaultLink
@@ -83,7 +83,7 @@
         Raises:
             ConfigError: they can't be taken, and nothing of them was.
         """
-        missing = lost(config.told, before.told)
+        missing = missing_key(config.told, before.told)
         if missing is not None:
             raise ConfigError(missing)
         for follower in self.followers:
--- a/flintshift/settings/shape.py
+++ b/flintshift/settings/platform_schema.py
@@ -130,14 +130,14 @@
 BY_CLASS = ("settings.familyInfo.callsByClass", "settings.familyInfo.classSkipWorth")
 
 
-def fault(told: Any) -> str | None:
+def first_fault(told: Any) -> str | None:
     """The first fault of a file, as ``PATH: what is wrong``; None when it can be read."""
     if (wrong := _table(told)) is not None:
         return f"the file: {wrong}"
     return next(_faults(told), None)
 
 
-def lost(told: Any, before: Any, path: str = "") -> str | None:
+def missing_key(told: Any, before: Any, path: str = "") -> str | None:
     """A key that stood in the file before and does not stand in this one: it may have been cut. The entries of lists
     come and go."""
     if isinstance(before, dict) and isinstance(told, dict):
@@ -145,7 +145,7 @@
             inner = f"{path}.{key}" if path else key
             if key not in told:
                 return f"{inner} is missing; the configuration in use has it"
-            if (found := lost(told[key], value, inner)) is not None:
+            if (found := missing_key(told[key], value, inner)) is not None:
                 return found
     return None
 
--- a/tests/settings/test_shape.py
+++ b/tests/settings/test_platform_schema.py
@@ -13,7 +13,7 @@
 from flintshift.lifecycle.config import ConfigError, made
 from flintshift.settings.embedded import configuration
 from flintshift.settings.operators import OperatorSettings
-from flintshift.settings.shape import fault, lost
+from flintshift.settings.platform_schema import first_fault, missing_key
 
 NONE = object()
 
@@ -130,16 +130,16 @@
             told = json.loads(whole[:size])
         except ValueError:
             continue
-        assert fault(told) is not None
+        assert first_fault(told) is not None
 
 
 def test_a_key_that_the_configuration_in_use_has_may_not_go_but_entries_of_lists_may():
     before = configuration()
-    assert lost(configuration(), before) is None
-    assert lost(changed("settings.overShareWorth", 0.5), before) is None
+    assert missing_key(configuration(), before) is None
+    assert missing_key(changed("settings.overShareWorth", 0.5), before) is None
     for path in ("limits.sockets", "settings.familyInfo.idleMs", "settings.limits.retryAfter", "settings.tenants"):
-        assert lost(changed(path, NONE), before) == f"{path} is missing; the configuration in use has it"
-    assert lost(changed("settings.tenants", before["settings"]["tenants"][:1]), before) is None
+        assert missing_key(changed(path, NONE), before) == f"{path} is missing; the configuration in use has it"
+    assert missing_key(changed("settings.tenants", before["settings"]["tenants"][:1]), before) is None
 
 
 def test_a_dropped_class_is_taken_a_while_then_known_for_its_window_then_forgotten():
