--- a/flintshift/cli/control.py
+++ b/flintshift/cli/control.py
@@ -14,7 +14,7 @@
 WITHIN_S = 2.0  # a node answers within 1 s
 
 
-def address(at: str | None) -> str:
+def parse_address(at: str | None) -> str:
     """Where the door is: as named, or by LB_CONTROL, or by the file that LB_CONFIG names."""
     found = at or os.environ.get("LB_CONTROL")
     path = os.environ.get("LB_CONFIG")
@@ -27,7 +27,7 @@
     if not found:
         raise click.UsageError("name the control address by --at HOST:PORT, LB_CONTROL or LB_CONFIG")
     try:
-        host, port = units.address(str(found))
+        host, port = units.parse_address(str(found))
     except ValueError as error:
         raise click.UsageError(str(error)) from error
     return f"{host}:{port}" if ":" not in host else f"[{host}]:{port}"
@@ -36,7 +36,7 @@
 def call(at: str | None, method: str, name: str) -> None:
     import httpx
 
-    url = f"http://{address(at)}/control/{name}"
+    url = f"http://{parse_address(at)}/control/{name}"
     try:
         reply = httpx.request(method, url, timeout=WITHIN_S, trust_env=False)
     except httpx.HTTPError as error:
--- a/flintshift/lifecycle/config.py
+++ b/flintshift/lifecycle/config.py
@@ -16,7 +16,7 @@
 from flintshift.settings.options import Address, OperatorSettings
 from flintshift.settings.platform import GAUGE_FIELDS, SettingsFormatError, flatten, parse_settings
 from flintshift.settings.platform_schema import first_fault
-from flintshift.settings.units import address
+from flintshift.settings.units import parse_address
 from flintshift.wire.failures import is_transient
 
 SETTLED_S = 1.0  # a file that has not changed for so long is not being written
@@ -129,11 +129,11 @@
         door, vault = told.get("control") or control, told.get("vault")
         return Config(
             name=str(told["name"]),
-            listen=address(told["listen"]),
-            control=address(door) if door else None,
-            pool=address(told["pool"]),
-            naming=address(told["naming"]),
-            vault=address(vault) if vault else None,
+            listen=parse_address(told["listen"]),
+            control=parse_address(door) if door else None,
+            pool=parse_address(told["pool"]),
+            naming=parse_address(told["naming"]),
+            vault=parse_address(vault) if vault else None,
             seed=int(str(told["seed"]), 16),
             settings=settings,
             limits=replace(limits, max_key_result_bytes=limits.memory_mb * (1 << 20) // 6),
--- a/flintshift/settings/operators.py
+++ b/flintshift/settings/operators.py
@@ -64,7 +64,7 @@
 
 
 def times(least: str, most: str) -> AfterValidator:
-    return within(units.duration_ms(least), units.duration_ms(most), units.written_ms)
+    return within(units.duration_ms(least), units.duration_ms(most), units.format_duration)
 
 
 def sizes(least: str, most: str) -> AfterValidator:
@@ -81,13 +81,13 @@
     parts = urlsplit(value)
     if parts.scheme != "http" or not parts.hostname:
         raise ValueError("expected http://host:port/path")
-    units.loopback(f"{parts.hostname}:{parts.port or 80}")
+    units.parse_loopback_address(f"{parts.hostname}:{parts.port or 80}")
     return value.rstrip("/")
 
 
 Duration = Annotated[float, BeforeValidator(units.duration_ms)]
 Size = Annotated[int, BeforeValidator(units.size_bytes)]
-Address = Annotated[tuple[str, int], BeforeValidator(units.loopback)]
+Address = Annotated[tuple[str, int], BeforeValidator(units.parse_loopback_address)]
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9_]([A-Za-z0-9_.-]{0,250}[A-Za-z0-9_.])?$")]
 
 
@@ -247,7 +247,7 @@
         found.append(
             (
                 "usage.sync",
-                f"expected at most {units.written_ms(SYNC_HELD_MS)} with durability power-cut, "
+                f"expected at most {units.format_duration(SYNC_HELD_MS)} with durability power-cut, "
                 "where answers wait for it",
             )
         )
--- a/flintshift/settings/platform_schema.py
+++ b/flintshift/settings/platform_schema.py
@@ -10,7 +10,7 @@
 from math import isfinite
 from typing import Any
 
-from flintshift.settings.units import address
+from flintshift.settings.units import parse_address
 
 Check = Callable[[Any], str | None]
 
@@ -60,7 +60,7 @@
 
 def _address(value: Any) -> str | None:
     try:
-        address(value if isinstance(value, str) else "")
+        parse_address(value if isinstance(value, str) else "")
     except ValueError:
         return f"{_shown(value)} is not host:port"
     return None
--- a/flintshift/settings/units.py
+++ b/flintshift/settings/units.py
@@ -48,9 +48,9 @@
     return found
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """
-    >>> address("10.0.0.4:5050")
+    >>> parse_address("10.0.0.4:5050")
     ('10.0.0.4', 5050)
     """
     host, found, port = text.rpartition(":")
@@ -59,17 +59,17 @@
     return host.strip("[]"), int(port)
 
 
-def loopback(value: object) -> tuple[str, int]:
+def parse_loopback_address(value: object) -> tuple[str, int]:
     """An address on this machine.
 
-    >>> loopback("127.0.0.1:3031")
+    >>> parse_loopback_address("127.0.0.1:3031")
     ('127.0.0.1', 3031)
     """
     wanted = "expected host:port with a loopback host, such as 127.0.0.1:3031"
     if not isinstance(value, str):
         raise ValueError(wanted)
     try:
-        host, port = address(value)
+        host, port = parse_address(value)
         known = ipaddress.ip_address(host)
     except ValueError:
         raise ValueError(wanted) from None
@@ -78,10 +78,10 @@
     return str(known), port
 
 
-def written_ms(ms: float) -> str:
+def format_duration(ms: float) -> str:
     """A duration in the largest unit that writes it without a fraction.
 
-    >>> written_ms(90_000), written_ms(86_400_000), written_ms(0.5)
+    >>> format_duration(90_000), format_duration(86_400_000), format_duration(0.5)
     ('90s', '1d', '0.5ms')
     """
     for unit, size in reversed(TIMES_MS.items()):
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -17,7 +17,7 @@
 from flintshift.core.mailbox import Mailbox
 from flintshift.interface import Outcome
 from flintshift.settings.platform import flatten
-from flintshift.settings.units import address
+from flintshift.settings.units import parse_address
 from flintshift.wire import uwsgi
 from flintshift.wire.fields import RequestError
 from flintshift.wire.outcomes import OUTCOMES
@@ -267,10 +267,10 @@
 )
 def test_addresses_are_parsed_or_rejected(text, expected):
     if expected:
-        assert address(text) == expected
+        assert parse_address(text) == expected
     else:
         with pytest.raises(ValueError, match="host:port"):
-            address(text)
+            parse_address(text)
 
 
 def test_nested_settings_are_flattened_to_the_simulators_pairs():
