--- a/flintshift/cli/main.py
+++ b/flintshift/cli/main.py
@@ -63,10 +63,10 @@
     """Check an operators' FILE: every fault at once, each with file, line, column, path and what was expected."""
     from dataclasses import asdict, fields
 
-    from flintshift.settings.operators import FaultsError, read
+    from flintshift.settings.operators import FaultsError, read_operators_file
 
     try:
-        told = read(file)
+        told = read_operators_file(file)
     except FaultsError as error:
         if as_json:
             click.echo(json.dumps([asdict(fault) for fault in error.faults]))
--- a/flintshift/cli/usage.py
+++ b/flintshift/cli/usage.py
@@ -47,10 +47,10 @@
             raise click.UsageError("name the ledger by --folder FOLDER or --settings FILE")
         options = None
         if settings is not None:
-            from flintshift.settings.operators import FaultsError, read
+            from flintshift.settings.operators import FaultsError, read_operators_file
 
             try:
-                options = read(settings).usage
+                options = read_operators_file(settings).usage
             except FaultsError as error:
                 fail(str(error), 2)
             if options is None and folder is None:
--- a/flintshift/lifecycle/config.py
+++ b/flintshift/lifecycle/config.py
@@ -151,10 +151,10 @@
     """The operators' file; all parts are off where none is named, and no reader of YAML is imported."""
     if path is None:
         return OperatorSettings()
-    from flintshift.settings.operators import FaultsError, read
+    from flintshift.settings.operators import FaultsError, read_operators_file
 
     try:
-        return read(path)
+        return read_operators_file(path)
     except FaultsError as error:
         if isinstance(error.__cause__, OSError) and is_transient(error.__cause__):
             raise UnreadableError(str(path), error.__cause__) from error
--- a/flintshift/settings/operators.py
+++ b/flintshift/settings/operators.py
@@ -1,6 +1,6 @@
 """The operators' file: YAML 1.2, checked against a typed model; every fault at once, with its line.
 
-Read it with ``read(path)``; ``FaultsError`` carries what was wrong.  The model's fields are the file's keys
+Read it with ``read_operators_file(path)``; ``FaultsError`` carries what was wrong.  The model's fields are the file's keys
 with ``-`` for ``_``, and hold defaults and ranges: ``docs/operate/settings.md`` tells them for people.
 """
 
@@ -190,13 +190,13 @@
     startup: StartupPart = StartupPart()
 
 
-def read(path: Path) -> OperatorSettings:
+def read_operators_file(path: Path) -> OperatorSettings:
     """The file's settings.
 
     Raises:
         FaultsError: it can't be read, is no YAML, or does not fit the model.
     """
-    return parse(str(path), _text(path), path.parent)
+    return parse_operators_file(str(path), _text(path), path.parent)
 
 
 def _text(path: Path) -> str:
@@ -207,7 +207,7 @@
         raise FaultsError([Fault(str(path), 0, 0, "", f"can't be read: {text}")]) from error
 
 
-def parse(name: str, text: str, base: Path) -> OperatorSettings:
+def parse_operators_file(name: str, text: str, base: Path) -> OperatorSettings:
     """Settings from a text; relative folders in it are taken from ``base``."""
     reader = YAML(typ="rt", pure=True)
     try:
--- a/tests/settings/test_operators.py
+++ b/tests/settings/test_operators.py
@@ -9,7 +9,7 @@
 import pytest
 
 from flintshift.settings import units
-from flintshift.settings.operators import FaultsError, parse, read
+from flintshift.settings.operators import FaultsError, parse_operators_file, read_operators_file
 from flintshift.settings.options import OperatorSettings
 
 ROOT = Path(__file__).parent.parent.parent
@@ -17,20 +17,24 @@
 
 def faults(text: str) -> list[str]:
     with pytest.raises(FaultsError) as caught:
-        parse("f.yaml", text, Path("/srv"))
+        parse_operators_file("f.yaml", text, Path("/srv"))
     return list(map(str, caught.value.faults))
 
 
 def test_the_shipped_file_is_good_and_all_off():
-    assert read(ROOT / "deploy" / "flintshift.yaml") == OperatorSettings()
+    assert read_operators_file(ROOT / "deploy" / "flintshift.yaml") == OperatorSettings()
 
 
 def test_an_empty_file_sets_nothing():
-    assert parse("f.yaml", "", Path()) == parse("f.yaml", "# nothing\n", Path()) == OperatorSettings()
+    assert (
+        parse_operators_file("f.yaml", "", Path())
+        == parse_operators_file("f.yaml", "# nothing\n", Path())
+        == OperatorSettings()
+    )
 
 
 def test_units_become_base_values_and_folders_stand_beside_the_file():
-    usage = parse(
+    usage = parse_operators_file(
         "f.yaml", "usage: {enabled: true, folder: u, period: 1.5h, sync: 10ms, segment: 64kB}", Path("/srv")
     ).usage
     assert usage is not None
@@ -53,7 +57,7 @@
     ],
 )
 def test_the_sync_follows_the_durability_unless_it_is_given(text, sync_ms):
-    usage = parse("f.yaml", f"usage: {{enabled: true{text}}}", Path()).usage
+    usage = parse_operators_file("f.yaml", f"usage: {{enabled: true{text}}}", Path()).usage
     assert usage is not None and usage.sync_ms == sync_ms
 
 
@@ -109,10 +113,10 @@
 
 def test_a_file_that_cannot_be_read_is_named(tmp_path):
     with pytest.raises(FaultsError, match=r"none\.yaml: can't be read: No such file"):
-        read(tmp_path / "none.yaml")
+        read_operators_file(tmp_path / "none.yaml")
     (tmp_path / "latin.yaml").write_bytes(b"\xff\xfe\xff")
     with pytest.raises(FaultsError, match="can't be read"):
-        read(tmp_path / "latin.yaml")
+        read_operators_file(tmp_path / "latin.yaml")
 
 
 @pytest.mark.parametrize(("text", "ms"), [("28s", 28_000), ("10ms", 10), ("1.5 min", 90_000), ("31d", 2_678_400_000)])
@@ -187,6 +191,8 @@
 
 
 def test_peers_and_copies_become_options():
-    told = parse("f.yaml", f"peers: {{enabled: true, {MEMBERS}}}\ncopies: {{enabled: true, copies: 2}}", Path("/srv"))
+    told = parse_operators_file(
+        "f.yaml", f"peers: {{enabled: true, {MEMBERS}}}\ncopies: {{enabled: true, copies: 2}}", Path("/srv")
+    )
     assert told.peers is not None and told.peers.members["n2"] == ("b", ("127.0.0.1", 2))
     assert told.copies is not None and told.copies.folder == Path("/srv/copies")
