--- a/flintshift/cli/control.py
+++ b/flintshift/cli/control.py
@@ -14,7 +14,7 @@
 WITHIN_S = 2.0  # a node answers within 1 s
 
 
-def parse_address(at: str | None) -> str:
+def address(at: str | None) -> str:
     """Where the door is: as named, or by LB_CONTROL, or by the file that LB_CONFIG names."""
     found = at or os.environ.get("LB_CONTROL")
     path = os.environ.get("LB_CONFIG")
@@ -36,7 +36,7 @@
 def call(at: str | None, method: str, name: str) -> None:
     import httpx
 
-    url = f"http://{parse_address(at)}/control/{name}"
+    url = f"http://{address(at)}/control/{name}"
     try:
         reply = httpx.request(method, url, timeout=WITHIN_S, trust_env=False)
     except httpx.HTTPError as error:
--- a/flintshift/lifecycle/config.py
+++ b/flintshift/lifecycle/config.py
@@ -50,7 +50,7 @@
     settings: api.Settings
     gauge_names: list[str | None]
     limits: Limits
-    operators: Operators
+    operators: OperatorSettings
     told: dict[str, Any]  # the file, as JSON read it
 
 
