--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -74,7 +74,7 @@
 
 
 def test_settings_reach_the_interface_and_unknown_keys_are_skipped():
-    settings = benchlink.settings_from(dict(PAIRS))
+    settings = benchlink.parse_settings(dict(PAIRS))
     peek, book = settings.classes
     assert (peek.aim_ms, peek.effect, peek.skip_worth, peek.calls) == (900.0, api.Effect.SAFE, 0.4, True)
     assert (book.repeat_window_ms, book.effect, book.calls) == (7000.0, api.Effect.KEYED, False)
