--- a/flintshift/fair_queueing/__init__.py
+++ b/flintshift/fair_queueing/__init__.py
@@ -1,1 +1,1 @@
-"""Fair queues at the door: which club and caller is how far past its share. The heart is ``fair_queue.py``, without I/O."""
+"""Fair queues by club and, within a club, by caller. ``fair_queue.py`` has the algorithm; the package does no I/O."""
--- a/flintshift/fair_queueing/messages.py
+++ b/flintshift/fair_queueing/messages.py
@@ -1,6 +1,7 @@
-"""Events and actions of the fair queues. Times and costs are milliseconds; a cost is time on a core.
+"""Events and actions of the fair queues. Times and costs are in milliseconds; a cost is time on a core.
 
-What comes with each request is not frozen: that would cost more to make than the door takes to hear it.
+The events of single requests are not frozen dataclasses: a frozen one would cost more to create than the fair queue
+takes to handle it.
 """
 
 from __future__ import annotations
@@ -11,42 +12,42 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A request is on its way to the decisions."""
+    """A request is handed to the decisions."""
 
     request: str
     club: str | None
     caller: int
     class_name: str
-    marked_repeat: bool = False  # it is marked as a further try
+    marked_repeat: bool = False  # its caller marked it as a further try
 
 
 @dataclass(slots=True)
 class RunStarted:
-    """Its run has begun."""
+    """The run of a request has started."""
 
     request: str
 
 
 @dataclass(slots=True)
 class RequestWithdrawn:
-    """It is over and never ran: its caller went, or another's result answered it."""
+    """A request ended without a run: its caller disconnected, or the result of another request answered it."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRejected:
-    """It was refused, and is told when to come back: answered by the time."""
+    """A request is rejected; the fair queue answers with the time after which its caller may retry."""
 
     request: str
-    min_wait_ms: float  # that the decisions ask for: a node in trouble has no room sooner
-    max_wait_ms: float  # the longest that may be told
+    min_wait_ms: float  # the decisions ask for it: an unhealthy node has no capacity sooner
+    max_wait_ms: float  # the longest wait that a caller may be given
     jitter: float  # from 0 to 1, random
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAfter:
-    """The time after which there is room for it; it is kept free, unless this is not reserved."""
+    """The wait after which a rejected request may be retried, and whether capacity is reserved for it then."""
 
     wait_ms: float
     reserved: bool
@@ -54,7 +55,7 @@
 
 @dataclass(slots=True)
 class RunEnded:
-    """Its run has ended after so long on a core."""
+    """The run of a request has ended after ``took_ms`` on a core."""
 
     request: str
     took_ms: float
@@ -62,59 +63,68 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueSettings:
-    """From now on the clubs have these weights, above 0, and the node so many cores. Clubs that are not named share the
-    least weight of those that are, as one."""
+    """The weights of the clubs, above 0, and the number of the node's cores; as an event, it replaces earlier ones.
+
+    Clubs without a weight count as one club with the smallest weight given.
+    """
 
     weights: Mapping[str, float]
     cores: int
-    initial_cost_ms: Mapping[str, float]  # what a class is taken to cost before one of it has run; others are forgotten
-    repeats_marked: bool  # further tries are marked, so no other comes at a time that was told
+    initial_cost_ms: Mapping[str, float]  # by class, until one of its runs has ended; other classes are forgotten
+    repeats_marked: bool  # callers mark further tries, so an unmarked request never claims a reservation
 
 
 Event = RequestArrived | RunStarted | RequestWithdrawn | RequestRejected | RunEnded | QueueSettings
 Action = RetryAfter
 
 
-# What is told of surges.
+# Reports of the overload detector.
 
 
 @dataclass(frozen=True, slots=True)
 class OverloadStarted:
-    """A club asks for so many demand_ratio its share, and so many of its requests were turned away in the last second."""
+    """A club demands ``demand_ratio`` times its share, and requests of it were rejected in the last second."""
 
     club: str | None
     demand_ratio: float
-    turned_away: int
+    rejected: int
 
 
 @dataclass(frozen=True, slots=True)
 class OverloadContinued:
+    """A club's overload, reported before, still lasts."""
+
     club: str | None
-    duration_ms: float
-    demand_ratio: float  # now
-    turned_away: int  # since it began
+    duration_ms: float  # so far
+    demand_ratio: float  # in the last window
+    rejected: int  # since the overload started
 
 
 @dataclass(frozen=True, slots=True)
 class OverloadEnded:
+    """A club's overload has ended."""
+
     club: str | None
     duration_ms: float
     peak_demand_ratio: float
-    turned_away: int
+    rejected: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClubStatus:
-    """A club as it stands now. Times are at its share, but for ``served_ms``: on cores, since the start."""
+    """The state of one club, for operators. Times are at the club's share, except ``served_ms``.
+
+    The fields are written out under their own names.
+    """
 
     club: str | None
-    cores: float  # its share of them
-    served_ms: float
-    ahead_ms: float  # was served past the club that was served least of those that wait
-    waiting: int
+    cores: float  # the club's share of them
+    served_ms: float  # time on cores since the start
+    ahead_ms: float  # how far it was served past the waiting club that was served least
+    waiting: int  # requests
     waiting_ms: float
-    callers: int  # known by number
-    promised: int  # places that are kept
+    callers: int  # tracked one by one
+    promised: int  # open reservations
     asked: int  # requests since the start
-    turned_away: int  # of these
-    not_paid: int  # further tries that first ones did not pay for
+    turned_away: int  # of these, rejected
+    not_paid: int  # of these, further tries that exceeded the retry budget
--- a/tests/fair_queueing/test_overload.py
+++ b/tests/fair_queueing/test_overload.py
@@ -67,8 +67,8 @@
     for number in range(1000):
         clubs.surges.record_arrival(f"made up {number}", 10.0)
         clubs.surges.record_rejection(f"made up {number}")
-    assert len(clubs.surges.counts) == 1
+    assert len(clubs.surges.demands) == 1
     assert clubs.second() == [OverloadStarted(None, 10.0, 1000)]
     clubs.second(3.0, 1)
     assert clubs.surges.set_weights(clubs.now + 500.0, {"b": 2.0}) == [OverloadEnded("a", 500.0, 3.0, 1)]
-    assert set(clubs.surges.counts) == {None}
+    assert set(clubs.surges.demands) == {None}
