--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -113,17 +113,17 @@
 def test_event_round_trip(event_type):
     line, expected = EVENT_LINES[event_type]
     event_name, *parts = line.split("\t")
-    assert benchlink.build(*benchlink.EVENTS[event_name], benchlink.parse_pairs(parts)) == expected
+    assert benchlink.build_object(*benchlink.EVENTS[event_name], benchlink.parse_pairs(parts)) == expected
 
 
 def test_a_gauge_that_is_not_sent_is_absent_not_zero():
-    woken = benchlink.build(*benchlink.EVENTS["DUE"], benchlink.parse_pairs(["nonce=t", "telemetry=cpu_busy:0.5"]))
+    woken = benchlink.build_object(*benchlink.EVENTS["DUE"], benchlink.parse_pairs(["nonce=t", "telemetry=cpu_busy:0.5"]))
     assert woken.gauges == api.Gauges(busy=0.5, run_queue=None, memory=None, connections=None)
 
 
 def test_zero_means_absent_where_the_wire_defines_it():
     parts = query_line("a", dupOf="0", team="0").split("\t")[2:]
-    event = benchlink.build(*benchlink.EVENTS["QUERY"], benchlink.parse_pairs(parts))
+    event = benchlink.build_object(*benchlink.EVENTS["QUERY"], benchlink.parse_pairs(parts))
     assert event.repeat_of is None and event.tenant is None and event.patience_ms is None
 
 
