--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -117,7 +117,9 @@
 
 
 def test_a_gauge_that_is_not_sent_is_absent_not_zero():
-    woken = benchlink.build_object(*benchlink.EVENTS["DUE"], benchlink.parse_pairs(["nonce=t", "telemetry=cpu_busy:0.5"]))
+    woken = benchlink.build_object(
+        *benchlink.EVENTS["DUE"], benchlink.parse_pairs(["nonce=t", "telemetry=cpu_busy:0.5"])
+    )
     assert woken.gauges == api.Gauges(busy=0.5, run_queue=None, memory=None, connections=None)
 
 
