--- a/flintshift/settings/platform.py
+++ b/flintshift/settings/platform.py
@@ -1,7 +1,7 @@
-"""The platform's settings: the object that a node is told at its start, read by tables.
+"""Parses the platform's settings, which a node receives at its start, by tables of their paths.
 
-The same names and units stand in the simulator's first message and in the file that ``LB_CONFIG`` names, so
-that both adapters read them here.  Settings that no table knows are skipped.
+The simulator's first message and the file that ``LB_CONFIG`` names use the same names and units, so both adapters parse
+them here. Settings that no table has are skipped.
 """
 
 from __future__ import annotations
@@ -15,10 +15,11 @@
 
 
 class SettingsFormatError(Exception):
-    """What was told does not follow the platform's form; the text says where."""
+    """The settings don't follow the platform's format; the text says where."""
 
 
 def parse_number(text: str) -> float:
+    """Return a finite number."""
     value = float(text)
     if not isfinite(value):
         raise ValueError(text)
@@ -26,7 +27,7 @@
 
 
 def parse_count(text: str) -> int:
-    """A whole parse_number, however JSON wrote it: 6 or 6.0."""
+    """Return a whole number, which JSON may write as 6 or 6.0."""
     value = parse_number(text)
     if value != int(value):
         raise ValueError(text)
@@ -34,15 +35,17 @@
 
 
 def parse_flag(text: str) -> bool:
+    """Return a truth value, which may be written as 1 or true, 0 or false."""
     return {"1": True, "0": False, "true": True, "false": False}[text]
 
 
 def split_list(text: str) -> list[str]:
+    """Return the items of a comma-separated list; an empty text has none."""
     return text.split(",") if text else []
 
 
 def absent_if_zero(convert: Callable[[str], Any]) -> Callable[[str], Any]:
-    """For fields in which 0 or nothing stands for absent."""
+    """Wrap a parser for fields in which 0 or an empty text means absent."""
     return lambda text: None if text in ("", "0", "0.0") else convert(text)
 
 
@@ -56,8 +59,8 @@
 EFFECTS = {"safe": api.Effect.SAFE, "keyed": api.Effect.KEYED, "unsafe": api.Effect.UNSAFE}
 HALTS = {"none": api.Halt.NONE, "abort": api.Halt.ABORT, "suspend": api.Halt.SUSPEND}
 
-# Settings: the path on the wire, the field of the interface and its form.
-SETTINGS: dict[str, tuple[str, Callable[[str], Any]]] = {
+# By path on the wire: the field of ``interface.Settings`` and its parser.
+SETTINGS_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "familyInfo.nCores": ("cores", parse_count),
     "familyInfo.ramKb": ("memory_kb", parse_number),
     "familyInfo.runFactor": ("run_factor", parse_number),
@@ -84,8 +87,8 @@
     "overShareWorth": ("over_share_worth", parse_number),
     "worthBy": ("worth_by_work", {"work": True, "request": False}.__getitem__),
 }
-CLASS_LIST = "classes"
-CLASS: dict[str, tuple[str, Callable[[str], Any]]] = {
+CLASS_LIST_PATH = "classes"
+CLASS_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "name": ("name", str),
     "onTimeMs": ("aim_ms", parse_number),
     "deadlineMs": ("deadline_ms", parse_number),
@@ -94,68 +97,75 @@
     "lateWorth": ("late_worth", parse_number),
     "repeatWindowMs": ("repeat_window_ms", parse_number),
 }
-# Lists with one value a class: the path, the field of the class and its form.
-BY_CLASS = {
+# Lists with one value per class. By path: the field of the class and its parser.
+PER_CLASS_LISTS = {
     "familyInfo.classSkipWorth": ("skip_worth", parse_number),
     "familyInfo.callsByClass": ("calls", parse_flag),
 }
-TENANT_LIST = "tenants"
-TENANT: dict[str, tuple[str, Callable[[str], Any]]] = {
+TENANT_LIST_PATH = "tenants"
+TENANT_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "name": ("name", str),
     "quotaPerS": ("quota_per_s", parse_number),
 }
 
 
 def build_object(
-    kind: type, table: dict[str, tuple[str, Callable[[str], Any]]], pairs: dict[str, str], **given: Any
+    object_type: type, table: dict[str, tuple[str, Callable[[str], Any]]], pairs: dict[str, str], **values: Any
 ) -> Any:
-    """Make an interface object from the pairs a table knows; unknown pairs are skipped."""
+    """Create an interface object from the pairs that a table has; unknown pairs are skipped."""
     for key, (name, convert) in table.items():
         if key in pairs:
             try:
-                given[name] = convert(pairs[key])
+                values[name] = convert(pairs[key])
             except (KeyError, ValueError) as error:
                 raise SettingsFormatError(f"bad value for {key}: {pairs[key]!r}") from error
-    for field in fields(kind):
-        if field.name not in given and field.default is MISSING and field.default_factory is MISSING:
-            names = {to: key for key, (to, _) in table.items()}
-            raise SettingsFormatError(f"missing {names.get(field.name, field.name)}")
-    return kind(**given)
+    for field in fields(object_type):
+        if field.name not in values and field.default is MISSING and field.default_factory is MISSING:
+            keys = {field_name: key for key, (field_name, _) in table.items()}
+            raise SettingsFormatError(f"missing {keys.get(field.name, field.name)}")
+    return object_type(**values)
 
 
 def build_list(
-    kind: type, table: dict[str, tuple[str, Callable[[str], Any]]], pairs: dict[str, str], path: str
+    object_type: type, table: dict[str, tuple[str, Callable[[str], Any]]], pairs: dict[str, str], path: str
 ) -> list[Any]:
+    """Create the objects of a list, whose length is the pair ``path.count``."""
     try:
         count = int(pairs.get(f"{path}.count", "0"))
     except ValueError as error:
         raise SettingsFormatError(f"bad value for {path}.count: {pairs[f'{path}.count']!r}") from error
     return [
-        build_object(kind, {f"{path}.{index}.{key}": to for key, to in table.items()}, pairs) for index in range(count)
+        build_object(object_type, {f"{path}.{index}.{key}": entry for key, entry in table.items()}, pairs)
+        for index in range(count)
     ]
 
 
 def parse_settings(pairs: dict[str, str]) -> api.Settings:
-    classes = build_list(api.RequestClass, CLASS, pairs, CLASS_LIST)
-    for path, (name, convert) in BY_CLASS.items():
+    """Create the settings of the interface from path=value pairs."""
+    classes = build_list(api.RequestClass, CLASS_FIELDS, pairs, CLASS_LIST_PATH)
+    for path, (name, convert) in PER_CLASS_LISTS.items():
         for request_class, text in zip(classes, split_list(pairs.get(path, "")), strict=False):
             try:
                 setattr(request_class, name, convert(text))
             except (KeyError, ValueError) as error:
                 raise SettingsFormatError(f"bad value for {path}: {pairs[path]!r}") from error
     return build_object(
-        api.Settings, SETTINGS, pairs, classes=classes, tenants=build_list(api.Tenant, TENANT, pairs, TENANT_LIST)
+        api.Settings,
+        SETTINGS_FIELDS,
+        pairs,
+        classes=classes,
+        tenants=build_list(api.Tenant, TENANT_FIELDS, pairs, TENANT_LIST_PATH),
     )
 
 
 def flatten(value: Any, path: str = "") -> dict[str, str]:
-    """Nested settings as the path=value pairs of the simulator's wire, which the module's tables read."""
+    """Return nested settings as path=value pairs, the format of the simulator's wire, which the tables parse."""
     if isinstance(value, dict):
         pairs: dict[str, str] = {}
         for key, inner in value.items():
             pairs |= flatten(inner, f"{path}.{key}" if path else key)
         return pairs
-    if value is None:  # not told
+    if value is None:  # null means that the setting is absent
         return {}
     if isinstance(value, list):
         if any(isinstance(item, dict) for item in value):
@@ -168,4 +178,5 @@
 
 
 def format_value(value: Any) -> str:
+    """Return a value as text; truth values in lower case."""
     return str(value).lower() if isinstance(value, bool) else str(value)
