--- a/flintshift/settings/__init__.py
+++ b/flintshift/settings/__init__.py
@@ -1,1 +1,1 @@
-"""What a node is set to: the platform's settings, and the operators' own file with units and checks."""
+"""Settings of a node: the platform's, and the operators' file with its units and checks."""
--- a/flintshift/settings/embedded.py
+++ b/flintshift/settings/embedded.py
@@ -1,4 +1,4 @@
-"""The embedded default: a platform's configuration for a node on one machine with the stand-ins of ``lab/``."""
+"""The embedded default configuration, for a node on one machine with the stand-ins of ``lab/``."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 def configuration(
     name: str = "node1", ports: dict[str, int] | None = None, cores: int = 2, memory_mb: int = 192
 ) -> dict[str, Any]:
-    """What LB_CONFIG would hold, as JSON reads it; all addresses are of this machine."""
-    at = {what: f"127.0.0.1:{port}" for what, port in {**PORTS, **(ports or {})}.items()}
+    """Return the configuration as the parsed JSON of an LB_CONFIG file; all addresses are on this machine."""
+    addresses = {what: f"127.0.0.1:{port}" for what, port in {**PORTS, **(ports or {})}.items()}
 
-    def kind(name: str, worth: float, effect: str, **more: float) -> dict[str, Any]:
-        return {"name": name, "onTimeMs": 900.0, "deadlineMs": 1500.0, "worth": worth, "effect": effect, **more}
+    def request_class(name: str, worth: float, effect: str, **optional: float) -> dict[str, Any]:
+        return {"name": name, "onTimeMs": 900.0, "deadlineMs": 1500.0, "worth": worth, "effect": effect, **optional}
 
     return {
         "name": name,
         "seed": "8c1f30d27a5be964",
         "stop_ms": 3000.0,
-        **at,
+        **addresses,
         "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": 1024},
         "settings": {
             "classes": [
-                kind("race-results", 1.0, "safe"),
-                kind("standings", 1.0, "safe"),
-                kind("finish-times", 1.0, "safe"),
-                kind("submit-time", 3.0, "keyed", lateWorth=0.2, repeatWindowMs=8000.0),
+                request_class("race-results", 1.0, "safe"),
+                request_class("standings", 1.0, "safe"),
+                request_class("finish-times", 1.0, "safe"),
+                request_class("submit-time", 3.0, "keyed", lateWorth=0.2, repeatWindowMs=8000.0),
             ],
             "familyInfo": {
                 "nCores": cores,
--- a/flintshift/settings/options.py
+++ b/flintshift/settings/options.py
@@ -1,7 +1,7 @@
-"""What the operators' file sets, as the node takes it: plain values in base units (ms, bytes, shares of 1).
+"""The settings of the operators' file as the node uses them: plain values in base units (ms, bytes, shares of 1).
 
-Nothing is read or checked here, so that a node without such a file imports no reader of YAML.  Each part is
-None where it is off.  The reader is ``settings/operators.py``; its model holds the ranges and the defaults.
+The module reads and checks nothing, so that a node without such a file imports no YAML reader. Each section is None
+where it is disabled. ``settings/operators.py`` reads the file; its model has the ranges and the defaults.
 """
 
 from __future__ import annotations
@@ -14,6 +14,8 @@
 
 @dataclass(frozen=True, slots=True)
 class UwsgiOptions:
+    """The uwsgi front and its service discovery over DNS."""
+
     listen: Address
     resolver: Address
     domain: str
@@ -23,33 +25,41 @@
 
 @dataclass(frozen=True, slots=True)
 class LogOptions:
+    """The log: its format, its level and how often it repeats an event."""
+
     format: str  # "json" or "text"
     level: str  # "debug", "info", "warning" or "error"
-    repeat_interval_ms: float  # the same event is written at most so often; 0: each time
+    repeat_interval_ms: float  # the same event is logged at most once in this time; 0: always
 
 
 @dataclass(frozen=True, slots=True)
 class HttpSinkOptions:
+    """An HTTP sink of the usage export."""
+
     url: str
     timeout_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class ExportOptions:
+    """The export of usage documents to a folder, an HTTP sink or both."""
+
     folder: Path | None
     http: HttpSinkOptions | None
-    backoff_ms: float  # the first wait after a failed delivery, doubled up to the most
+    backoff_ms: float  # after the first failed delivery; doubled after each further one
     max_backoff_ms: float
     attempts_per_hour: int
 
 
 @dataclass(frozen=True, slots=True)
 class UsageOptions:
+    """The usage ledger."""
+
     folder: Path
     period_ms: int
-    grace_ms: int  # a period closes so long after its end
+    grace_ms: int  # a period closes this long after its end
     durability: str  # "power-cut", "process-death" or "none"
-    sync_ms: float  # the longest that a record waits for its sync, where there is one
+    sync_ms: float  # the longest time that a record waits for its sync, where records are synced
     on_disk_failure: str  # "serve" or "refuse"
     segment_bytes: int
     retention_ms: int
@@ -58,9 +68,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FairQueueingOptions:
-    """Fair queues by club and caller."""
+    """The fair queues by club and caller."""
 
-    socket: Path | None  # where `flintshift door show` asks
+    socket: Path | None  # `flintshift door show` connects to it
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,15 +78,15 @@
     """The other members of the fleet."""
 
     listen: Address
-    members: dict[str, tuple[str, Address]]  # by name: the hall, and where it listens for members
-    epoch: int  # of this list
+    members: dict[str, tuple[str, Address]]  # by name: the hall, and the address where it listens for members
+    epoch: int  # of this list of members
     heartbeat_ms: float
     lease_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationOptions:
-    """What is held for others on further members."""
+    """The replication of keys and usage ledgers among members."""
 
     folder: Path
     copies: int
@@ -84,20 +94,24 @@
     max_keys: int
     max_bytes: int
     segment_bytes: int
-    takeover_after_ms: float = 60_000.0  # a member's ledger of use is taken over once it has been dead for so long
+    takeover_after_ms: float = (
+        60_000.0  # the usage ledger of a member is taken over once it has been dead for this long
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class StartupOptions:
-    """The start as operators see it."""
+    """The start: its status socket, the detection of crash loops and the limit on concurrent starts."""
 
-    socket: Path | None  # where `flintshift startup status` asks
-    folder: Path | None  # on a disk that lasts: lives are remembered there, and a crash loop is slowed
-    max_concurrent_starts: int | None = None  # so many members of the fleet start at a time; None: all may
+    socket: Path | None  # `flintshift startup status` connects to it
+    folder: Path | None  # on a persistent disk: starts are recorded there, and a crash loop is slowed
+    max_concurrent_starts: int | None = None  # members of the fleet that start at a time; None: any number
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
+    """All sections of the operators' file; None where one is disabled."""
+
     uwsgi: UwsgiOptions | None = None
     log: LogOptions | None = None
     usage: UsageOptions | None = None
