--- a/flintshift/settings/options.py
+++ b/flintshift/settings/options.py
@@ -89,7 +89,7 @@
     """The replication of keys and usage ledgers among members."""
 
     folder: Path
-    copies: int
+    copies: int  # replicas of each key and usage ledger
     durability: str  # "power-cut" or "process-death"
     max_keys: int
     max_bytes: int
--- a/tests/fair_queueing/test_reservations.py
+++ b/tests/fair_queueing/test_reservations.py
@@ -1,4 +1,4 @@
-"""Times to come back: that there is room then, that they are spread, kept in fixed memory and given to nobody else."""
+"""Reserved retry times: capacity is there then, they are spread, take fixed memory and go to nobody else."""
 
 from __future__ import annotations
 
@@ -19,60 +19,60 @@
 
 
 @settings(max_examples=200, deadline=None)
-@given(seed=st.integers(0, 10_000), cost=st.floats(1.0, 200.0), most=st.floats(20.0, 5000.0))
-def test_a_promised_time_lies_within_its_bounds_and_its_slot_is_not_given_away_twice(seed, cost, most):
-    draw, calendar, now, told = random.Random(seed), Calendar(KEY), 0.0, {}
+@given(seed=st.integers(0, 10_000), cost_ms=st.floats(1.0, 200.0), max_wait_ms=st.floats(20.0, 5000.0))
+def test_reserved_time_is_within_bounds_and_slot_is_not_overbooked(seed, cost_ms, max_wait_ms):
+    generator, calendar, now_ms, reserved = random.Random(seed), Calendar(KEY), 0.0, {}
     for caller in range(150):
-        now += draw.random() * 20
-        from_ms = draw.random() * 300
-        wait = calendar.reserve(now, caller, cost, from_ms, most, draw.random())
-        if wait is not None:
-            assert from_ms <= wait <= most
-            told.setdefault(int((now + wait) / 50.0), []).append(cost)
-        assert calendar.entries <= (most / 50 + 3 + LATE_SLOTS) * 65
-    for costs in told.values():
+        now_ms += generator.random() * 20
+        earliest_ms = generator.random() * 300
+        wait_ms = calendar.reserve(now_ms, caller, cost_ms, earliest_ms, max_wait_ms, generator.random())
+        if wait_ms is not None:
+            assert earliest_ms <= wait_ms <= max_wait_ms
+            reserved.setdefault(int((now_ms + wait_ms) / 50.0), []).append(cost_ms)
+        assert calendar.entries <= (max_wait_ms / 50 + 3 + LATE_SLOTS) * 65
+    for costs in reserved.values():
         assert len(costs) == 1 or sum(costs) <= RESERVABLE_SHARE * 50.0 + 1e-9
 
 
-def test_who_comes_at_its_time_finds_its_place_once_and_who_comes_before_or_too_late_none():
+def test_reservation_is_claimed_once_and_neither_early_nor_too_late():
     calendar = Calendar(KEY)
-    wait = calendar.reserve(1000.0, 7, 10.0, 120.0, 1000.0, 0.0)
-    assert wait == 150.0
+    wait_ms = calendar.reserve(1000.0, 7, 10.0, 120.0, 1000.0, 0.0)
+    assert wait_ms == 150.0
     assert not calendar.claim(1100.0, 7) and not calendar.claim(1160.0, 8)
     assert calendar.claim(1160.0, 7) and not calendar.claim(1161.0, 7)
     assert calendar.reserve(1200.0, 7, 10.0, 0.0, 1000.0, 0.5) == 75.0  # spread over the slot
     assert not calendar.claim(1250.0 + 50.0 * (LATE_SLOTS + 1), 7) and calendar.entries == 0
 
 
-def test_a_clock_that_is_set_back_takes_no_promise_back():
+def test_reservations_survive_clock_that_is_set_back():
     calendar = Calendar(KEY)
     assert calendar.reserve(10_000.0, 7, 10.0, 0.0, 1000.0, 0.0) == 50.0
     assert not calendar.claim(4000.0, 7) and calendar.claim(10_050.0, 7)
-    for clock in range(50, 0, -1):  # set back again and again, slots stay, and their number has its bound
+    for clock in range(50, 0, -1):  # set back again and again: slots are kept, and their number is bounded
         for caller in range(300):
             calendar.reserve(clock * 20_000.0, caller, 40.0, 0.0, 1e9, 0.0)
         assert len(calendar.slots) <= 64 + LATE_SLOTS + 1
 
 
-def test_memory_is_fixed_whatever_is_asked():
+def test_memory_is_bounded_for_any_requests():
     calendar = Calendar(KEY, CalendarBounds(slots=20, reservations_per_slot=8))
-    draw = random.Random(5)
+    generator = random.Random(5)
     for number in range(30_000):
-        calendar.reserve(number * 0.5, draw.getrandbits(63), 0.01, 0.0, 1e9, draw.random())
+        calendar.reserve(number * 0.5, generator.getrandbits(63), 0.01, 0.0, 1e9, generator.random())
         assert calendar.entries <= (20 + 2 + LATE_SLOTS) * 9
 
 
-@pytest.mark.parametrize("heeds", [True, False])
-def test_in_a_flood_those_who_heed_their_time_are_served_then_and_those_who_do_not_gain_nothing(heeds):
-    told = door_model.play(heeds, seed=1)
-    assert told.served["b"] >= told.asked_b - 2  # promises cost the other club nothing
-    if heeds:
-        assert told.let_in >= 0.95 and told.kept > 300 and told.late(0.95) <= 50.0
+@pytest.mark.parametrize("waits", [True, False])
+def test_in_overload_callers_that_wait_are_served_on_time_and_others_gain_nothing(waits):
+    outcome = door_model.play(waits, seed=1)
+    assert outcome.served["b"] >= outcome.asked_b - 2  # reservations cost the other club nothing
+    if waits:
+        assert outcome.let_in >= 0.95 and outcome.kept > 300 and outcome.late(0.95) <= 50.0
     else:
-        assert told.let_in < 0.1
+        assert outcome.let_in < 0.1
 
 
-def test_a_storm_of_further_tries_takes_no_place_of_first_ones_nor_of_those_who_heed_their_time():
+def test_retry_storm_displaces_neither_first_tries_nor_reservations():
     calm, storm = door_model.play(True, 1, 6), door_model.play(True, 1, 6, storm=50)
     assert storm.first_kept >= 0.9 * calm.first_kept and storm.let_in >= 0.95
     assert storm.served["b"] >= storm.asked_b - 2
--- a/tests/settings/test_operators.py
+++ b/tests/settings/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' file: what is read, and that each fault is named with its place, all at once."""
+"""The operators' file: its values are read, and all its faults are reported at once, each with its position."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def faults(text: str) -> list[str]:
+def faults_of(text: str) -> list[str]:
     with pytest.raises(FaultsError) as caught:
         parse_operators_file("f.yaml", text, Path("/srv"))
     return list(map(str, caught.value.faults))
 
 
-def test_the_shipped_file_is_good_and_all_off():
+def test_shipped_file_is_valid_and_disables_all():
     assert read_operators_file(ROOT / "deploy" / "flintshift.yaml") == OperatorSettings()
 
 
-def test_an_empty_file_sets_nothing():
+def test_empty_file_sets_nothing():
     assert (
         parse_operators_file("f.yaml", "", Path())
         == parse_operators_file("f.yaml", "# nothing\n", Path())
@@ -33,7 +33,7 @@
     )
 
 
-def test_units_become_base_values_and_folders_stand_beside_the_file():
+def test_values_get_base_units_and_folders_are_relative_to_the_file():
     usage = parse_operators_file(
         "f.yaml", "usage: {enabled: true, folder: u, period: 1.5h, sync: 10ms, segment: 64kB}", Path("/srv")
     ).usage
@@ -56,17 +56,17 @@
         (", sync: 1s", 1000.0),
     ],
 )
-def test_the_sync_follows_the_durability_unless_it_is_given(text, sync_ms):
+def test_sync_time_depends_on_durability_unless_given(text, sync_ms):
     usage = parse_operators_file("f.yaml", f"usage: {{enabled: true{text}}}", Path()).usage
     assert usage is not None and usage.sync_ms == sync_ms
 
 
-def test_yaml_1_2_reads_no_as_a_word():
-    assert faults("log: {enabled: no}") == ["f.yaml:1:7: log.enabled: expected true or false, found 'no'"]
+def test_yaml_1_2_reads_no_as_text():
+    assert faults_of("log: {enabled: no}") == ["f.yaml:1:7: log.enabled: expected true or false, found 'no'"]
 
 
-def test_all_faults_are_shown_at_once_in_the_order_of_their_lines():
-    assert faults("""\
+def test_all_faults_are_reported_at_once_in_the_order_of_their_lines():
+    assert faults_of("""\
 log:
   format: xml
   repeats: 10
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         ("usage: [", "f.yaml:1:9: no YAML 1.2: "),
         ("a: 1\na: 2", "f.yaml:2:1: no YAML 1.2: found duplicate key"),
@@ -107,11 +107,11 @@
         ("x: &a [*a]", "unknown key"),
     ],
 )
-def test_a_fault_is_named(text, told):
-    assert told in "\n".join(faults(text))
+def test_fault_message(text, expected):
+    assert expected in "\n".join(faults_of(text))
 
 
-def test_a_file_that_cannot_be_read_is_named(tmp_path):
+def test_unreadable_file_is_named(tmp_path):
     with pytest.raises(FaultsError, match=r"none\.yaml: can't be read: No such file"):
         read_operators_file(tmp_path / "none.yaml")
     (tmp_path / "latin.yaml").write_bytes(b"\xff\xfe\xff")
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "s", "-1s", "1e3s", "1 fortnight", "1s2", "9" * 20 + "s", None, 5, True])
-def test_what_is_no_duration(text):
+def test_invalid_durations(text):
     with pytest.raises(ValueError, match="expected a number with one of"):
         units.duration_ms(text)
 
@@ -137,15 +137,15 @@
         units.share("101%")
 
 
-def test_the_node_without_a_file_imports_no_reader_and_no_part_that_is_off():
-    listed = subprocess.run(
+def test_node_without_file_imports_no_reader_and_no_disabled_part():
+    imported = subprocess.run(
         [sys.executable, "-c", "import sys, flintshift.__main__; print(*sys.modules)"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=True,
     ).stdout.split()
-    off = (
+    disabled = (
         "dns",
         "ruamel",
         "pydantic",
@@ -159,14 +159,16 @@
         "flintshift.settings.operators",
         "flintshift.wire.dnssd",
     )
-    assert not [name for name in listed if name in off or name.startswith(tuple(f"{part}." for part in off))]
+    assert not [
+        name for name in imported if name in disabled or name.startswith(tuple(f"{part}." for part in disabled))
+    ]
 
 
 MEMBERS = "members: {n1: {hall: a, address: '127.0.0.1:1'}, n2: {hall: b, address: '127.0.0.1:2'}}"
 
 
 @pytest.mark.parametrize(
-    ("text", "wanted"),
+    ("text", "expected"),
     [
         ("peers: {enabled: true}", "at least two members"),
         (f"copies: {{enabled: true}}\npeers: {{{MEMBERS}}}", "peers.enabled too"),
@@ -186,13 +188,13 @@
         ("startup: {enabled: true, at-once: 0}", "startup.at-once"),
     ],
 )
-def test_faults_of_peers_and_copies_are_named(text, wanted):
-    assert any(wanted in fault for fault in faults(text))
+def test_faults_of_peers_and_copies(text, expected):
+    assert any(expected in fault for fault in faults_of(text))
 
 
 def test_peers_and_copies_become_options():
-    told = parse_operators_file(
+    settings = parse_operators_file(
         "f.yaml", f"peers: {{enabled: true, {MEMBERS}}}\ncopies: {{enabled: true, copies: 2}}", Path("/srv")
     )
-    assert told.peers is not None and told.peers.members["n2"] == ("b", ("127.0.0.1", 2))
-    assert told.copies is not None and told.copies.folder == Path("/srv/copies")
+    assert settings.peers is not None and settings.peers.members["n2"] == ("b", ("127.0.0.1", 2))
+    assert settings.copies is not None and settings.copies.folder == Path("/srv/copies")
--- a/tests/settings/test_platform_schema.py
+++ b/tests/settings/test_platform_schema.py
@@ -1,4 +1,4 @@
-"""What of a platform's file is turned down, and by which words."""
+"""The platform's file: which ones are rejected and with which message, and changes of classes in a running node."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 from flintshift.settings.operators import OperatorSettings
 from flintshift.settings.platform_schema import first_fault, missing_key
 
-NONE = object()
+DELETED = object()
 
 
 def changed(path, value):
-    told = copy.deepcopy(configuration())
-    at = told
-    *above, last = path.split(".")
-    for key in above:
-        at = at[int(key)] if isinstance(at, list) else at[key]
-    if value is NONE:
-        del at[last]
+    """Return the embedded configuration with another value at a path, or without the path."""
+    document = copy.deepcopy(configuration())
+    parent = document
+    *parent_keys, last = path.split(".")
+    for key in parent_keys:
+        parent = parent[int(key)] if isinstance(parent, list) else parent[key]
+    if value is DELETED:
+        del parent[last]
     else:
-        at[int(last) if isinstance(at, list) else last] = value
-    return told
+        parent[int(last) if isinstance(parent, list) else last] = value
+    return document
 
 
 DEADLINE = "settings.classes.0.deadlineMs"
@@ -39,7 +40,7 @@
     [
         *((DEADLINE, value) for value in (0, -5, 0.0, math.nan, math.inf, -math.inf, True, "900", None, [], {})),
         *(
-            (f"settings.classes.3.{name}", NONE)
+            (f"settings.classes.3.{name}", DELETED)
             for name in ("name", "onTimeMs", "deadlineMs", "worth", "effect", "repeatWindowMs")
         ),
         ("settings.classes.0.onTimeMs", -1),
@@ -66,46 +67,46 @@
         ("settings.familyInfo.ramKb", -1.0),
         ("settings.familyInfo.halt", "never"),
         ("settings.familyInfo.deepChecks", 1),
-        ("settings.familyInfo", NONE),
+        ("settings.familyInfo", DELETED),
         ("settings.rules.fallMultiple", 0),
         ("settings.rules.drainGraceMs", -1),
-        ("settings.rules", NONE),
+        ("settings.rules", DELETED),
         ("settings.tenants.0.quotaPerS", "many"),
         ("settings.tenants.1.name", "muscat-striders"),
         ("settings.tenants", 5),
         ("settings.groupSize", 0),
-        ("settings", NONE),
+        ("settings", DELETED),
         ("settings", []),
         *(
             (name, value)
             for name in ("listen", "pool", "vault", "naming")
-            for value in (NONE, "nowhere", "a:0", "a:70000", 9)
+            for value in (DELETED, "nowhere", "a:0", "a:70000", 9)
         ),
         ("control", "door"),
         ("stop_ms", "soon"),
-        ("stop_ms", NONE),
+        ("stop_ms", DELETED),
         ("seed", "xyz"),
-        ("name", NONE),
+        ("name", DELETED),
         ("name", 7),
         ("limits", 1),
         ("limits.memory_mb", 0),
         ("limits.sockets", 1.5),
     ],
 )
-def test_each_fault_is_told_by_its_path(path, value):
-    told = changed(path, value)
-    with pytest.raises(ConfigError) as found:
-        made(told, "FILE", OperatorSettings())
-    words = str(found.value)
-    assert words.startswith("FILE: ") and "\n" not in words
-    assert path.removeprefix("settings.") in words or "classes" in words
+def test_fault_is_reported_with_its_path(path, value):
+    document = changed(path, value)
+    with pytest.raises(ConfigError) as caught:
+        made(document, "FILE", OperatorSettings())
+    message = str(caught.value)
+    assert message.startswith("FILE: ") and "\n" not in message
+    assert path.removeprefix("settings.") in message or "classes" in message
 
 
-@pytest.mark.parametrize("vault", [NONE, None])
-def test_a_site_whose_requests_call_nothing_below_needs_no_vault(vault):
-    told = changed("vault", vault)
-    told["settings"]["familyInfo"]["callsByClass"] = [False] * len(told["settings"]["classes"])
-    assert made(told, "FILE", OperatorSettings()).vault is None
+@pytest.mark.parametrize("vault", [DELETED, None])
+def test_site_without_calls_needs_no_vault(vault):
+    document = changed("vault", vault)
+    document["settings"]["familyInfo"]["callsByClass"] = [False] * len(document["settings"]["classes"])
+    assert made(document, "FILE", OperatorSettings()).vault is None
 
 
 @pytest.mark.parametrize(
@@ -118,57 +119,60 @@
         ("settings.tenants", None),
     ],
 )
-def test_what_is_null_is_not_told_and_a_whole_number_may_be_written_with_a_point(path, value):
+def test_null_means_absent_and_a_whole_number_may_have_a_decimal_point(path, value):
     assert made(changed(path, value), "FILE", OperatorSettings()).settings.servers >= 1
 
 
-def test_a_file_cut_at_any_byte_is_never_taken():
-    whole = json.dumps(configuration())
-    made(json.loads(whole), "FILE", OperatorSettings())
-    for size in range(len(whole)):
+def test_file_truncated_at_any_byte_is_rejected():
+    text = json.dumps(configuration())
+    made(json.loads(text), "FILE", OperatorSettings())
+    for size in range(len(text)):
         try:
-            told = json.loads(whole[:size])
+            document = json.loads(text[:size])
         except ValueError:
             continue
-        assert first_fault(told) is not None
+        assert first_fault(document) is not None
 
 
-def test_a_key_that_the_configuration_in_use_has_may_not_go_but_entries_of_lists_may():
-    before = configuration()
-    assert missing_key(configuration(), before) is None
-    assert missing_key(changed("settings.overShareWorth", 0.5), before) is None
+def test_keys_of_the_current_configuration_may_not_go_but_list_entries_may():
+    current = configuration()
+    assert missing_key(configuration(), current) is None
+    assert missing_key(changed("settings.overShareWorth", 0.5), current) is None
     for path in ("limits.sockets", "settings.familyInfo.idleMs", "settings.limits.retryAfter", "settings.tenants"):
-        assert missing_key(changed(path, NONE), before) == f"{path} is missing; the configuration in use has it"
-    assert missing_key(changed("settings.tenants", before["settings"]["tenants"][:1]), before) is None
+        assert missing_key(changed(path, DELETED), current) == f"{path} is missing; the configuration in use has it"
+    assert missing_key(changed("settings.tenants", current["settings"]["tenants"][:1]), current) is None
 
 
-def test_a_dropped_class_is_taken_a_while_then_known_for_its_window_then_forgotten():
+def test_dropped_class_is_accepted_for_the_grace_time_then_known_for_its_window_then_forgotten():
     limits = Limits(
         dropped_class_grace_ms=2500.0, max_repeat_delay_ms=5000.0, lost_run_timeout_ms=100.0, max_dropped_classes=2
     )
-    now, later = (
-        made(told, "FILE", OperatorSettings()).settings
-        for told in (configuration(), changed("settings.classes.3.name", "submit-time-next"))
+    first, second = (
+        made(document, "FILE", OperatorSettings()).settings
+        for document in (configuration(), changed("settings.classes.3.name", "submit-time-next"))
     )
-    book = Catalogue(now, limits)
-    assert book.accepts("submit-time", 0) and not book.accepts("submit-time-next", 0)
-    assert book.change(later, 0) is None
-    assert book.accepts("submit-time-next", 0)
-    assert book.accepts("submit-time", 2499) and not book.accepts("submit-time", 2500)
-    assert [kind.name for kind in book.effective_settings.classes][-2:] == ["submit-time-next", "submit-time"]
-    assert not book.purge(15_499) and book.find_class("submit-time") is now.classes[3]
-    assert book.change(now, 10_000) is None  # dropped and added again
-    assert book.accepts("submit-time", 20_000) and not book.accepts("submit-time-next", 20_000)
-    assert book.purge(30_000) and book.find_class("submit-time-next") is None
-    for number in range(3):  # no more may be remembered than there is room for
-        names = changed("settings.classes.3.name", f"c{number}")
-        wrong = book.change(made(names, "FILE", OperatorSettings()).settings, 40_000)
-    assert wrong is not None and "may be" in wrong and "c2" not in book.active_classes
-
-
-def test_what_tells_how_the_process_began_outlasts_a_change():
-    told = configuration()
-    told["settings"]["familyInfo"]["cold"] = True
-    book = Catalogue(made(told, "FILE", OperatorSettings()).settings, Limits())
-    book.change(made(configuration(), "FILE", OperatorSettings()).settings, 0)
-    assert book.effective_settings.cold
+    catalogue = Catalogue(first, limits)
+    assert catalogue.accepts("submit-time", 0) and not catalogue.accepts("submit-time-next", 0)
+    assert catalogue.change(second, 0) is None
+    assert catalogue.accepts("submit-time-next", 0)
+    assert catalogue.accepts("submit-time", 2499) and not catalogue.accepts("submit-time", 2500)
+    assert [request_class.name for request_class in catalogue.effective_settings.classes][-2:] == [
+        "submit-time-next",
+        "submit-time",
+    ]
+    assert not catalogue.purge(15_499) and catalogue.find_class("submit-time") is first.classes[3]
+    assert catalogue.change(first, 10_000) is None  # dropped and added again
+    assert catalogue.accepts("submit-time", 20_000) and not catalogue.accepts("submit-time-next", 20_000)
+    assert catalogue.purge(30_000) and catalogue.find_class("submit-time-next") is None
+    for number in range(3):  # the number of remembered classes is bounded
+        document = changed("settings.classes.3.name", f"c{number}")
+        problem = catalogue.change(made(document, "FILE", OperatorSettings()).settings, 40_000)
+    assert problem is not None and "may be" in problem and "c2" not in catalogue.active_classes
+
+
+def test_cold_start_flag_survives_a_change():
+    document = configuration()
+    document["settings"]["familyInfo"]["cold"] = True
+    catalogue = Catalogue(made(document, "FILE", OperatorSettings()).settings, Limits())
+    catalogue.change(made(configuration(), "FILE", OperatorSettings()).settings, 0)
+    assert catalogue.effective_settings.cold
