--- a/flintshift/fair_queueing/fair_queue.py
+++ b/flintshift/fair_queueing/fair_queue.py
@@ -104,9 +104,9 @@
     class_name: str
     cost_ms: float
     # Virtual times at its arrival, of the clubs and of its club's flows: no charge starts earlier.
-    virtual_ms: float
-    flow_virtual_ms: float
-    start_tag: float  # among the requests of its club
+    arrival_virtual_ms: float
+    arrival_flow_virtual_ms: float
+    tag: float  # start tag, among the requests of its club
     ahead_ms: float = 0.0  # work before it in its club, in time at the club's share
     running: bool = False
 
@@ -164,7 +164,7 @@
         earliest_ms = max(event.min_wait_ms, club.charged_ms - self.virtual_ms)
         wait_ms = (
             None
-            if request.start_tag == UNPAID_TAG
+            if request.tag == UNPAID_TAG
             else club.calendar.reserve(
                 now_ms, request.caller, request.cost_ms / club.weight, earliest_ms, event.max_wait_ms, event.jitter
             )
@@ -189,7 +189,7 @@
 
     def _update_order(self, club: Club) -> None:
         club.order_is_current, ahead_ms = True, 0.0
-        for request in sorted(club.waiting, key=attrgetter("start_tag")):
+        for request in sorted(club.waiting, key=attrgetter("tag")):
             request.ahead_ms = ahead_ms
             ahead_ms += request.cost_ms / club.weight
 
@@ -225,9 +225,9 @@
             max(club.virtual_ms, flow.charged_ms) + flow.waiting_cost_ms,
         )
         if (event.marked_repeat or not self.repeats_marked) and club.calendar.claim(now_ms, event.caller):
-            request.start_tag = RESERVED_TAG
+            request.tag = RESERVED_TAG
         elif event.marked_repeat and min(club.retry_budget, flow.retry_budget) < 1.0:
-            request.start_tag = UNPAID_TAG
+            request.tag = UNPAID_TAG
             club.unpaid_retries += 1
         else:
             budget_change = -1.0 if event.marked_repeat else RETRIES_PER_FIRST_TRY
@@ -277,10 +277,10 @@
     def _on_start(self, request: TrackedRequest) -> None:
         club, flow = request.club, request.flow
         request.running = True
-        start_ms = max(flow.charged_ms, request.flow_virtual_ms)
+        start_ms = max(flow.charged_ms, request.arrival_flow_virtual_ms)
         flow.charged_ms = start_ms + request.cost_ms
         club.virtual_ms = max(club.virtual_ms, start_ms)
-        club.charged_ms = max(club.charged_ms, request.virtual_ms) + request.cost_ms / club.weight
+        club.charged_ms = max(club.charged_ms, request.arrival_virtual_ms) + request.cost_ms / club.weight
         self._stop_waiting(request)
 
     def _stop_waiting(self, request: TrackedRequest) -> None:
--- a/tests/fair_queueing/test_fair_queue.py
+++ b/tests/fair_queueing/test_fair_queue.py
@@ -266,7 +266,7 @@
     assert answer.reserved and answer.wait_ms == 100.0
     server.arrive(caller=2, times=5)
     server.queue.handle(100.0, RequestArrived("retry", "a", 1, "look", marked_repeat))
-    assert (server.queue.tracked["retry"].start_tag < 0) == claimed
+    assert (server.queue.tracked["retry"].tag < 0) == claimed
 
 
 @pytest.mark.parametrize(("callers", "paid"), [(1, 2), (100, 10)])
@@ -277,7 +277,7 @@
 
     def is_paid_retry(request, caller):
         server.queue.handle(0.0, RequestArrived(request, "a", caller, "look", True))
-        return server.queue.tracked[request].start_tag < math.inf
+        return server.queue.tracked[request].tag < math.inf
 
     assert [is_paid_retry(f"s{number}", number % callers) for number in range(20)] == [True] * paid + [False] * (
         20 - paid
--- a/tests/settings/test_platform_schema.py
+++ b/tests/settings/test_platform_schema.py
@@ -165,8 +165,8 @@
     assert catalogue.accepts("submit-time", 20_000) and not catalogue.accepts("submit-time-next", 20_000)
     assert catalogue.purge(30_000) and catalogue.find_class("submit-time-next") is None
     for number in range(3):  # the number of remembered classes is bounded
-        document = changed("settings.classes.3.name", f"c{number}")
-        problem = catalogue.change(made(document, "FILE", OperatorSettings()).settings, 40_000)
+        renamed = changed("settings.classes.3.name", f"c{number}")
+        problem = catalogue.change(made(renamed, "FILE", OperatorSettings()).settings, 40_000)
     assert problem is not None and "may be" in problem and "c2" not in catalogue.active_classes
 
 
