--- a/tests/fair_queueing/test_reservations.py
+++ b/tests/fair_queueing/test_reservations.py
@@ -64,15 +64,19 @@
 
 @pytest.mark.parametrize("waits", [True, False])
 def test_in_overload_callers_that_wait_are_served_on_time_and_others_gain_nothing(waits):
-    outcome = door_model.play(waits, seed=1)
-    assert outcome.served["b"] >= outcome.asked_b - 2  # reservations cost the other club nothing
+    outcome = door_model.simulate(waits, seed=1)
+    assert outcome.served["b"] >= outcome.requests_of_b - 2  # reservations cost the other club nothing
     if waits:
-        assert outcome.let_in >= 0.95 and outcome.kept > 300 and outcome.late(0.95) <= 50.0
+        assert (
+            outcome.returns_served_share >= 0.95
+            and outcome.served_returns > 300
+            and outcome.late_quantile_ms(0.95) <= 50.0
+        )
     else:
-        assert outcome.let_in < 0.1
+        assert outcome.returns_served_share < 0.1
 
 
 def test_retry_storm_displaces_neither_first_tries_nor_reservations():
-    calm, storm = door_model.play(True, 1, 6), door_model.play(True, 1, 6, storm=50)
-    assert storm.first_kept >= 0.9 * calm.first_kept and storm.let_in >= 0.95
-    assert storm.served["b"] >= storm.asked_b - 2
+    calm, storm = door_model.simulate(True, 1, 6), door_model.simulate(True, 1, 6, storm=50)
+    assert storm.served_first_tries >= 0.9 * calm.served_first_tries and storm.returns_served_share >= 0.95
+    assert storm.served["b"] >= storm.requests_of_b - 2
