--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -18,28 +18,28 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.door.messages import Arrived, Began, Ended, Weighed  # noqa: E402
-from flintshift.door.shares import PLACE_BYTES, Shares  # noqa: E402
+from flintshift.fair_queueing.fair_queue import MAX_ENTRY_BYTES, FairQueue  # noqa: E402
+from flintshift.fair_queueing.messages import QueueSettings, RequestArrived, RunEnded, RunStarted  # noqa: E402
 
 CLUBS = [f"club{number}" for number in range(5)]
-WEIGHTS = Weighed(dict.fromkeys(CLUBS, 1.0), 2, {"look": 20.0}, True)
+WEIGHTS = QueueSettings(dict.fromkeys(CLUBS, 1.0), 2, {"look": 20.0}, True)
 
 
 def measure(callers: int, waiting: int, requests: int) -> tuple[float, int]:
     """Return the microseconds per request, and the entries in the tables at the end."""
-    rng, shares = random.Random(1), Shares(WEIGHTS, b"k" * 16)
+    rng, shares = random.Random(1), FairQueue(WEIGHTS, b"k" * 16)
     arrivals = [(f"{number:016x}", rng.choice(CLUBS), rng.randrange(callers)) for number in range(requests)]
     queue: list[str] = []
     began_s = time.perf_counter()
     for number_arrived, (request, club, caller) in enumerate(arrivals):
-        shares.handle(number_arrived * 2.0, Arrived(request, club, caller, "look"))
+        shares.handle(number_arrived * 2.0, RequestArrived(request, club, caller, "look"))
         queue.append(request)
         if len(queue) > waiting:
             first = min(queue, key=shares.rank_ms)
             queue.remove(first)
-            shares.handle(number_arrived * 2.0, Began(first))
-            shares.handle(number_arrived * 2.0, Ended(first, 20.0))
-    return (time.perf_counter() - began_s) / requests * 1e6, shares.places
+            shares.handle(number_arrived * 2.0, RunStarted(first))
+            shares.handle(number_arrived * 2.0, RunEnded(first, 20.0))
+    return (time.perf_counter() - began_s) / requests * 1e6, shares.entries
 
 
 def main() -> None:
@@ -57,7 +57,7 @@
                     "callers": callers,
                     "us": round(request_us, 1),
                     "places": places,
-                    "kb_at_most": round(places * PLACE_BYTES / 1024),
+                    "kb_at_most": round(places * MAX_ENTRY_BYTES / 1024),
                 }
             )
             print(rows[-1])
--- a/benchmarks/door_model.py
+++ b/benchmarks/door_model.py
@@ -24,8 +24,15 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.door.messages import Arrived, Began, ComeBack, Ended, TurnedAway, Weighed  # noqa: E402
-from flintshift.door.shares import Shares  # noqa: E402
+from flintshift.fair_queueing.fair_queue import FairQueue  # noqa: E402
+from flintshift.fair_queueing.messages import (  # noqa: E402
+    QueueSettings,
+    RequestArrived,
+    RequestRejected,
+    RetryAfter,
+    RunEnded,
+    RunStarted,
+)
 
 RUN_MS, QUEUE_LIMIT, MAX_WAIT_MS = 10.0, 5, 1000.0
 
@@ -58,7 +65,7 @@
     ``flood`` is the number of first tries of club "a" per run, by callers that come back only at a retry time.
     ``storm`` is the number of its further tries per run that come without a retry time. "b" has one caller.
     """
-    shares = Shares(Weighed({"a": 1.0, "b": 1.0}, 1, {"look": RUN_MS}, True), b"model".ljust(16))
+    shares = FairQueue(QueueSettings({"a": 1.0, "b": 1.0}, 1, {"look": RUN_MS}, True), b"model".ljust(16))
     rng, counts = random.Random(seed), ReturnCounts()
     returning: list[tuple[float, str, int]] = []
     waiting: dict[str, float | None] = {}  # by request: the retry time of a returning caller; infinite without one
@@ -73,20 +80,20 @@
         rng.shuffle(arrivals)
         for number, (club, caller, retry_at_ms) in enumerate(arrivals):
             request = f"{tick}-{number}-{club}"
-            shares.handle(now, Arrived(request, club, caller, "look", retry_at_ms is not None))
+            shares.handle(now, RequestArrived(request, club, caller, "look", retry_at_ms is not None))
             waiting[request] = retry_at_ms
         order = sorted(waiting, key=shares.rank_ms)
         for request in order[QUEUE_LIMIT:]:
             retry_at_ms = waiting.pop(request)
             counts.rejected_returns += retry_at_ms is not None and retry_at_ms < math.inf
             counts.rejected_first_tries += retry_at_ms is None
-            caller, club = shares.open[request].caller, request[-1]
-            (response,) = shares.handle(now, TurnedAway(request, 0.0, MAX_WAIT_MS, rng.random()))
-            assert isinstance(response, ComeBack) and response.wait_ms <= MAX_WAIT_MS
-            if response.promised and retry_at_ms != math.inf:
+            caller, club = shares.tracked[request].caller, request[-1]
+            (response,) = shares.handle(now, RequestRejected(request, 0.0, MAX_WAIT_MS, rng.random()))
+            assert isinstance(response, RetryAfter) and response.wait_ms <= MAX_WAIT_MS
+            if response.reserved and retry_at_ms != math.inf:
                 returning.append((now + response.wait_ms * (1.0 if heeds else 0.25), club, caller))
-        shares.handle(now, Began(order[0]))
-        shares.handle(now, Ended(order[0], RUN_MS))
+        shares.handle(now, RunStarted(order[0]))
+        shares.handle(now, RunEnded(order[0], RUN_MS))
         retry_at_ms = waiting.pop(order[0])
         counts.served_first_tries += retry_at_ms is None
         counts.served[order[0][-1]] += 1
--- a/flintshift/cli/control.py
+++ b/flintshift/cli/control.py
@@ -27,7 +27,7 @@
     if not configured:
         raise click.UsageError("name the control address by --at HOST:PORT, LB_CONTROL or LB_CONFIG")
     try:
-        host, port = units.address(str(configured))
+        host, port = units.parse_address(str(configured))
     except ValueError as error:
         raise click.UsageError(str(error)) from error
     return f"{host}:{port}" if ":" not in host else f"[{host}]:{port}"
--- a/flintshift/cli/main.py
+++ b/flintshift/cli/main.py
@@ -63,10 +63,10 @@
     """Check an operators' FILE and print every fault, with file, line, column, path and the value expected."""
     from dataclasses import asdict, fields
 
-    from flintshift.settings.operators import FaultsError, read
+    from flintshift.settings.operators import FaultsError, read_operators_file
 
     try:
-        settings = read(file)
+        settings = read_operators_file(file)
     except FaultsError as error:
         if as_json:
             click.echo(json.dumps([asdict(fault) for fault in error.faults]))
--- a/flintshift/lifecycle/config.py
+++ b/flintshift/lifecycle/config.py
@@ -13,10 +13,10 @@
 from flintshift import interface as api
 from flintshift.core.limits import Limits
 from flintshift.lifecycle.start_retry import WAIT_S, StartRetry
-from flintshift.settings.options import Address, Operators
-from flintshift.settings.platform import GAUGES, FormError, flat, settings_from
-from flintshift.settings.shape import fault
-from flintshift.settings.units import address
+from flintshift.settings.options import Address, OperatorSettings
+from flintshift.settings.platform import GAUGE_FIELDS, SettingsFormatError, flatten, parse_settings
+from flintshift.settings.platform_schema import first_fault
+from flintshift.settings.units import parse_address
 from flintshift.wire.failures import is_transient
 
 SETTLED_S = 1.0  # a file that has not changed for so long is not being written
@@ -50,7 +50,7 @@
     settings: api.Settings
     gauge_names: list[str | None]
     limits: Limits
-    operators: Operators
+    operators: OperatorSettings
     told: dict[str, Any]  # the file, as JSON read it
 
 
@@ -111,50 +111,50 @@
     return made(configuration(), "the embedded default", operators(operators_file))
 
 
-def made(told: Any, path: str, operators: Operators, control: str | None = None) -> Config:
+def made(told: Any, path: str, operators: OperatorSettings, control: str | None = None) -> Config:
     """A configuration of the platform's form, as JSON read it; ``path`` is for the words of faults, and ``control``
     the address of the control door where the file names none."""
     try:
-        wrong = fault(told)
+        wrong = first_fault(told)
         if wrong is not None:
             raise ConfigError(f"{path}: {wrong}")
-        pairs = flat(told["settings"])
+        pairs = flatten(told["settings"])
         asked = told.get("limits", {})
         limits = Limits(
             memory_mb=int(asked.get("memory_mb", Limits().memory_mb)),
             sockets=int(asked.get("sockets", Limits().sockets)),
             stop_ms=float(told["stop_ms"]),
         )
-        settings = settings_from(pairs)
+        settings = parse_settings(pairs)
         door, vault = told.get("control") or control, told.get("vault")
         return Config(
             name=str(told["name"]),
-            listen=address(told["listen"]),
-            control=address(door) if door else None,
-            pool=address(told["pool"]),
-            naming=address(told["naming"]),
-            vault=address(vault) if vault else None,
+            listen=parse_address(told["listen"]),
+            control=parse_address(door) if door else None,
+            pool=parse_address(told["pool"]),
+            naming=parse_address(told["naming"]),
+            vault=parse_address(vault) if vault else None,
             seed=int(str(told["seed"]), 16),
             settings=settings,
             limits=replace(limits, max_key_result_bytes=limits.memory_mb * (1 << 20) // 6),
-            gauge_names=[GAUGES.get(name) for name in pairs.get("familyInfo.gauges", "").split(",")],
+            gauge_names=[GAUGE_FIELDS.get(name) for name in pairs.get("familyInfo.gauges", "").split(",")],
             operators=operators,
             told=told,
         )
     except KeyError as error:
         raise ConfigError(f"{path}: {error.args[0]} is missing") from error
-    except (ValueError, TypeError, AttributeError, FormError) as error:
+    except (ValueError, TypeError, AttributeError, SettingsFormatError) as error:
         raise ConfigError(f"{path}: {' '.join(str(error).split())}") from error
 
 
-def operators(path: Path | None) -> Operators:
+def operators(path: Path | None) -> OperatorSettings:
     """The operators' file; all parts are off where none is named, and no reader of YAML is imported."""
     if path is None:
-        return Operators()
-    from flintshift.settings.operators import FaultsError, read
+        return OperatorSettings()
+    from flintshift.settings.operators import FaultsError, read_operators_file
 
     try:
-        return read(path)
+        return read_operators_file(path)
     except FaultsError as error:
         if isinstance(error.__cause__, OSError) and is_transient(error.__cause__):
             raise UnreadableError(str(path), error.__cause__) from error
