--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.lab.cold_start import play  # noqa: E402
+from flintshift.lab.cold_start import simulate  # noqa: E402
 from flintshift.lab.fleet import Fleet  # noqa: E402
 from flintshift.lab.services import RateLimitedNames, now_ms  # noqa: E402
 
@@ -52,7 +52,7 @@
 
     def relative_rate(from_ms: float, to_ms: float) -> float:
         """Return the rate of calls in the interval, as a multiple of the steady rate."""
-        return round(capacity.counted(from_ms, to_ms) / (to_ms - from_ms) * 1000 / steady_per_s, 2)
+        return round(capacity.calls_between(from_ms, to_ms) / (to_ms - from_ms) * 1000 / steady_per_s, 2)
 
     return {
         "nodes": nodes,
@@ -86,7 +86,7 @@
                     "version": version,
                     "nodes": size,
                     "seed": seed,
-                    **asdict(play(size, seed, CAPACITY_FACTOR, OUTAGE_S, before=version == "before")),
+                    **asdict(simulate(size, seed, CAPACITY_FACTOR, OUTAGE_S, before=version == "before")),
                 }
                 for version in ("before", "now")
             ]
--- a/benchmarks/control_latency.py
+++ b/benchmarks/control_latency.py
@@ -22,9 +22,9 @@
 
 from request_cost import PLATFORM, WORKERS, cpu_s, run_callers  # noqa: E402
 
-from flintshift.lab.callers import reply  # noqa: E402
-from flintshift.lab.peers import Pool  # noqa: E402
+from flintshift.lab.callers import read_reply  # noqa: E402
 from flintshift.lab.single_node_cluster import SingleNodeCluster  # noqa: E402
+from flintshift.lab.standins import Pool  # noqa: E402
 
 ROW_S = 12.0  # longest duration of the calls of a row
 
@@ -34,7 +34,7 @@
     began_s = time.perf_counter()
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(b"GET /control/ready HTTP/1.1\r\nHost: n\r\n\r\n")
-    status, _, _ = await reply(reader)
+    status, _, _ = await read_reply(reader)
     writer.close()
     assert status == 200
     return (time.perf_counter() - began_s) * 1000
--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -24,7 +24,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.lab.callers import fields_of, http_request, reply  # noqa: E402
+from flintshift.lab.callers import http_request, read_reply, request_fields  # noqa: E402
 from flintshift.lab.fleet import Fleet  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
@@ -79,8 +79,10 @@
             next_s += interval_s
             rid = f"{next(request_numbers):016x}"
             began_s = time.perf_counter()
-            writer.write(http_request(class_name, b"12:01.5", fields_of(rid, next(iter(CLUBS)), class_name, number)))
-            status, _, keep_alive = await reply(reader)
+            writer.write(
+                http_request(class_name, b"12:01.5", request_fields(rid, next(iter(CLUBS)), class_name, number))
+            )
+            status, _, keep_alive = await read_reply(reader)
             self.delays.append((time.perf_counter() - began_s) * 1000)
             self.statuses[status] = self.statuses.get(status, 0) + 1
             if not keep_alive:
--- a/benchmarks/disk_faults.py
+++ b/benchmarks/disk_faults.py
@@ -22,8 +22,8 @@
 from kills import run_from_command_line, run_many  # noqa: E402
 
 from flintshift.lab.callers import Tally  # noqa: E402
-from flintshift.lab.peers import Pool  # noqa: E402
 from flintshift.lab.single_node_cluster import SingleNodeCluster  # noqa: E402
+from flintshift.lab.standins import Pool  # noqa: E402
 from flintshift.lab.syscall_faults import NO_FAULTS, Rates, SyscallFaults  # noqa: E402
 
 DISK_FAULTS = Rates(disk=200)
@@ -36,16 +36,16 @@
     folder.mkdir(parents=True)
     (folder / "out").mkdir()
     faults = SyscallFaults(folder / "faults", seed=seed)
-    pool = Pool(cores=4, took_ms={"race-results": 3.0}, calling=frozenset({"race-results"}))
+    pool = Pool(cores=4, took_ms={"race-results": 3.0}, calling_classes=frozenset({"race-results"}))
     settings = SETTINGS.format(("process-death", "power-cut")[seed % 2])
     async with SingleNodeCluster(
         folder, settings, uwsgi=True, pool=pool, root=ROOT, environment=faults.environment
     ) as rig:
         await load_for(rig, tally, 0.3, seed * 10, kill=False)
-        faults.set(DISK_FAULTS)
+        faults.set_rates(DISK_FAULTS)
         await load_for(rig, tally, 1.0 + rng.random(), seed * 10 + 1, kill=False)
         if seed % 4 < 2:
-            faults.set(NO_FAULTS)
+            faults.set_rates(NO_FAULTS)
             await anyio.sleep(RECOVERY_S)
         code = await rig.terminate()
     violations, _ = find_violations(folder, tally, pool.spawned)
--- a/benchmarks/door_surge.py
+++ b/benchmarks/door_surge.py
@@ -29,9 +29,9 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.lab.callers import REQUESTS, fields_of, reply_with_head, wait_ms  # noqa: E402
-from flintshift.lab.peers import Pool  # noqa: E402
+from flintshift.lab.callers import REQUEST_BUILDERS, advised_wait_ms, read_reply_with_head, request_fields  # noqa: E402
 from flintshift.lab.single_node_cluster import SingleNodeCluster  # noqa: E402
+from flintshift.lab.standins import Pool  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
 RUN_MS, CORES = 20.0, 2
@@ -56,14 +56,16 @@
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", ports[front])
             writer.write(
-                REQUESTS[front]("standings", b"12:01.5", fields_of(request_id, club, "standings", caller, again))
+                REQUEST_BUILDERS[front](
+                    "standings", b"12:01.5", request_fields(request_id, club, "standings", caller, again)
+                )
             )
-            status, _, head = await asyncio.wait_for(reply_with_head(reader), 5)
+            status, _, head = await asyncio.wait_for(read_reply_with_head(reader), 5)
             writer.close()
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             return
         served[kind] += status == 200
-        retry_after_ms = wait_ms(head)
+        retry_after_ms = advised_wait_ms(head)
         if status != 200 and retry_after_ms is not None and not again and heed:
             await asyncio.sleep(retry_after_ms / 1000)
             # The longest retry time means that no reservation could be made: these callers are counted separately.
@@ -143,7 +145,7 @@
                         platform={"tenants": [{"name": club, "quotaPerS": 100.0} for club in CLUBS]},
                     )
                 )
-                rigs[variant].apps.beside, rigs[variant].apps.took_ms = rigs[variant].pool, RUN_MS
+                rigs[variant].apps.pool, rigs[variant].apps.took_ms = rigs[variant].pool, RUN_MS
             for round_ in range(rounds):
                 counts_before = await load_in_turn(rigs, 1.0, one_caller, False, seconds, 10 + round_, executor)
                 counts_in_surge = await load_in_turn(rigs, times, one_caller, heed, seconds, 20 + round_, executor)
--- a/benchmarks/drain_soak.py
+++ b/benchmarks/drain_soak.py
@@ -23,13 +23,13 @@
 
 from kills import run_from_command_line  # noqa: E402
 
-from flintshift.lab.drain_soak import play  # noqa: E402
+from flintshift.lab.drain_soak import drain_under_faults  # noqa: E402
 
 
 def run_drain(seed: int) -> dict[str, Any]:
     """Run the drain of one seed in this process; return its report."""
     with tempfile.TemporaryDirectory(prefix="flintshift-drain-") as folder:
-        return asyncio.run(play(seed, Path(folder)))
+        return asyncio.run(drain_under_faults(seed, Path(folder)))
 
 
 async def soak(runs: int, parallel: int, seed: int) -> dict[str, Any]:
--- a/benchmarks/kill_node.py
+++ b/benchmarks/kill_node.py
@@ -25,8 +25,8 @@
 from kills import run_from_command_line, run_many  # noqa: E402
 
 from flintshift.lab.callers import Caller, Tally  # noqa: E402
-from flintshift.lab.peers import Pool  # noqa: E402
 from flintshift.lab.single_node_cluster import SingleNodeCluster  # noqa: E402
+from flintshift.lab.standins import Pool  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 from flintshift.storage.files import DiskFiles  # noqa: E402
 from flintshift.storage.snapshot import UNFINISHED_SUFFIX  # noqa: E402
@@ -100,7 +100,7 @@
             ids_in_doubt[id_.hex()] = tuple(key.split("\x1f"))
     answered: Counter[tuple[str, ...]] = Counter()
     recorded_unseen = 0
-    for rid, (club, class_name, front, outcome) in tally.ids.items():
+    for rid, (club, class_name, front, outcome) in tally.row_by_id.items():
         answered[club, class_name, front, outcome] += rid not in ids_in_doubt
     recorded: Counter[tuple[str, ...]] = Counter()
     for (club, class_name, front, outcome), count in rows.items():
@@ -117,7 +117,7 @@
             )
     violations += [f"{rid} ran {count} times" for rid, count in spawned.items() if count > 1]
     return violations, {
-        "answered": len(tally.ids),
+        "answered": len(tally.row_by_id),
         "in_doubt": len(ids_in_doubt),
         "unanswered": len(tally.unanswered),
         "gone": departed,
@@ -129,7 +129,7 @@
 async def run_with_kills(seed: int, base: Path, durability: str) -> tuple[list[str], dict[str, int]]:
     """Do one run with two kills; return violations and counts."""
     rng, folder, tally = random.Random(seed), base / f"{seed}", Tally()
-    pool = Pool(cores=4, took_ms={"race-results": 3.0}, calling=frozenset({"race-results"}))
+    pool = Pool(cores=4, took_ms={"race-results": 3.0}, calling_classes=frozenset({"race-results"}))
     async with SingleNodeCluster(folder, SETTINGS.format(durability), uwsgi=True, pool=pool, root=ROOT) as rig:
         with (folder / "stderr").open("wb") as stderr:
             for start_number in range(3):
--- a/flintshift/cli/main.py
+++ b/flintshift/cli/main.py
@@ -63,10 +63,10 @@
     """Check an operators' FILE and print every fault, with file, line, column, path and the value expected."""
     from dataclasses import asdict, fields
 
-    from flintshift.settings.operators import FaultsError, read
+    from flintshift.settings.operators import FaultsError, read_operators_file
 
     try:
-        settings = read(file)
+        settings = read_operators_file(file)
     except FaultsError as error:
         if as_json:
             click.echo(json.dumps([asdict(fault) for fault in error.faults]))
@@ -107,9 +107,9 @@
     from flintshift.lab import demo as lab
 
     if peers_only:
-        sys.exit(lab.peers_only(click.echo))
+        sys.exit(lab.run_standins(click.echo))
     result = lab.run(seconds, callers, keep, partial(click.echo, err=True))
-    click.echo(json.dumps(result) if as_json else lab.shown(result))
+    click.echo(json.dumps(result) if as_json else lab.format_result(result))
     sys.exit(0 if result["counted"] == result["booked"] and not result["in_doubt"] else 3)
 
 
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -26,7 +26,7 @@
 from typing import Any
 
 from flintshift.cli.status_client import query_status
-from flintshift.lab.callers import fields_of, http_request, reply_with_head
+from flintshift.lab.callers import http_request, read_reply_with_head, request_fields
 from flintshift.lab.faults import FaultProxy
 from flintshift.lab.history import (
     CheckResult,
@@ -38,8 +38,8 @@
     RunStarted,
     check_history,
 )
-from flintshift.lab.peers import Names, Pool, Vault
 from flintshift.lab.ports import free_ports
+from flintshift.lab.standins import Names, Pool, Vault
 from flintshift.lab.syscall_faults import Rates, SyscallFaults
 from flintshift.replication.store import STATUS_SOCKET
 from flintshift.settings.embedded import CLUBS, configuration
@@ -95,7 +95,7 @@
         super().__init__(cores=cores, took_ms=took_ms)
         self.member, self.events = member, events
 
-    def begun(self, rid: str) -> None:
+    def on_run_started(self, rid: str) -> None:
         self.events.append(RunStarted(now_ms(), rid, self.member))
 
 
@@ -487,7 +487,7 @@
         for name in self.members if names is None else names:
             faults = self.members[name].syscall_faults
             if faults is not None:
-                faults.set(Rates(disk=rate))
+                faults.set_rates(Rates(disk=rate))
         self.add_to_timeline(f"disks of {'all' if names is None else ','.join(names)} fail {rate} of 1,000 writes")
 
     def set_disk_failing(self, name: str, fails: bool = True) -> None:
@@ -546,7 +546,7 @@
         """Send one try to a member over a new connection. None: the connection ended without an answer."""
         rid = self.new_request_id()
         class_name = class_name or (KEYED_CLASS if key is not None else "standings")
-        fields = fields_of(rid, next(iter(CLUBS)), class_name, 1, is_repeat)
+        fields = request_fields(rid, next(iter(CLUBS)), class_name, 1, is_repeat)
         if key is not None:
             fields["X-Unique"] = key
         member = self.members[name]
@@ -556,7 +556,7 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", member.ports["http"])
                 self.events.append(RequestSent(now_ms(), rid, key, body, name))
                 writer.write(http_request(class_name, body, fields))
-                status, result, head = await reply_with_head(reader)
+                status, result, head = await read_reply_with_head(reader)
         except (OSError, asyncio.IncompleteReadError):
             self.events.append(ConnectionLost(now_ms(), rid))
             return None
--- a/flintshift/lab/services.py
+++ b/flintshift/lab/services.py
@@ -5,8 +5,8 @@
 import asyncio
 import time
 
-from flintshift.lab.capacity import SLOW_MS, Capacity, Verdict
-from flintshift.lab.peers import HeardReader, Names
+from flintshift.lab.capacity import SLOW_ANSWER_MS, Capacity, Verdict
+from flintshift.lab.standins import Names, RecordingReader
 
 
 def now_ms() -> float:
@@ -25,12 +25,12 @@
         self.capacity = Capacity(per_s)
         self.extra_delay_ms = 0.0  # added to the time of each answer
 
-    async def serve(self, reader: HeardReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: RecordingReader, writer: asyncio.StreamWriter) -> None:
         verdict = self.capacity.call(now_ms())
-        if verdict is Verdict.TURNED_AWAY:
+        if verdict is Verdict.REJECTED:
             writer.transport.abort()
             return
-        delay_ms = self.extra_delay_ms + (SLOW_MS if verdict is Verdict.SLOW else 0.0)
+        delay_ms = self.extra_delay_ms + (SLOW_ANSWER_MS if verdict is Verdict.SLOW else 0.0)
         if delay_ms:
             await asyncio.sleep(delay_ms / 1000)
         await super().serve(reader, writer)
--- a/flintshift/lab/single_node_cluster.py
+++ b/flintshift/lab/single_node_cluster.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import IO, Any
 
-from flintshift.lab.peers import Apps, Dns, Names, Peer, Pool, Vault
 from flintshift.lab.ports import free_ports
+from flintshift.lab.standins import Apps, Dns, Names, Pool, StandIn, Vault
 from flintshift.settings.embedded import configuration
 
 
@@ -48,7 +48,7 @@
         self.process_count = 0  # of the node, since its last start without an upgrade
 
     @property
-    def stand_ins(self) -> tuple[Peer, ...]:
+    def stand_ins(self) -> tuple[StandIn, ...]:
         return self.pool, self.vault, self.names, self.apps
 
     async def __aenter__(self) -> SingleNodeCluster:
@@ -106,7 +106,7 @@
         The second half of its configuration is written ``complete_config_after_s`` after the start of the process.
         """
         self.names.serving.clear()
-        self.dns.browsed.clear()
+        self.dns.browse_finished.clear()
         command = self.command()
         config_bytes = self.config.read_bytes()
         if complete_config_after_s:
@@ -122,7 +122,7 @@
             if not serving.done():
                 raise RuntimeError(f"the node did not serve (exit code {process.returncode})")
             if self.uwsgi:
-                await asyncio.wait_for(self.dns.browsed.wait(), 10)
+                await asyncio.wait_for(self.dns.browse_finished.wait(), 10)
         finally:
             serving.cancel()
             ended.cancel()
@@ -149,7 +149,9 @@
         assert self.control and self.process is not None
         older, older_pool = self.process, self.pool
         self.predecessor_pools.append(older_pool)
-        self.pool = pool or Pool(cores=older_pool.size, took_ms=older_pool.took_ms, calling=older_pool.calling)
+        self.pool = pool or Pool(
+            cores=older_pool.size, took_ms=older_pool.took_ms, calling_classes=older_pool.calling_classes
+        )
         await self.pool.start()
         self.process = await self._spawn(self.command(is_successor=True))
         for _ in range(1000):
--- a/flintshift/lifecycle/fair_door.py
+++ b/flintshift/lifecycle/fair_door.py
@@ -16,25 +16,25 @@
 from flintshift.core.counters import Counters
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log, log_nothing
-from flintshift.door.messages import (
-    Arrived,
-    Began,
-    Ended,
-    Left,
-    SurgeBegan,
-    SurgeEnded,
-    SurgeGoesOn,
-    TurnedAway,
-    Weighed,
+from flintshift.fair_queueing.fair_queue import DEFAULT_COST_MS, MAX_ENTRY_BYTES, FairQueue, QueueBounds
+from flintshift.fair_queueing.messages import (
+    OverloadContinued,
+    OverloadEnded,
+    OverloadStarted,
+    QueueSettings,
+    RequestArrived,
+    RequestRejected,
+    RequestWithdrawn,
+    RunEnded,
+    RunStarted,
 )
-from flintshift.door.promises import CalendarBounds
-from flintshift.door.shares import FIRST_MS, PLACE_BYTES, Bounds, Shares
-from flintshift.door.surges import Surges, Told
+from flintshift.fair_queueing.overload import OverloadDetector, OverloadEvent
+from flintshift.fair_queueing.reservations import CalendarBounds
 
 
-def weighed(settings: api.Settings) -> Weighed:
+def weighed(settings: api.Settings) -> QueueSettings:
     """Clubs weigh as their quotas; a class is first taken to cost what the decisions take it to."""
-    return Weighed(
+    return QueueSettings(
         {tenant.name: tenant.quota_per_s for tenant in settings.tenants if tenant.quota_per_s > 0},
         settings.cores,
         {kind.name: INITIAL_RUN_SHARE * kind.aim_ms for kind in settings.classes},
@@ -47,25 +47,25 @@
 
     def __init__(self, settings: api.Settings, limits: Limits, counters: Counters, now_ms: Callable[[], float]) -> None:
         self.counters, self.now_ms, self.draw = counters, now_ms, random.random
-        bounds = Bounds(
+        bounds = QueueBounds(
             limits.max_known_callers,
             limits.caller_buckets,
             limits.max_tracked_requests,
             limits.bucket_rekey_interval_ms,
             CalendarBounds(limits.reservation_slot_ms, limits.reservation_slots, limits.reservations_per_slot),
         )
-        self.shares = Shares(weighed(settings), os.urandom(16), bounds)
+        self.shares = FairQueue(weighed(settings), os.urandom(16), bounds)
         self.rank_ms = self.shares.rank_ms  # asked for all that is held at each choice: no call between
-        self.surges = Surges(self.shares.weights, now_ms())
+        self.surges = OverloadDetector(self.shares.weights, now_ms())
         self.log: Log = log_nothing
 
     def shown(self) -> dict[str, Any]:
         """How the clubs stand, for operators."""
         return {
-            "clubs": [asdict(one) for one in self.shares.shown()],
-            "places": self.shares.places,
-            "most_places": self.shares.most_places,
-            "bytes_at_most": self.shares.places * PLACE_BYTES,
+            "clubs": [asdict(one) for one in self.shares.status()],
+            "places": self.shares.entries,
+            "most_places": self.shares.max_entries,
+            "bytes_at_most": self.shares.entries * MAX_ENTRY_BYTES,
         }
 
     def refuses(self, settings: api.Settings) -> str | None:
@@ -74,37 +74,37 @@
 
     def change(self, settings: api.Settings) -> None:
         self.shares.handle(self.now_ms(), weighed(settings))
-        self._tell(self.surges.weigh(self.now_ms(), self.shares.weights))
+        self._tell(self.surges.set_weights(self.now_ms(), self.shares.weights))
 
     def on_arrival(self, attempt: Attempt) -> None:
         self.shares.handle(
             self.now_ms(),
-            Arrived(attempt.id, attempt.tenant, attempt.caller, attempt.class_name, attempt.marked_repeat),
+            RequestArrived(attempt.id, attempt.tenant, attempt.caller, attempt.class_name, attempt.marked_repeat),
         )
-        self.surges.asked(attempt.tenant, self.shares.cost_ms.get(attempt.class_name, FIRST_MS))
+        self.surges.record_arrival(attempt.tenant, self.shares.class_cost_ms.get(attempt.class_name, DEFAULT_COST_MS))
 
     def on_start(self, request: str) -> None:
-        self.shares.handle(self.now_ms(), Began(request))
+        self.shares.handle(self.now_ms(), RunStarted(request))
 
     def on_withdrawal(self, request: str) -> None:
-        self.shares.handle(self.now_ms(), Left(request))
+        self.shares.handle(self.now_ms(), RequestWithdrawn(request))
 
     def retry_after_ms(self, attempt: Attempt, least_ms: float, most_ms: float) -> float:
-        self.surges.turned_away(attempt.tenant)
-        (told,) = self.shares.handle(self.now_ms(), TurnedAway(attempt.id, least_ms, most_ms, self.draw()))
-        self.counters.add("door.promised" if told.promised else "door.not_promised")
+        self.surges.record_rejection(attempt.tenant)
+        (told,) = self.shares.handle(self.now_ms(), RequestRejected(attempt.id, least_ms, most_ms, self.draw()))
+        self.counters.add("door.promised" if told.reserved else "door.not_promised")
         return told.wait_ms
 
     def on_end(self, request: str, took_ms: float) -> None:
-        self.shares.handle(self.now_ms(), Ended(request, took_ms))
+        self.shares.handle(self.now_ms(), RunEnded(request, took_ms))
 
     def tick(self) -> None:
         self._tell(self.surges.tick(self.now_ms()))
 
-    def _tell(self, all_told: list[Told]) -> None:
+    def _tell(self, all_told: list[OverloadEvent]) -> None:
         for told in all_told:
             match told:
-                case SurgeBegan(club, times, turned_away):
+                case OverloadStarted(club, times, turned_away):
                     self.counters.add("door.surges")
                     self.log(
                         "warning",
@@ -113,7 +113,7 @@
                         times_its_share=round(times, 1),
                         turned_away=turned_away,
                     )
-                case SurgeGoesOn(club, since_ms, times, turned_away):
+                case OverloadContinued(club, since_ms, times, turned_away):
                     self.log(
                         "warning",
                         "door.surge_goes_on",
@@ -122,7 +122,7 @@
                         times_its_share=round(times, 1),
                         turned_away=turned_away,
                     )
-                case SurgeEnded(club, lasted_ms, most, turned_away):
+                case OverloadEnded(club, lasted_ms, most, turned_away):
                     self.log(
                         "info",
                         "door.surge_ended",
