--- a/flintshift/lifecycle/durable_state.py
+++ b/flintshift/lifecycle/durable_state.py
@@ -44,7 +44,7 @@
         replicated=copies is not None and copies.copies > 1,
     )
     try:
-        return retry.outlast(open_step)
+        return retry.run_with_retries(open_step)
     except OPEN_ERRORS as error:
         raise ConfigError(f"the usage ledger can't be opened: {error}") from error
 
@@ -82,7 +82,7 @@
         may_have_predecessor=config.control is not None,
     )
     try:
-        return retry.outlast(open_step)
+        return retry.run_with_retries(open_step)
     except OPEN_ERRORS as error:
         raise ConfigError(f"the folder of copies can't be used: {error}") from error
 
@@ -94,6 +94,6 @@
         ConfigError: the folder can't be used, or not in time.
     """
     try:
-        retry.outlast(partial(replication.replicate_ledger, ledger, options))
+        retry.run_with_retries(partial(replication.replicate_ledger, ledger, options))
     except OPEN_ERRORS as error:
         raise ConfigError(f"the folder of copies can't be used: {error}") from error
--- a/flintshift/lifecycle/event_loop.py
+++ b/flintshift/lifecycle/event_loop.py
@@ -39,7 +39,7 @@
         LoopError: it failed while ``main`` ran.
         Exception: whatever ``main`` raises.
     """
-    task = retry.outlast(partial(_begin, main))
+    task = retry.run_with_retries(partial(_begin, main))
     task.result()
 
 
--- a/flintshift/lifecycle/start_retry.py
+++ b/flintshift/lifecycle/start_retry.py
@@ -49,7 +49,7 @@
             self.warn(f"flintshift: not started yet: {cause}; it is tried again, for {left_s:.0f} s")
         return True
 
-    def outlast(self, step: Callable[[], Result]) -> Result:
+    def run_with_retries(self, step: Callable[[], Result]) -> Result:
         """Do a step before the event loop runs, and again while it fails for a reason that may pass.
 
         Raises:
--- a/tests/lifecycle/test_start_retry.py
+++ b/tests/lifecycle/test_start_retry.py
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("error", sorted(set(errno.errorcode) - PERMANENT_ERRNOS))
 def test_what_may_pass_is_tried_again(error):
     start = Start()
-    assert start.retry.outlast(failing(error, 20)) == 21
+    assert start.retry.run_with_retries(failing(error, 20)) == 21
     assert len(start.said) == 1 and "it is tried again, for 30 s" in start.said[0]
 
 
@@ -55,7 +55,7 @@
 def test_what_lasts_is_not_tried_again(error):
     start = Start()
     with pytest.raises(OSError, match="it failed"):
-        start.retry.outlast(failing(error))
+        start.retry.run_with_retries(failing(error))
     assert start.retry.tries == 1 and not start.said
 
 
@@ -64,14 +64,14 @@
     start.now_s += 25.0
     began_s = start.now_s
     with pytest.raises(OSError, match="it failed"):
-        start.retry.outlast(failing(errno.ENOBUFS))
+        start.retry.run_with_retries(failing(errno.ENOBUFS))
     assert 4.9 < start.now_s - began_s < 5.2
 
 
 def test_a_notice_to_leave_ends_the_tries():
     start = Start(lambda: start.now_s > 101.0)
     with pytest.raises(ToldToLeaveError):
-        start.retry.outlast(failing(errno.ENOBUFS))
+        start.retry.run_with_retries(failing(errno.ENOBUFS))
     assert start.now_s < 101.3
 
 
