--- a/flintshift/lifecycle/logs.py
+++ b/flintshift/lifecycle/logs.py
@@ -13,28 +13,28 @@
 from flintshift.wire.standard_error import StandardError
 
 LEVELS = ("debug", "info", "warning", "error")
-MOST_KNOWN = 1000  # kinds of events whose repeats are counted
+MAX_KNOWN_EVENTS = 1000  # kinds of events whose repeats are counted
 
 
-class Repeats:
+class RepeatFilter:
     """Lets an event through at most once in ``every_ms``; the next one tells how many were left out. Requests are
     no repeats of each other: what tells events apart is their name with the fields that are words."""
 
     def __init__(self, every_ms: float, now_ms: Callable[[], float]) -> None:
         self.every_ms, self.now_ms = every_ms, now_ms
-        self.known: dict[tuple[str, ...], tuple[float, int]] = {}  # when it was last written, and how many since
+        self.last_written: dict[tuple[str, ...], tuple[float, int]] = {}  # when it was last written, and how many since
 
     def __call__(self, logger: object, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
         if not self.every_ms:
             return event
         key = (str(event["event"]), str(event.get("request", "")), str(event.get("name", "")))
-        now, (last, left_out) = self.now_ms(), self.known.pop(key, (-self.every_ms, 0))
+        now, (last, left_out) = self.now_ms(), self.last_written.pop(key, (-self.every_ms, 0))
         if now - last < self.every_ms:
-            self.known[key] = last, left_out + 1
+            self.last_written[key] = last, left_out + 1
             raise structlog.DropEvent
-        if len(self.known) >= MOST_KNOWN:  # the one that was met longest ago goes
-            del self.known[next(iter(self.known))]
-        self.known[key] = now, 0
+        if len(self.last_written) >= MAX_KNOWN_EVENTS:  # the one that was met longest ago goes
+            del self.last_written[next(iter(self.last_written))]
+        self.last_written[key] = now, 0
         if left_out:
             event["left_out"] = left_out
         return event
@@ -52,7 +52,7 @@
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper("iso", utc=True),
-            Repeats(options.repeats_ms, lambda: time.monotonic() * 1000),
+            RepeatFilter(options.repeats_ms, lambda: time.monotonic() * 1000),
             show,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(options.level),
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -8,7 +8,7 @@
 import pytest
 import structlog
 
-from flintshift.lifecycle.logs import MOST_KNOWN, Repeats, open_log
+from flintshift.lifecycle.logs import MAX_KNOWN_EVENTS, RepeatFilter, open_log
 from flintshift.settings.options import LogOptions
 
 
@@ -32,7 +32,7 @@
 
 def test_repeats_are_suppressed_counted_and_bounded():
     now = [0.0]
-    repeats = Repeats(1000.0, lambda: now[0])
+    repeats = RepeatFilter(1000.0, lambda: now[0])
     assert repeats(None, "info", {"event": "a"}) == {"event": "a"}
     for _ in range(5):
         with pytest.raises(structlog.DropEvent):
@@ -40,9 +40,9 @@
     assert repeats(None, "info", {"event": "b"}) == {"event": "b"}
     now[0] = 1000.0
     assert repeats(None, "info", {"event": "a"}) == {"event": "a", "left_out": 5}
-    for number in range(3 * MOST_KNOWN):
+    for number in range(3 * MAX_KNOWN_EVENTS):
         repeats(None, "info", {"event": f"e{number}"})
-    assert len(repeats.known) <= MOST_KNOWN
+    assert len(repeats.last_written) <= MAX_KNOWN_EVENTS
 
 
 def test_a_line_that_cannot_be_written_is_counted():
