--- a/flintshift/cli/main.py
+++ b/flintshift/cli/main.py
@@ -16,7 +16,7 @@
 from flintshift.cli.lab import lab
 from flintshift.cli.startup import startup
 from flintshift.cli.usage import usage
-from flintshift.lifecycle.config import embedded, load
+from flintshift.lifecycle.config import embedded_config, load
 
 EXIT_CODES = """\b
 Exit codes:
@@ -52,7 +52,7 @@
     """
     from flintshift.lifecycle.start import start
 
-    reread = partial(load, os.environ, settings) if os.environ.get("LB_CONFIG") else partial(embedded, settings)
+    reread = partial(load, os.environ, settings) if os.environ.get("LB_CONFIG") else partial(embedded_config, settings)
     sys.exit(start(reread))
 
 
--- a/flintshift/lifecycle/config.py
+++ b/flintshift/lifecycle/config.py
@@ -71,7 +71,7 @@
         raise ConfigError(f"{path}: {' '.join(str(error).split())}") from error
     except (ValueError, RecursionError) as error:
         raise TornError(f"{path}: {' '.join(str(error).split())}") from error
-    config = made(told, path, operators(operators_file), env.get("LB_CONTROL"))
+    config = config_from_document(told, path, operators(operators_file), env.get("LB_CONTROL"))
     return replace(config, limits=replace(config.limits, sockets=min(config.limits.sockets, open_files())))
 
 
@@ -104,14 +104,14 @@
     return sys.maxsize if soft == resource.RLIM_INFINITY else soft
 
 
-def embedded(operators_file: Path | None = None) -> Config:
+def embedded_config(operators_file: Path | None = None) -> Config:
     """The embedded default, for a node on one machine among the stand-ins of ``lab/``."""
     from flintshift.settings.embedded import configuration
 
-    return made(configuration(), "the embedded default", operators(operators_file))
+    return config_from_document(configuration(), "the embedded default", operators(operators_file))
 
 
-def made(told: Any, path: str, operators: Operators, control: str | None = None) -> Config:
+def config_from_document(told: Any, path: str, operators: Operators, control: str | None = None) -> Config:
     """A configuration of the platform's form, as JSON read it; ``path`` is for the words of faults, and ``control``
     the address of the control door where the file names none."""
     try:
--- a/tests/door/test_fair_door.py
+++ b/tests/door/test_fair_door.py
@@ -93,9 +93,9 @@
 
 def test_without_it_the_door_is_not_imported():
     text = (
-        "import sys, anyio\nfrom flintshift.lifecycle.config import embedded\n"
+        "import sys, anyio\nfrom flintshift.lifecycle.config import embedded_config\n"
         "from flintshift.lifecycle.node import Node\n"
-        "async def made(): assert Node(embedded(), embedded).fair is None\nanyio.run(made)\n"
+        "async def made(): assert Node(embedded_config(), embedded_config).fair is None\nanyio.run(made)\n"
         "print([name for name in sys.modules if 'door' in name and name.startswith('flintshift')])"
     )
     assert subprocess.run([sys.executable, "-c", text], capture_output=True).stdout == b"[]\n"
--- a/tests/lifecycle/test_reconfiguration.py
+++ b/tests/lifecycle/test_reconfiguration.py
@@ -8,12 +8,12 @@
 import pytest
 
 from flintshift.core.counters import Counters
-from flintshift.lifecycle.config import ConfigError, made
+from flintshift.lifecycle.config import ConfigError, config_from_document
 from flintshift.lifecycle.reconfiguration import Reconfiguration
 from flintshift.settings.embedded import configuration
 from flintshift.settings.operators import Operators
 
-BEFORE = made(configuration(), "FILE", Operators())
+BEFORE = config_from_document(configuration(), "FILE", Operators())
 
 
 class Part:
--- a/tests/settings/test_shape.py
+++ b/tests/settings/test_shape.py
@@ -10,7 +10,7 @@
 
 from flintshift.core.catalogue import Catalogue
 from flintshift.core.limits import Limits
-from flintshift.lifecycle.config import ConfigError, made
+from flintshift.lifecycle.config import ConfigError, config_from_document
 from flintshift.settings.embedded import configuration
 from flintshift.settings.operators import Operators
 from flintshift.settings.shape import fault, lost
@@ -95,7 +95,7 @@
 def test_each_fault_is_told_by_its_path(path, value):
     told = changed(path, value)
     with pytest.raises(ConfigError) as found:
-        made(told, "FILE", Operators())
+        config_from_document(told, "FILE", Operators())
     words = str(found.value)
     assert words.startswith("FILE: ") and "\n" not in words
     assert path.removeprefix("settings.") in words or "classes" in words
@@ -105,7 +105,7 @@
 def test_a_site_whose_requests_call_nothing_below_needs_no_vault(vault):
     told = changed("vault", vault)
     told["settings"]["familyInfo"]["callsByClass"] = [False] * len(told["settings"]["classes"])
-    assert made(told, "FILE", Operators()).vault is None
+    assert config_from_document(told, "FILE", Operators()).vault is None
 
 
 @pytest.mark.parametrize(
@@ -119,12 +119,12 @@
     ],
 )
 def test_what_is_null_is_not_told_and_a_whole_number_may_be_written_with_a_point(path, value):
-    assert made(changed(path, value), "FILE", Operators()).settings.servers >= 1
+    assert config_from_document(changed(path, value), "FILE", Operators()).settings.servers >= 1
 
 
 def test_a_file_cut_at_any_byte_is_never_taken():
     whole = json.dumps(configuration())
-    made(json.loads(whole), "FILE", Operators())
+    config_from_document(json.loads(whole), "FILE", Operators())
     for size in range(len(whole)):
         try:
             told = json.loads(whole[:size])
@@ -147,7 +147,7 @@
         dropped_class_grace_ms=2500.0, max_repeat_delay_ms=5000.0, lost_run_timeout_ms=100.0, max_dropped_classes=2
     )
     now, later = (
-        made(told, "FILE", Operators()).settings
+        config_from_document(told, "FILE", Operators()).settings
         for told in (configuration(), changed("settings.classes.3.name", "submit-time-next"))
     )
     book = Catalogue(now, limits)
@@ -162,13 +162,13 @@
     assert book.purge(30_000) and book.find_class("submit-time-next") is None
     for number in range(3):  # no more may be remembered than there is room for
         names = changed("settings.classes.3.name", f"c{number}")
-        wrong = book.change(made(names, "FILE", Operators()).settings, 40_000)
+        wrong = book.change(config_from_document(names, "FILE", Operators()).settings, 40_000)
     assert wrong is not None and "may be" in wrong and "c2" not in book.active_classes
 
 
 def test_what_tells_how_the_process_began_outlasts_a_change():
     told = configuration()
     told["settings"]["familyInfo"]["cold"] = True
-    book = Catalogue(made(told, "FILE", Operators()).settings, Limits())
-    book.change(made(configuration(), "FILE", Operators()).settings, 0)
+    book = Catalogue(config_from_document(told, "FILE", Operators()).settings, Limits())
+    book.change(config_from_document(configuration(), "FILE", Operators()).settings, 0)
     assert book.effective_settings.cold
