--- a/flintshift/lifecycle/consensus_in_upgrade.py
+++ b/flintshift/lifecycle/consensus_in_upgrade.py
@@ -22,7 +22,7 @@
 
     def __init__(self, upgrade: Upgrade, claims: ReplicatedClaims) -> None:
         self.upgrade, self.claims = upgrade, claims
-        upgrade.keys_elsewhere = True
+        upgrade.keys_replicated = True
 
     def in_doubt(self, attempt: Attempt) -> bool:
         return self.claims.in_doubt(attempt)
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -93,7 +93,7 @@
         self.phases = PhaseMachine(False, 0.0, 0.0)
         self.used_ms = 0.0
         self.meeting = anyio.CancelScope()
-        self.keys_elsewhere = False  # keys are agreed with the whole fleet: nothing of them is told here
+        self.keys_replicated = False  # keys are agreed with the whole fleet: nothing of them is told here
         self.opened = anyio.Event()  # a successor may come
         self.sockets: list[socket.socket] = []  # where callers connect, in the order of the fronts
 
@@ -298,7 +298,7 @@
                 self._send(word)
             case SendEntries():
                 if self.link is not None:
-                    self.link.send_entries(iter(()) if self.keys_elsewhere else self.shared.owned_entries())
+                    self.link.send_entries(iter(()) if self.keys_replicated else self.shared.owned_entries())
             case StartAccepting():
                 self.node.take_clients()
             case StopAccepting():
@@ -327,7 +327,7 @@
         window = max((kind.repeat_window_ms for kind in settings.classes), default=0.0)
         for front, _ in self.node.fronts:
             front.other_process_open_count = 0
-        if not self.keys_elsewhere:
+        if not self.keys_replicated:
             self._do(self.shared.on_peer_exit(self.now_ms(), partial, window, settings.marks_repeats))
 
     def _do(self, steps: list[Step]) -> None:
