--- a/flintshift/lifecycle/drain.py
+++ b/flintshift/lifecycle/drain.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from flintshift.core.attempts import Notice
+from flintshift.core.attempts import ShutdownNotice
 from flintshift.core.decisions import Decisions
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log, log_nothing
@@ -63,7 +63,7 @@
         """No connection is taken any more, and all that were are closed."""
         return all(front.finished for front in self.fronts)
 
-    async def run(self, grace_ms: float, kill_ms: float, succeeded: bool, notice_age_ms: float = 0.0) -> None:
+    async def run(self, grace_ms: float, kill_ms: float, successor_serves: bool, notice_age_ms: float = 0.0) -> None:
         """Until all that was read is answered and all connections are closed, ``kill_ms`` after the notice at the
         latest. ``grace_ms``: how long after the notice new work may still be run, as the settings tell. ``succeeded``:
         another process of this node takes the clients already. ``notice_age_ms``: how long ago the notice arrived,
@@ -72,9 +72,9 @@
         last_ms = notice_ms + kill_ms - self.limits.stop_margin_ms
         for front in self.fronts:
             front.drain()
-        await self.decisions.report(Notice(max(0.0, last_ms - self.now_ms())))
+        await self.decisions.report(ShutdownNotice(max(0.0, last_ms - self.now_ms())))
         self._tell("drain.began", notice_ms, kill_ms=kill_ms)
-        if not succeeded:
+        if not successor_serves:
             await self._until(lambda: False, min(notice_ms + grace_ms, last_ms - self.limits.stop_accepting_ms))
         for front in self.fronts:
             front.stop_listening(self.alone())
--- a/tests/wire/test_closing.py
+++ b/tests/wire/test_closing.py
@@ -369,7 +369,7 @@
             drain = Drain([harness.front], harness.decisions, harness.limits, now_ms)
             raw = harness.connect()  # queued: the event loop has no turn before the front finishes
             raw.send(PING)
-            await drain.run(grace_ms=0.0, kill_ms=2000.0, succeeded=False)
+            await drain.run(grace_ms=0.0, kill_ms=2000.0, successor_serves=False)
             assert harness.counters["http.checks"] == 1 and harness.front.finished  # the node ends its tasks next
             caller = await open_caller(raw)
             assert (await caller.reply()).status == 200
