--- a/flintshift/lab/model.py
+++ b/flintshift/lab/model.py
@@ -22,7 +22,7 @@
 from flintshift.core.counters import Counters
 from flintshift.core.decisions import Decisions
 from flintshift.core.limits import Limits
-from flintshift.lifecycle.fair_door import FairDoor
+from flintshift.lifecycle.fair_queueing import FairQueueing
 
 BEGINS_MS = 1000.0  # the clock, at the start
 
@@ -63,9 +63,9 @@
             Catalogue(settings, limits), 1, limits, self.counters, self.clock, self._wake_at, lambda: None
         )
         self.decisions.runs.workers = {"pool": self}
-        self.fair: FairDoor | None = None
+        self.fair: FairQueueing | None = None
         if fair:
-            self.fair = FairDoor(settings, limits, self.counters, self.clock)
+            self.fair = FairQueueing(settings, limits, self.counters, self.clock)
             self.fair.log = lambda level, event, **more: self.log.append((level, event, more))
             self.decisions.use_ranking(self.fair)
         self.decisions.handle(WorkersUp())
--- a/flintshift/lifecycle/fair_door.py
+++ b/flintshift/lifecycle/fair_queueing.py
@@ -42,7 +42,7 @@
     )
 
 
-class FairDoor:
+class FairQueueing:
     """The decision planner's port (``core.ports.FairRanking``)."""
 
     def __init__(self, settings: api.Settings, limits: Limits, counters: Counters, now_ms: Callable[[], float]) -> None:
--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -47,10 +47,10 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from flintshift.lifecycle.fair_door import FairDoor
+    from flintshift.lifecycle.fair_queueing import FairQueueing
     from flintshift.lifecycle.replication import ReplicationService
+    from flintshift.lifecycle.start_monitor import Starting
     from flintshift.lifecycle.start_permits import StartPermits
-    from flintshift.lifecycle.starting import Starting
     from flintshift.lifecycle.upgrade import Upgrade
     from flintshift.lifecycle.usage_recording import LedgerRecorder
     from flintshift.startup.backoff import Uniform
@@ -109,12 +109,12 @@
     def _wire_operators(self, options: Operators) -> None:
         """The parts that the operators' file switches on; each is imported only then."""
         self.ledger: Ledger | None = None
-        self.books: LedgerRecorder | None = None
-        self.fair: FairDoor | None = None
-        self.copying: ReplicationService | None = None
-        self.starting: Starting | None = None
-        self.permits: StartPermits | None = None
-        self.door: ControlFront | None = None
+        self.usage_recorder: LedgerRecorder | None = None
+        self.fair_queueing: FairQueueing | None = None
+        self.replication: ReplicationService | None = None
+        self.start_monitor: Starting | None = None
+        self.start_permits: StartPermits | None = None
+        self.control_front: ControlFront | None = None
         self.upgrade: Upgrade | None = None
         if options.uwsgi is not None:
             self._open_second_front(options.uwsgi)
@@ -139,11 +139,11 @@
             self.log,
             self.warn,
         )
-        reconfiguration.followers += [part for part in (self.books, self.fair) if part is not None]
+        reconfiguration.followers += [part for part in (self.usage_recorder, self.fair_queueing) if part is not None]
         return reconfiguration
 
     def _open_second_front(self, options: UwsgiOptions) -> None:
-        from flintshift.lifecycle.second_front import second_front
+        from flintshift.lifecycle.uwsgi_wiring import second_front
 
         second = second_front(
             self.config.name,
@@ -169,13 +169,13 @@
             front.log = self.log if requests_too else None
 
     def _rank_clubs(self, options: DoorOptions) -> None:
-        from flintshift.lifecycle.fair_door import FairDoor
+        from flintshift.lifecycle.fair_queueing import FairQueueing
 
-        self.fair = FairDoor(self.config.settings, self.limits, self.counters, self.now_ms)
-        self.fair.log = self.log
-        self.decisions.use_ranking(self.fair)
+        self.fair_queueing = FairQueueing(self.config.settings, self.limits, self.counters, self.now_ms)
+        self.fair_queueing.log = self.log
+        self.decisions.use_ranking(self.fair_queueing)
         if options.socket is not None:
-            self._show(options.socket, "door", self.fair.shown, "how the clubs stand")
+            self._show(options.socket, "door", self.fair_queueing.shown, "how the clubs stand")
 
     def _show(self, path: Path, name: str, shown: Callable[[], Any], what: str) -> None:
         """Let whoever asks at a Unix socket know how a part stands."""
@@ -187,14 +187,14 @@
         from flintshift.lifecycle.upgrade import Upgrade
         from flintshift.wire.control_front import ControlFront
 
-        self.door = ControlFront(self, self.limits, self.counters, self.now_ms)
-        self.door.log = self.log
+        self.control_front = ControlFront(self, self.limits, self.counters, self.now_ms)
+        self.control_front.log = self.log
         self.upgrade = Upgrade(self)
         self.decisions.waiting_claims.claims = self.upgrade
-        if self.copying is not None:
+        if self.replication is not None:
             from flintshift.lifecycle.consensus_in_upgrade import ConsensusInUpgrade
 
-            self.decisions.waiting_claims.claims = ConsensusInUpgrade(self.upgrade, self.copying.claims)
+            self.decisions.waiting_claims.claims = ConsensusInUpgrade(self.upgrade, self.replication.claims)
         for front, _ in self.fronts:
             front.pause_accepting()  # until it is known that this process takes the clients
 
@@ -203,7 +203,7 @@
         from flintshift.lifecycle.usage_recording import LedgerRecorder
 
         self.ledger = open_ledger(self.config, options, self.log, self.retry)
-        books = self.books = LedgerRecorder(self.ledger, self.config.settings, self.now_ms.steady_ms)
+        books = self.usage_recorder = LedgerRecorder(self.ledger, self.config.settings, self.now_ms.steady_ms)
         self.decisions.runs.usage_recorder = books
         for front, _ in self.fronts:
             front.usage_recorder = books
@@ -222,20 +222,20 @@
         )
         if self.ledger is not None and self.config.operators.usage is not None and options.copies > 1:
             replicate_ledger(copying, self.ledger, self.config.operators.usage, self.retry)
-        self.copying = copying
+        self.replication = copying
         self.decisions.waiting_claims.claims, self.decisions.waiting_claims.may_run_elsewhere = copying.claims, True
         self.actors.append(copying.run)
         self._show(options.folder / STATUS_SOCKET, "copies", copying.status, "how the copies stand")
 
     def _watch_start(self, options: StartupOptions) -> None:
-        from flintshift.lifecycle.starting import Starting
+        from flintshift.lifecycle.start_monitor import Starting
         from flintshift.startup.phases import NodeState
 
         settings = self.config.settings
-        if options.at_once is not None and self.copying is not None:
-            self.permits = self.copying.create_start_permits(options.at_once, self.uniform, self.tell_lists)
-        permits = self.permits
-        starting = self.starting = Starting(
+        if options.at_once is not None and self.replication is not None:
+            self.start_permits = self.replication.create_start_permits(options.at_once, self.uniform, self.tell_lists)
+        permits = self.start_permits
+        starting = self.start_monitor = Starting(
             options,
             settings.cold_ms if settings.cold else 0.0,
             lambda: NodeState(
@@ -261,8 +261,8 @@
                 # Told to leave before it served, it does not begin: the kill follows the notice, not its reading.
                 if not signals.told_to_leave():
                     signals.release()
-                    if self.starting is not None:
-                        await self._unless_told(received, self.starting.wait)
+                    if self.start_monitor is not None:
+                        await self._unless_told(received, self.start_monitor.wait)
                     if not self.leave.is_set():
                         await self._serve(received)
             finally:
@@ -271,8 +271,8 @@
                     await self.ledger.close()
             if self.failed is not None:
                 raise self.failed
-            if self.starting is not None:
-                self.starting.well()
+            if self.start_monitor is not None:
+                self.start_monitor.well()
             self._leave_nothing()
             self.log("info", "node.left", open=self.decisions.unanswered)
 
@@ -307,9 +307,9 @@
             for (front, _), listener in zip(self.fronts, listeners, strict=True):
                 tasks.start_soon(front.serve, listener, tasks)
                 tasks.start_soon(front.sweep)
-            if self.door is not None:
+            if self.control_front is not None:
                 for door in doors:
-                    tasks.start_soon(self.door.serve, door, tasks)
+                    tasks.start_soon(self.control_front.serve, door, tasks)
             self.bound = True
             self.log("info", "node.listening", listen=[f"{host}:{port}" for _, (host, port) in self.fronts])
             tasks.start_soon(self._heed, received, self.leave)
@@ -412,11 +412,11 @@
         if self.upgrade is not None and not self.upgrade.phases.accepts_clients:
             return  # the other process tells
         if (
-            self.permits is not None
+            self.start_permits is not None
             and posture.workers_up
             and not posture.draining
             and self.alone()
-            and not self.permits.may_proceed()
+            and not self.start_permits.may_proceed()
         ):
             return  # told again once it may
         if posture.workers_up or posture.draining:
--- a/tests/door/test_fair_door.py
+++ b/tests/door/test_fair_door.py
@@ -95,8 +95,8 @@
     text = (
         "import sys, anyio\nfrom flintshift.lifecycle.config import embedded_config\n"
         "from flintshift.lifecycle.node import Node\n"
-        "async def made(): assert Node(embedded_config(), embedded_config).fair is None\nanyio.run(made)\n"
-        "print([name for name in sys.modules if 'door' in name and name.startswith('flintshift')])"
+        "async def made(): assert Node(embedded_config(), embedded_config).fair_queueing is None\nanyio.run(made)\n"
+        "print([name for name in sys.modules if ('door' in name or 'fair' in name) and name.startswith('flintshift')])"
     )
     assert subprocess.run([sys.executable, "-c", text], capture_output=True).stdout == b"[]\n"
 
--- a/tests/lifecycle/test_descriptors.py
+++ b/tests/lifecycle/test_descriptors.py
@@ -15,7 +15,7 @@
 from test_signals import site, started  # noqa: F401
 
 from flintshift.core.limits import Limits
-from flintshift.lifecycle.config import load, config_from_document, operators
+from flintshift.lifecycle.config import config_from_document, load, operators
 from flintshift.lifecycle.node import Node
 from flintshift.settings.embedded import configuration
 
--- a/tests/wire/test_control_front.py
+++ b/tests/wire/test_control_front.py
@@ -171,7 +171,7 @@
     script = (
         "import sys, anyio\nfrom flintshift.lifecycle.config import embedded_config\n"
         "from flintshift.lifecycle.node import Node\n"
-        "async def made(): assert Node(embedded_config(), embedded_config).door is None\n"
+        "async def made(): assert Node(embedded_config(), embedded_config).control_front is None\n"
         "anyio.run(made)\nprint('flintshift.wire.control_front' in sys.modules)"
     )
     assert subprocess.run([sys.executable, "-c", script], cwd=ROOT, capture_output=True).stdout == b"False\n"
