--- a/flintshift/lifecycle/node.py
+++ b/flintshift/lifecycle/node.py
@@ -259,14 +259,14 @@
         with received.receiving():
             try:
                 # Told to leave before it served, it does not begin: the kill follows the notice, not its reading.
-                if not signals.told_to_leave():
-                    signals.release()
+                if not signals.shutdown_pending():
+                    signals.unblock()
                     if self.start_monitor is not None:
                         await self._unless_told(received, self.start_monitor.wait)
                     if not self.leave.is_set():
                         await self._serve(received)
             finally:
-                signals.hold()
+                signals.block()
                 if self.ledger is not None:
                     await self.ledger.close()
             if self.failed is not None:
@@ -292,7 +292,9 @@
         async def listen() -> None:
             listeners.extend(await self._listeners())
             if self.config.control is not None:
-                doors.append(await open_listener_with_retries(self.config.control, self.limits, self.retry.again))
+                doors.append(
+                    await open_listener_with_retries(self.config.control, self.limits, self.retry.should_retry)
+                )
 
         await self._unless_told(received, listen)
         if len(listeners) != len(self.fronts) or (self.config.control is not None and not doors):
@@ -314,14 +316,14 @@
             self.log("info", "node.listening", listen=[f"{host}:{port}" for _, (host, port) in self.fronts])
             tasks.start_soon(self._heed, received, self.leave)
             await self.leave.wait()
-            notice_age_ms = received.notice_age_ms()
-            self.log("info", "node.leaving", stop_ms=self.limits.stop_ms, heard_after_ms=round(notice_age_ms))
+            shutdown_notice_age_ms = received.shutdown_notice_age_ms()
+            self.log("info", "node.leaving", stop_ms=self.limits.stop_ms, heard_after_ms=round(shutdown_notice_age_ms))
             if self.failed is None:
                 await self.drain.run(
                     self.config.settings.drain_grace_ms,
                     kill_after_ms(self.limits.stop_ms, self.decisions.catalogue.effective_settings.classes),
                     self.upgrade is not None and self.upgrade.shedding,
-                    notice_age_ms,
+                    shutdown_notice_age_ms,
                 )
             if self.upgrade is not None:
                 await self.upgrade.close()
@@ -442,7 +444,8 @@
     async def _listeners(self) -> list[Acceptor]:
         if self.upgrade is None:
             return [
-                Acceptor(await open_listener_with_retries(at, self.limits, self.retry.again)) for _, at in self.fronts
+                Acceptor(await open_listener_with_retries(at, self.limits, self.retry.should_retry))
+                for _, at in self.fronts
             ]
         await self.upgrade.begin()
         return [Acceptor(raw) for raw in self.upgrade.sockets]
--- a/flintshift/lifecycle/reconfiguration.py
+++ b/flintshift/lifecycle/reconfiguration.py
@@ -10,7 +10,7 @@
 from flintshift.core.decisions import Decisions
 from flintshift.core.ports import Log
 from flintshift.interface import Settings
-from flintshift.lifecycle.config import Config, ConfigError, TornError, UnreadableError
+from flintshift.lifecycle.config import Config, ConfigError, IncompleteFileError, UnreadableFileError
 from flintshift.settings.shape import lost
 from flintshift.wire.names import NameService
 from flintshift.wire.pool import PoolLink
@@ -73,7 +73,7 @@
 
     def _later(self, error: ConfigError) -> float | None:
         """Whether reading it once more may help, and when: soon at first, as whoever writes a file is soon done."""
-        if not isinstance(error, UnreadableError | TornError):
+        if not isinstance(error, UnreadableFileError | IncompleteFileError):
             return None
         return AGAIN_S if self.again_s is None else min(2 * self.again_s, AGAIN_MOST_S)
 
--- a/flintshift/lifecycle/start_retry.py
+++ b/flintshift/lifecycle/start_retry.py
@@ -1,4 +1,4 @@
-"""Tries again, within the time that a start has, what fails for a reason that may pass."""
+"""Retries steps of a start that fail for a transient reason, within the time that a start has."""
 
 from __future__ import annotations
 
@@ -13,63 +13,66 @@
 
 Result = TypeVar("Result")
 
-WAIT_S = Limits().start_retry_delay_ms / 1000  # between two tries
+RETRY_DELAY_S = Limits().start_retry_delay_ms / 1000
 
 
-class ToldToLeaveError(Exception):
-    """The notice to leave came while a step of the start was tried again."""
+class ShutdownRequestedError(Exception):
+    """A shutdown notice arrived while a step of the start was retried."""
 
 
 class StartRetry:
-    """One for all steps of a start: its time counts from the start of the process, not of the step. Seconds are of the
-    monotonic clock."""
+    """Decides which failures of a start are retried; one object serves all steps of the start.
+
+    Its time counts from the start of the process, not of the step. Seconds are of the monotonic clock."""
 
     def __init__(
         self,
-        most_s: float = Limits().ready_timeout_ms / 1000,
+        max_s: float = Limits().ready_timeout_ms / 1000,
         monotonic_s: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], None] = time.sleep,
-        told_to_leave: Callable[[], bool] = signals.told_to_leave,
+        shutdown_pending: Callable[[], bool] = signals.shutdown_pending,
         warn: Callable[[str], None] = write_line,
     ) -> None:
-        self.monotonic_s, self.sleep, self.told_to_leave, self.warn = monotonic_s, sleep, told_to_leave, warn
-        self.latest_s = monotonic_s() + most_s
-        self.told: set[str] = set()  # causes; each is told once
-        self.tries = 0  # that failed, of all steps
-
-    def again(self, error: OSError) -> bool:
-        """Whether what failed so is to be tried again after ``WAIT_S``; a cause that is new is told."""
-        self.tries += 1
-        left_s = self.latest_s - self.monotonic_s()
-        if not is_transient(error) or left_s <= 0:
+        self.monotonic_s, self.sleep, self.shutdown_pending, self.warn = monotonic_s, sleep, shutdown_pending, warn
+        self.deadline_s = monotonic_s() + max_s
+        self.reported_causes: set[str] = set()  # each cause is reported once
+        self.failed_tries = 0  # of all steps
+
+    def should_retry(self, error: OSError) -> bool:
+        """Return whether a step that failed with this error is to be retried after ``RETRY_DELAY_S``.
+
+        A new cause is reported."""
+        self.failed_tries += 1
+        remaining_s = self.deadline_s - self.monotonic_s()
+        if not is_transient(error) or remaining_s <= 0:
             return False
         cause = str(error)
-        if cause not in self.told:
-            self.told.add(cause)
-            self.warn(f"flintshift: not started yet: {cause}; it is tried again, for {left_s:.0f} s")
+        if cause not in self.reported_causes:
+            self.reported_causes.add(cause)
+            self.warn(f"flintshift: not started yet: {cause}; it is tried again, for {remaining_s:.0f} s")
         return True
 
     def run_with_retries(self, step: Callable[[], Result]) -> Result:
-        """Do a step before the event loop runs, and again while it fails for a reason that may pass.
+        """Run a step before the event loop runs, and again while it fails for a transient reason.
 
         Raises:
-            OSError: as the step does, where that lasts or there is no time left.
-            ToldToLeaveError: a notice to leave is held.
+            OSError: the step's failure, if it is permanent or no time remains.
+            ShutdownRequestedError: a shutdown notice is pending.
         """
         while True:
             try:
                 return step()
             except OSError as error:
-                if not self.again(error):
+                if not self.should_retry(error):
                     raise
-            self.pause(WAIT_S)
+            self.pause(RETRY_DELAY_S)
 
     def pause(self, seconds: float) -> None:
         """Wait before the next try.
 
         Raises:
-            ToldToLeaveError: a notice to leave is held.
+            ShutdownRequestedError: a shutdown notice is pending.
         """
-        if self.told_to_leave():
-            raise ToldToLeaveError
+        if self.shutdown_pending():
+            raise ShutdownRequestedError
         self.sleep(seconds)
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -124,7 +124,7 @@
             try:
                 self.sockets = [open_listener(at_, self.limits.listen_backlog) for _, at_ in self.node.fronts]
             except OSError as error:  # held by one that leaves and gives no word any more, or refused for a moment
-                if not self.node.retry.again(error):
+                if not self.node.retry.should_retry(error):
                     raise
                 await anyio.sleep(self.limits.start_retry_delay_ms / 1000)
         if self.phases.phase is Phase.ALONE:
@@ -137,7 +137,7 @@
         """Go by the clock of the process that serves: windows are told by it."""
         for word in link.early_messages:
             if isinstance(word, Welcome) and word.clock_ahead_ms is not None:
-                self.now_ms.join(word.clock_ahead_ms)
+                self.now_ms.adopt_offset(word.clock_ahead_ms)
 
     async def run(self) -> None:
         async with anyio.create_task_group() as links:
--- a/tests/lifecycle/test_clock.py
+++ b/tests/lifecycle/test_clock.py
@@ -95,7 +95,7 @@
         times.go_on(0.04)
         times.unix += 0.04 * 500e-6  # the most that a system slews by
         clock()
-    assert not clock.past
+    assert not clock.past_epochs
     assert clock.age_ms(times.unix * 1000) == pytest.approx(0.0, abs=0.01)
 
 
--- a/tests/lifecycle/test_configuration.py
+++ b/tests/lifecycle/test_configuration.py
@@ -14,7 +14,7 @@
 from standins import REQUEST_BYTES, ROOT, SETTINGS, request_fields
 
 from flintshift.__main__ import main
-from flintshift.lifecycle.start_retry import ToldToLeaveError
+from flintshift.lifecycle.start_retry import ShutdownRequestedError
 
 pytestmark = pytest.mark.anyio
 
@@ -83,7 +83,7 @@
 
     def new_event_loop():
         held.append(signal.pthread_sigmask(signal.SIG_BLOCK, ()))
-        raise ToldToLeaveError
+        raise ShutdownRequestedError
 
     monkeypatch.setattr(uvloop, "new_event_loop", new_event_loop)
     monkeypatch.setattr(sys, "argv", ["flintshift"])
--- a/tests/lifecycle/test_descriptors.py
+++ b/tests/lifecycle/test_descriptors.py
@@ -15,7 +15,7 @@
 from test_signals import site, started  # noqa: F401
 
 from flintshift.core.limits import Limits
-from flintshift.lifecycle.config import config_from_document, load, operators
+from flintshift.lifecycle.config import config_from_document, load, load_operators
 from flintshift.lifecycle.node import Node
 from flintshift.settings.embedded import configuration
 
@@ -50,7 +50,7 @@
     path.write_text(f"uwsgi:\n  enabled: {str(uwsgi).lower()}\n")
 
     async def most() -> int:
-        config = config_from_document(configuration(), "FILE", operators(path))
+        config = config_from_document(configuration(), "FILE", load_operators(path))
         return Node(config, lambda: config).fronts[0][0].max_connections
 
     limits = Limits()
--- a/tests/lifecycle/test_signals.py
+++ b/tests/lifecycle/test_signals.py
@@ -220,9 +220,9 @@
 async def test_the_notice_to_leave_is_dated_at_its_arrival_however_late_the_loop_takes_it():
     queue = SignalQueue()
     with queue.receiving():
-        assert queue.notice_age_ms() == 0.0
+        assert queue.shutdown_notice_age_ms() == 0.0
         os.kill(os.getpid(), signal.SIGTERM)
         time.sleep(0.2)  # the event loop is held
         os.kill(os.getpid(), signal.SIGTERM)
         assert await queue.take() is signal.SIGTERM
-        assert 200.0 <= queue.notice_age_ms() < 400.0  # of the first: the kill follows that one
+        assert 200.0 <= queue.shutdown_notice_age_ms() < 400.0  # of the first: the kill follows that one
--- a/tests/lifecycle/test_start_retry.py
+++ b/tests/lifecycle/test_start_retry.py
@@ -12,9 +12,9 @@
 import uvloop
 
 from flintshift.lifecycle import event_loop
-from flintshift.lifecycle.config import ConfigError, TornError, UnreadableError, first_configuration, load
+from flintshift.lifecycle.config import ConfigError, IncompleteFileError, UnreadableFileError, load, load_at_start
 from flintshift.lifecycle.signal_queue import SignalQueue
-from flintshift.lifecycle.start_retry import StartRetry, ToldToLeaveError
+from flintshift.lifecycle.start_retry import ShutdownRequestedError, StartRetry
 from flintshift.settings.embedded import configuration
 from flintshift.wire.failures import PERMANENT_ERRNOS
 
@@ -24,9 +24,9 @@
 class Start:
     """A start on a clock of its own, and what it says."""
 
-    def __init__(self, told_to_leave=lambda: False):
+    def __init__(self, shutdown_pending=lambda: False):
         self.now_s, self.said = 100.0, []
-        self.retry = StartRetry(30.0, lambda: self.now_s, self.sleep, told_to_leave, self.said.append)
+        self.retry = StartRetry(30.0, lambda: self.now_s, self.sleep, shutdown_pending, self.said.append)
 
     def sleep(self, seconds):
         self.now_s += seconds
@@ -56,7 +56,7 @@
     start = Start()
     with pytest.raises(OSError, match="it failed"):
         start.retry.run_with_retries(failing(error))
-    assert start.retry.tries == 1 and not start.said
+    assert start.retry.failed_tries == 1 and not start.said
 
 
 def test_all_steps_share_the_time_of_the_start():
@@ -70,7 +70,7 @@
 
 def test_a_notice_to_leave_ends_the_tries():
     start = Start(lambda: start.now_s > 101.0)
-    with pytest.raises(ToldToLeaveError):
+    with pytest.raises(ShutdownRequestedError):
         start.retry.run_with_retries(failing(errno.ENOBUFS))
     assert start.now_s < 101.3
 
@@ -122,13 +122,13 @@
 def test_a_file_that_is_being_written_is_read_once_it_is_whole(tmp_path):
     start = Start()
     steps = [(0.0, ""), (0.9, WHOLE[:100]), (1.9, WHOLE[:900]), (2.9, WHOLE)]
-    assert first_configuration(texts(tmp_path / "config", start, *steps), start.retry).name
+    assert load_at_start(texts(tmp_path / "config", start, *steps), start.retry).name
 
 
 def test_a_file_that_stays_torn_ends_the_start_soon(tmp_path):
     start = Start()
-    with pytest.raises(TornError, match="Expecting"):
-        first_configuration(texts(tmp_path / "config", start, (0.0, "{")), start.retry)
+    with pytest.raises(IncompleteFileError, match="Expecting"):
+        load_at_start(texts(tmp_path / "config", start, (0.0, "{")), start.retry)
     assert start.now_s <= 101.0
 
 
@@ -137,17 +137,17 @@
 
     def reread():
         if start.now_s < 104.0:
-            raise UnreadableError("config", OSError(errno.EIO, "Input/output error"))
+            raise UnreadableFileError("config", OSError(errno.EIO, "Input/output error"))
         return "read"
 
-    assert first_configuration(reread, start.retry) == "read"
+    assert load_at_start(reread, start.retry) == "read"
     assert "Input/output error" in start.said[0]
 
 
 def test_a_file_that_is_not_there_ends_the_start_at_once(tmp_path):
     start = Start()
     with pytest.raises(ConfigError, match="No such file"):
-        first_configuration(lambda: load({"LB_CONFIG": str(tmp_path / "none")}), start.retry)
+        load_at_start(lambda: load({"LB_CONFIG": str(tmp_path / "none")}), start.retry)
     assert start.now_s == 100.0
 
 
