--- a/flintshift/lifecycle/fair_queueing.py
+++ b/flintshift/lifecycle/fair_queueing.py
@@ -1,5 +1,6 @@
-"""The fair queues at the node's side: what the decision planner asks and tells the door's heart. Imported only where
-the door is on.
+"""Connects the fair queues to the decision planner, the counters and the log.
+
+Imported only if the operators' file switches the fair queues on.
 """
 
 from __future__ import annotations
@@ -32,8 +33,10 @@
 from flintshift.door.surges import Surges, Told
 
 
-def weighed(settings: api.Settings) -> Weighed:
-    """Clubs weigh as their quotas; a class is first taken to cost what the decisions take it to."""
+def weights_from(settings: api.Settings) -> Weighed:
+    """Return the weights of clubs, which are their quotas, and the initial cost of each class.
+
+    A class costs at first what the decisions assume for a run of it."""
     return Weighed(
         {tenant.name: tenant.quota_per_s for tenant in settings.tenants if tenant.quota_per_s > 0},
         settings.cores,
@@ -43,10 +46,10 @@
 
 
 class FairQueueing:
-    """The decision planner's port (``core.ports.FairRanking``)."""
+    """Implements ``core.ports.FairRanking`` for the decision planner, and reports the surges of clubs."""
 
     def __init__(self, settings: api.Settings, limits: Limits, counters: Counters, now_ms: Callable[[], float]) -> None:
-        self.counters, self.now_ms, self.draw = counters, now_ms, random.random
+        self.counters, self.now_ms, self.random_unit = counters, now_ms, random.random
         bounds = Bounds(
             limits.max_known_callers,
             limits.caller_buckets,
@@ -54,27 +57,28 @@
             limits.bucket_rekey_interval_ms,
             CalendarBounds(limits.reservation_slot_ms, limits.reservation_slots, limits.reservations_per_slot),
         )
-        self.shares = Shares(weighed(settings), os.urandom(16), bounds)
-        self.rank_ms = self.shares.rank_ms  # asked for all that is held at each choice: no call between
+        self.shares = Shares(weights_from(settings), os.urandom(16), bounds)
+        self.rank_ms = self.shares.rank_ms  # called for every queued request at each choice, so without a wrapper
         self.surges = Surges(self.shares.weights, now_ms())
         self.log: Log = log_nothing
 
-    def shown(self) -> dict[str, Any]:
-        """How the clubs stand, for operators."""
+    def status(self) -> dict[str, Any]:
+        """Return the state of the clubs, for operators."""
         return {
-            "clubs": [asdict(one) for one in self.shares.shown()],
+            "clubs": [asdict(club) for club in self.shares.shown()],
             "places": self.shares.places,
             "most_places": self.shares.most_places,
             "bytes_at_most": self.shares.places * PLACE_BYTES,
         }
 
     def refuses(self, settings: api.Settings) -> str | None:
-        """It can go by any settings that the decisions take."""
+        """Return None: the fair queues can work by any settings that the decisions accept."""
         return None
 
     def change(self, settings: api.Settings) -> None:
-        self.shares.handle(self.now_ms(), weighed(settings))
-        self._tell(self.surges.weigh(self.now_ms(), self.shares.weights))
+        """Work by these settings from now on."""
+        self.shares.handle(self.now_ms(), weights_from(settings))
+        self._report_surges(self.surges.weigh(self.now_ms(), self.shares.weights))
 
     def on_arrival(self, attempt: Attempt) -> None:
         self.shares.handle(
@@ -89,45 +93,45 @@
     def on_withdrawal(self, request: str) -> None:
         self.shares.handle(self.now_ms(), Left(request))
 
-    def retry_after_ms(self, attempt: Attempt, least_ms: float, most_ms: float) -> float:
+    def retry_after_ms(self, attempt: Attempt, min_ms: float, max_ms: float) -> float:
         self.surges.turned_away(attempt.tenant)
-        (told,) = self.shares.handle(self.now_ms(), TurnedAway(attempt.id, least_ms, most_ms, self.draw()))
-        self.counters.add("door.promised" if told.promised else "door.not_promised")
-        return told.wait_ms
+        (reservation,) = self.shares.handle(self.now_ms(), TurnedAway(attempt.id, min_ms, max_ms, self.random_unit()))
+        self.counters.add("door.promised" if reservation.promised else "door.not_promised")
+        return reservation.wait_ms
 
     def on_end(self, request: str, took_ms: float) -> None:
         self.shares.handle(self.now_ms(), Ended(request, took_ms))
 
     def tick(self) -> None:
-        self._tell(self.surges.tick(self.now_ms()))
+        self._report_surges(self.surges.tick(self.now_ms()))
 
-    def _tell(self, all_told: list[Told]) -> None:
-        for told in all_told:
-            match told:
-                case SurgeBegan(club, times, turned_away):
+    def _report_surges(self, reports: list[Told]) -> None:
+        for report in reports:
+            match report:
+                case SurgeBegan(club, times_share, turned_away):
                     self.counters.add("door.surges")
                     self.log(
                         "warning",
                         "door.surge_began",
                         club=club,
-                        times_its_share=round(times, 1),
+                        times_its_share=round(times_share, 1),
                         turned_away=turned_away,
                     )
-                case SurgeGoesOn(club, since_ms, times, turned_away):
+                case SurgeGoesOn(club, since_ms, times_share, turned_away):
                     self.log(
                         "warning",
                         "door.surge_goes_on",
                         club=club,
                         since_s=round(since_ms / 1000),
-                        times_its_share=round(times, 1),
+                        times_its_share=round(times_share, 1),
                         turned_away=turned_away,
                     )
-                case SurgeEnded(club, lasted_ms, most, turned_away):
+                case SurgeEnded(club, lasted_ms, max_times_share, turned_away):
                     self.log(
                         "info",
                         "door.surge_ended",
                         club=club,
                         lasted_s=round(lasted_ms / 1000, 1),
-                        most_times_its_share=round(most, 1),
+                        most_times_its_share=round(max_times_share, 1),
                         turned_away=turned_away,
                     )
--- a/flintshift/lifecycle/leftovers.py
+++ b/flintshift/lifecycle/leftovers.py
@@ -1,4 +1,4 @@
-"""What a process of the node leaves behind at its exit: nothing, where each part ended what it had begun."""
+"""Counts what a process of the node leaves behind at its exit: nothing, if each part ended what it had begun."""
 
 from __future__ import annotations
 
@@ -12,21 +12,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Leftovers:
-    requests: int  # read, and neither answered nor left by their callers
-    connections: int  # of callers, that their front still holds
-    tasks: int  # of the event loop, but for the one that looks
+    """The numbers of objects that are left behind, by their kind."""
+
+    requests: int  # that were read, are not answered, and whose callers still wait
+    connections: int  # of callers, that their front still has
+    tasks: int  # of the event loop, except the task that counts them
 
     @property
-    def none(self) -> bool:
-        return self == NOTHING
+    def is_empty(self) -> bool:
+        return self == NO_LEFTOVERS
 
 
-NOTHING = Leftovers(0, 0, 0)
+NO_LEFTOVERS = Leftovers(0, 0, 0)
 
 
-def leftovers(fronts: Sequence[Front], decisions: Decisions) -> Leftovers:
-    """Look once all tasks that serve have ended."""
-    others = asyncio.all_tasks() - {asyncio.current_task()}
+def count_leftovers(fronts: Sequence[Front], decisions: Decisions) -> Leftovers:
+    """Count what is left behind, once all tasks that serve have ended."""
+    other_tasks = asyncio.all_tasks() - {asyncio.current_task()}
     return Leftovers(
-        decisions.unanswered, sum(len(front.connections) for front in fronts), sum(not task.done() for task in others)
+        decisions.unanswered,
+        sum(len(front.connections) for front in fronts),
+        sum(not task.done() for task in other_tasks),
     )
--- a/flintshift/lifecycle/logs.py
+++ b/flintshift/lifecycle/logs.py
@@ -1,4 +1,7 @@
-"""Structured logging: one event a line on standard error, as JSON or as text. Imported only where it is on."""
+"""Structured logging: one event per line on standard error, as JSON or as text.
+
+Imported only if the log is on.
+"""
 
 from __future__ import annotations
 
@@ -17,22 +20,25 @@
 
 
 class RepeatFilter:
-    """Lets an event through at most once in ``every_ms``; the next one tells how many were left out. Requests are
-    no repeats of each other: what tells events apart is their name with the fields that are words."""
+    """A structlog processor that passes an event at most once in ``interval_ms``, with the number of those dropped.
+
+    Events are the same if their name and their ``request`` and ``name`` fields are. So events of different requests are
+    no repeats of each other."""
 
-    def __init__(self, every_ms: float, now_ms: Callable[[], float]) -> None:
-        self.every_ms, self.now_ms = every_ms, now_ms
-        self.last_written: dict[tuple[str, ...], tuple[float, int]] = {}  # when it was last written, and how many since
+    def __init__(self, interval_ms: float, now_ms: Callable[[], float]) -> None:
+        self.interval_ms, self.now_ms = interval_ms, now_ms
+        # For each event: when it was last written, and how many were dropped since.
+        self.last_written: dict[tuple[str, ...], tuple[float, int]] = {}
 
     def __call__(self, logger: object, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        if not self.every_ms:
+        if not self.interval_ms:
             return event
         key = (str(event["event"]), str(event.get("request", "")), str(event.get("name", "")))
-        now, (last, left_out) = self.now_ms(), self.last_written.pop(key, (-self.every_ms, 0))
-        if now - last < self.every_ms:
-            self.last_written[key] = last, left_out + 1
+        now, (written_ms, left_out) = self.now_ms(), self.last_written.pop(key, (-self.interval_ms, 0))
+        if now - written_ms < self.interval_ms:
+            self.last_written[key] = written_ms, left_out + 1
             raise structlog.DropEvent
-        if len(self.last_written) >= MAX_KNOWN_EVENTS:  # the one that was met longest ago goes
+        if len(self.last_written) >= MAX_KNOWN_EVENTS:  # removes the one that occurred longest ago
             del self.last_written[next(iter(self.last_written))]
         self.last_written[key] = now, 0
         if left_out:
@@ -41,8 +47,8 @@
 
 
 def open_log(options: LogOptions, node: str, sink: Any = None) -> tuple[Log, bool]:
-    """The log, and whether it takes events of single requests."""
-    show = (
+    """Return the log, and whether it takes events of single requests."""
+    renderer = (
         structlog.processors.JSONRenderer()
         if options.format == "json"
         else structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "node", "event"])
@@ -53,20 +59,20 @@
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper("iso", utc=True),
             RepeatFilter(options.repeats_ms, lambda: time.monotonic() * 1000),
-            show,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(options.level),
         node=node,
     )
 
-    lost = 0  # lines that could not be written
+    lost_lines = 0  # that could not be written
 
     def log(level: str, event: str, **fields: Any) -> None:
-        nonlocal lost
+        nonlocal lost_lines
         try:
-            getattr(logger, level)(event, **({**fields, "lines_lost": lost} if lost else fields))
-            lost = 0
+            getattr(logger, level)(event, **({**fields, "lines_lost": lost_lines} if lost_lines else fields))
+            lost_lines = 0
         except (OSError, ValueError):  # a log on a full disk or a closed pipe must not end the node
-            lost += 1
+            lost_lines += 1
 
     return log, options.level == "debug"
--- a/flintshift/lifecycle/reconfiguration.py
+++ b/flintshift/lifecycle/reconfiguration.py
@@ -1,4 +1,4 @@
-"""A new configuration in a running node: taken as a whole or not at all, while what is open goes on as it was."""
+"""Applies a new configuration to a running node, completely or not at all; open requests continue as before."""
 
 from __future__ import annotations
 
@@ -16,24 +16,26 @@
 from flintshift.wire.pool import PoolLink
 from flintshift.wire.vault import VaultLink
 
-AGAIN_S, AGAIN_MOST_S = 0.5, 30.0  # the waits before a file is read once more: the first, and the longest
+REREAD_DELAY_S, MAX_REREAD_DELAY_S = 0.5, 30.0  # before a file is read again: the first delay and the longest
 
-STANDING = ("name", "listen", "control", "seed", "limits", "gauge_names", "operators")
-"""Of a configuration: what a running node can't change. A new one that differs in it is taken without it."""
+FIXED_FIELDS = ("name", "listen", "control", "seed", "limits", "gauge_names", "operators")
+"""The fields of a configuration that a running node can't change: a new configuration is applied without them."""
 
 
-class Follower(Protocol):
-    """A part that goes by the settings beside the decisions."""
+class SettingsFollower(Protocol):
+    """A part that works by the settings, besides the decisions."""
 
     def refuses(self, settings: Settings) -> str | None:
-        """Why it can't go by these; None: it can."""
+        """Return why the part can't work by these settings; None: it can."""
 
     def change(self, settings: Settings) -> None:
-        """Go by these from now on."""
+        """Work by these settings from now on."""
 
 
 class Reconfiguration:
-    """``reread`` gives the configuration as it stands now; ``tell_lists`` has the node's lists told anew."""
+    """Reloads the configuration of a node.
+
+    ``reread`` loads the configuration as it is now; ``report_to_lists`` reports the node's state to its lists again."""
 
     def __init__(
         self,
@@ -42,72 +44,76 @@
         pool: PoolLink,
         vault: VaultLink,
         names: NameService,
-        tell_lists: Callable[[], None],
+        report_to_lists: Callable[[], None],
         counters: Counters,
         log: Log,
         warn: Callable[[str], None],
     ) -> None:
         self.reread, self.decisions = reread, decisions
         self.pool, self.vault, self.names = pool, vault, names
-        self.tell_lists, self.counters, self.log, self.warn = tell_lists, counters, log, warn
-        self.followers: list[Follower] = []
-        self.again_s: float | None = None  # after how long to read once more what could not be read, or was not whole
+        self.report_to_lists, self.counters, self.log, self.warn = report_to_lists, counters, log, warn
+        self.followers: list[SettingsFollower] = []
+        # The delay before a file that could not be read, or was not complete, is read again.
+        self.reread_delay_s: float | None = None
 
     def reload(self, before: Config) -> Config:
-        """Take the configuration as it stands now; returns the one that the node goes by from now on."""
+        """Apply the configuration as it is now, and return the one that the node runs by from now on."""
         try:
             config = self.reread()
-            self._change(before, config)
+            self._apply_settings(before, config)
         except ConfigError as error:
-            self.again_s = self._later(error)
+            self.reread_delay_s = self._next_reread_delay_s(error)
             self.warn(f"the configuration stays: {error}")
             self.log("error", "node.configuration_stays", cause=str(error))
             self.counters.add("reload.unreadable")
             return before
-        self.again_s = None
+        self.reread_delay_s = None
         self.counters.add("reload.taken")
         self.log("info", "node.configuration_taken", classes=sorted(self.decisions.catalogue.active_classes))
-        self._move(config)
-        self._tell_of_what_stays(before, config)
-        return replace(config, **{name: getattr(before, name) for name in STANDING})
+        self._apply_addresses(config)
+        self._report_fixed_fields(before, config)
+        return replace(config, **{name: getattr(before, name) for name in FIXED_FIELDS})
+
+    def _next_reread_delay_s(self, error: ConfigError) -> float | None:
+        """Return the delay before reading again, or None if that can't help.
 
-    def _later(self, error: ConfigError) -> float | None:
-        """Whether reading it once more may help, and when: soon at first, as whoever writes a file is soon done."""
+        The first delay is short, as a file that is being written is soon complete."""
         if not isinstance(error, UnreadableFileError | IncompleteFileError):
             return None
-        return AGAIN_S if self.again_s is None else min(2 * self.again_s, AGAIN_MOST_S)
+        return REREAD_DELAY_S if self.reread_delay_s is None else min(2 * self.reread_delay_s, MAX_REREAD_DELAY_S)
 
-    def _change(self, before: Config, config: Config) -> None:
-        """Go by other settings.
+    def _apply_settings(self, before: Config, config: Config) -> None:
+        """Apply new settings to the decisions and to all followers.
 
         Raises:
-            ConfigError: they can't be taken, and nothing of them was.
+            ConfigError: they can't be applied, and nothing of them was.
         """
         missing = lost(config.told, before.told)
         if missing is not None:
             raise ConfigError(missing)
         for follower in self.followers:
-            wrong = follower.refuses(config.settings)
-            if wrong is not None:
-                raise ConfigError(wrong)
-        wrong = self.decisions.change(config.settings)
-        if wrong is not None:
-            raise ConfigError(wrong)
+            problem = follower.refuses(config.settings)
+            if problem is not None:
+                raise ConfigError(problem)
+        problem = self.decisions.change(config.settings)
+        if problem is not None:
+            raise ConfigError(problem)
         for follower in self.followers:
             follower.change(config.settings)
 
-    def _move(self, config: Config) -> None:
-        """Use the addresses that it names."""
+    def _apply_addresses(self, config: Config) -> None:
+        """Move the links to the addresses in the configuration."""
         if config.pool != self.pool.address:
             self.pool.move(config.pool)
         self.vault.move(config.vault)
         if config.naming != self.names.address:
             self.names.move(config.naming)
             if self.decisions.serving_status.workers_up:
-                self.tell_lists()
+                self.report_to_lists()
 
-    def _tell_of_what_stays(self, before: Config, config: Config) -> None:
-        for name in STANDING:
+    def _report_fixed_fields(self, before: Config, config: Config) -> None:
+        """Report the fields whose change is not applied."""
+        for name in FIXED_FIELDS:
             if getattr(config, name) != getattr(before, name):
                 self.warn(f"{name} stays as it was at the start: it can't change while the node runs")
                 self.log("warning", "node.setting_stays", setting=name)
--- a/flintshift/lifecycle/start_monitor.py
+++ b/flintshift/lifecycle/start_monitor.py
@@ -1,5 +1,7 @@
-"""The start of a node as operators see it: its phases as events and at a socket, and a crash loop that is slowed where
-a folder lasts. Imported only where `startup:` is on; the rules are `startup/phases.py` and `startup/crash_loops.py`.
+"""Monitors the start of a node: reports its phases as events and at a socket, and slows down crash loops.
+
+Crash loops are slowed down only if a folder for the start history is configured. Imported only if `startup:` is on; the
+rules are in `startup/phases.py` and `startup/crash_loops.py`.
 """
 
 from __future__ import annotations
@@ -20,83 +22,85 @@
 from flintshift.storage import snapshot
 from flintshift.storage.files import DiskFiles, Files
 
-LOOK_S = 0.05  # between two looks, until service is steady
-FILE = "lives.json"
+CHECK_INTERVAL_S = 0.05  # between two checks of the node's state, until service is steady
+HISTORY_FILE = "lives.json"
+
 
+class StartMonitor:
+    """Follows the phases of a start.
 
-class Starting:
-    """``seen`` tells how the node stands; ``steady`` is called once the start is over."""
+    ``node_state`` returns the state that the phases depend on; ``on_steady`` is called when the start has ended."""
 
     def __init__(
         self,
         options: StartupOptions,
         cold_ms: float,
-        seen: Callable[[], NodeState],
-        steady: Callable[[], None],
+        node_state: Callable[[], NodeState],
+        on_steady: Callable[[], None],
         uniform: Uniform,
         counters: Counters,
         log: Log,
         files: Files | None = None,
     ) -> None:
-        self.options, self.seen, self.steady, self.uniform = options, seen, steady, uniform
+        self.options, self.node_state, self.on_steady, self.uniform = options, node_state, on_steady, uniform
         self.counters, self.log = counters, log
         self.files = files or DiskFiles()
-        self.phases = Phases(self._now(), cold_ms)
-        self.entered: list[dict[str, Any]] = []
-        self.began_ms: float | None = None  # this life, where it is remembered
-        self.waited_ms, self.failures = 0.0, 0
+        self.phases = Phases(self._now_ms(), cold_ms)
+        self.entered_phases: list[dict[str, Any]] = []
+        self.start_wall_ms: float | None = None  # of this start, while the history has it without a success
+        self.crash_loop_wait_ms, self.failures = 0.0, 0
 
     @staticmethod
-    def _now() -> float:
+    def _now_ms() -> float:
         return time.monotonic() * 1000
 
-    async def wait(self) -> None:
-        """Before anything is asked of anybody."""
+    async def wait_out_crash_loop(self) -> None:
+        """Record this start, and wait if earlier ones failed, before the node sends anything to anybody."""
         wall_ms, folder = time.time() * 1000, self.options.folder
         if folder is None:
             return
-        loop = self._lives(folder)
-        failures, wait_ms = loop.count_failures(wall_ms), loop.wait_ms(wall_ms, self.uniform)
-        self.failures, self.began_ms = failures, wall_ms
-        self._keep(folder, loop.with_start(wall_ms))
+        history = self._read_history(folder)
+        failures, wait_ms = history.count_failures(wall_ms), history.wait_ms(wall_ms, self.uniform)
+        self.failures, self.start_wall_ms = failures, wall_ms
+        self._write_history(folder, history.with_start(wall_ms))
         if wait_ms:
-            self.waited_ms = wait_ms
+            self.crash_loop_wait_ms = wait_ms
             self.counters.add("startup.crash_loops")
             self.log(
                 "error",
                 "startup.crash_loop",
                 failures=failures,
                 wait_ms=round(wait_ms),
-                cause="the lives before ended without steady service and without a notice to leave",
+                cause="earlier starts ended without steady service and without a shutdown notice",
             )
             await anyio.sleep(wait_ms / 1000)
-            self.phases = Phases(self._now(), self.phases.cold_ms)
+            self.phases = Phases(self._now_ms(), self.phases.cold_ms)
 
-    def well(self) -> None:
-        """This life has come to steady service, or leaves in good order."""
-        folder, began_ms = self.options.folder, self.began_ms
-        if folder is not None and began_ms is not None:
-            self.began_ms = None
-            # an upgrade's other process may have begun a life
-            self._keep(folder, self._lives(folder).with_success(began_ms))
+    def record_success(self) -> None:
+        """Record that this process has reached steady service, or stops after a shutdown notice."""
+        folder, start_wall_ms = self.options.folder, self.start_wall_ms
+        if folder is not None and start_wall_ms is not None:
+            self.start_wall_ms = None
+            # The file is read again, as the other process of an upgrade may have recorded a start.
+            self._write_history(folder, self._read_history(folder).with_success(start_wall_ms))
 
-    def _lives(self, folder: Path) -> StartHistory:
+    def _read_history(self, folder: Path) -> StartHistory:
         try:
             self.files.make_folder(folder)
-            if FILE in self.files.names(folder):
-                return StartHistory.decode(self.files.read(folder / FILE))
+            if HISTORY_FILE in self.files.names(folder):
+                return StartHistory.decode(self.files.read(folder / HISTORY_FILE))
         except OSError as error:
-            self._not_kept(error)
+            self._on_history_failure(error)
         return StartHistory([])
 
-    def _keep(self, folder: Path, loop: StartHistory) -> None:
+    def _write_history(self, folder: Path, history: StartHistory) -> None:
         try:
-            snapshot.publish(self.files, folder / FILE, loop.encode())
+            snapshot.publish(self.files, folder / HISTORY_FILE, history.encode())
         except OSError as error:
-            self._not_kept(error)
+            self._on_history_failure(error)
 
-    def _not_kept(self, error: OSError) -> None:
-        """A start must not fail for it."""
+    def _on_history_failure(self, error: OSError) -> None:
+        """Report that the start history can't be read or written: that must not fail a start."""
         self.counters.add("startup.not_kept")
         self.log(
             "warning",
@@ -107,17 +111,18 @@
         )
 
     async def run(self) -> None:
+        """Follow the phases until service is steady."""
         while self.phases.phase is not Phase.STEADY:
-            for action in self.phases.handle(self._now(), self.seen()):
+            for action in self.phases.handle(self._now_ms(), self.node_state()):
                 match action:
                     case PhaseEntered(phase, after_ms, waited_for):
-                        told = {
+                        fields = {
                             "phase": phase.name.lower(),
                             "after_ms": round(after_ms),
                             "waited_for": list(waited_for),
                         }
-                        self.entered.append(told)
-                        self.log("info", "startup.phase", **told)
+                        self.entered_phases.append(fields)
+                        self.log("info", "startup.phase", **fields)
                     case PhaseOverdue(phase, after_ms, waits_for):
                         self.counters.add("startup.late")
                         self.log(
@@ -127,19 +132,20 @@
                             after_ms=round(after_ms),
                             waits_for=list(waits_for),
                         )
-            await anyio.sleep(LOOK_S)
-        self.well()
-        self.steady()
+            await anyio.sleep(CHECK_INTERVAL_S)
+        self.record_success()
+        self.on_steady()
 
-    def shown(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
+        """Return the state of the start, for operators."""
         phases = self.phases
         return {
             "phase": phases.phase.name.lower(),
             "ready": phases.ready,
             "asks": services_in_use(phases.phase),
-            "for_ms": round(self._now() - phases.since_ms),
+            "for_ms": round(self._now_ms() - phases.since_ms),
             "waits_for": list(phases.waited_for),
-            "entered": self.entered,
-            "crash_loop_wait_ms": round(self.waited_ms),
+            "entered": self.entered_phases,
+            "crash_loop_wait_ms": round(self.crash_loop_wait_ms),
             "lives_that_ended_badly": self.failures,
         }
--- a/flintshift/lifecycle/status_socket.py
+++ b/flintshift/lifecycle/status_socket.py
@@ -1,5 +1,6 @@
-"""A Unix socket for operators: whoever connects is told how a part of the node stands, as one JSON object. Imported
-only where such a part is on.
+"""A Unix socket for operators: each connection receives the status of a part of the node, as one JSON object.
+
+Imported only if such a part is on.
 """
 
 from __future__ import annotations
@@ -19,53 +20,58 @@
 
 
 class StatusSocket:
-    """An actor of the node. Where the path can't be had, that is told once, the node serves without, and tries
-    again: a successor gets the path as the process before it ends.
+    """An actor of the node that serves one status socket.
+
+    If it can't listen at its path, it reports that once and tries again, and the node serves without it. The successor
+    in an upgrade gets the path when its predecessor ends.
     """
 
     def __init__(
         self,
         path: Path,
         part: str,
-        shown: Callable[[], dict[str, Any]],
-        what: str,
+        status: Callable[[], dict[str, Any]],
+        description: str,
         limits: Limits,
         counters: Counters,
         warn: Callable[[str], None],
     ) -> None:
-        """``part`` names the counters, ``shown`` gives what is told, ``what`` says what that is."""
-        self.path, self.part, self.shown, self.what = path, part, shown, what
+        """``part`` begins the names of the counters, ``status`` returns the object that is sent, and ``description``
+        names it in warnings."""
+        self.path, self.part, self.status, self.description = path, part, status, description
         self.limits, self.counters, self.warn = limits, counters, warn
-        self.told = ""  # why there was no path, last
+        self.reported_cause = ""  # of the last failure to listen
 
     async def run(self) -> None:
+        """Serve the socket until cancelled."""
         while True:
             cause = await self._serve()
-            if cause != self.told:
+            if cause != self.reported_cause:
                 self.counters.add(f"{self.part}.no_socket")
-                self.warn(f"nobody is told {self.what}: {self.path}: {cause}; it is tried again")
-                self.told = cause
+                self.warn(f"{self.description} can't be shown: {self.path}: {cause}; it is tried again")
+                self.reported_cause = cause
             await anyio.sleep(self.limits.status_listen_retry_delay_ms / 1000)
 
     async def _serve(self) -> str:
-        """Until cancelled; else why it can't."""
+        """Serve until cancelled; return the cause if the socket can't listen."""
         try:
             if is_listening(self.path):
                 return "another process listens there"
-            listening = await SocketListener.from_socket(open_unix_listener(self.path))
-        except (OSError, ValueError) as error:  # ValueError: what the system said of the socket can't be
+            status_listener = await SocketListener.from_socket(open_unix_listener(self.path))
+        except (OSError, ValueError) as error:  # ValueError: the system reported an impossible state of the socket
             return str(error)
-        async with listening as listener:
+        async with status_listener as listener:
             try:
                 while True:
-                    await self._answer(listener)
-            finally:  # before the socket closes: after it, the path may be a successor's
+                    await self._send_status(listener)
+            finally:  # before the socket closes: later the path may be that of a successor
                 self.path.unlink(missing_ok=True)
 
-    async def _answer(self, listener: SocketListener) -> None:
+    async def _send_status(self, listener: SocketListener) -> None:
+        """Accept a connection, and send it the status."""
         try:
             stream = await listener.accept()
-        except OSError:  # for want of descriptors, say: that must not end the node
+        except OSError:  # such as a lack of descriptors, which must not end the node
             self.counters.add(f"{self.part}.accept_failed")
             await anyio.sleep(self.limits.backoff_ms / 1000)
             return
@@ -73,6 +79,6 @@
         try:
             async with stream:
                 with anyio.move_on_after(self.limits.status_write_timeout_ms / 1000):
-                    await stream.send(json.dumps(self.shown()).encode() + b"\n")
+                    await stream.send(json.dumps(self.status()).encode() + b"\n")
         except CONNECTION_ERRORS:
             self.counters.add(f"{self.part}.show_broken")
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -1,5 +1,7 @@
-"""The wiring of an upgrade: what the phase machine and the agreement on keys answer is done here, by turns of the
-decision planner. Imported only where a control address is set.
+"""Connects the state machines of an upgrade to the node: performs the actions of the phase machine and of the shared
+keys, in turns of the decision planner.
+
+Imported only if a control address is configured.
 """
 
 from __future__ import annotations
@@ -61,8 +63,8 @@
 from flintshift.wire.unix import open_unix_listener
 
 
-class Host(Protocol):
-    """The node, as far as its upgrade needs it."""
+class UpgradedNode(Protocol):
+    """What an upgrade needs of its node."""
 
     config: Config
     limits: Limits
@@ -74,100 +76,103 @@
 
     @property
     def now_ms(self) -> Clock: ...
-    def take_clients(self) -> None: ...
-    def leave_clients(self) -> None: ...
-    def tell_lists(self) -> None: ...
-    def give_up(self, error: OSError) -> None: ...
+    def start_accepting(self) -> None: ...
+    def stop_accepting(self) -> None: ...
+    def report_to_lists(self) -> None: ...
+    def abort_start(self, error: OSError) -> None: ...
     def warn(self, text: str) -> None: ...
 
 
 class Upgrade:
-    """Both sides of the handover, as the decision planner's port (``core.ports.Claims``)."""
+    """Runs either side of a handover, and implements ``core.ports.Claims`` for the decision planner."""
 
-    def __init__(self, node: Host) -> None:
+    def __init__(self, node: UpgradedNode) -> None:
         self.node, self.limits, self.log = node, node.limits, node.log
         self.decisions, self.now_ms = node.decisions, node.now_ms
         self.shared = SharedKeys(node.decisions.keys, node.limits)
         self.path = handover_socket_path(node.config.name, node.config.listen)
         self.link: HandoverLink | None = None
         self.phases = PhaseMachine(False, 0.0, 0.0)
-        self.used_ms = 0.0
-        self.meeting = anyio.CancelScope()
-        self.keys_replicated = False  # keys are agreed with the whole fleet: nothing of them is told here
-        self.opened = anyio.Event()  # a successor may come
-        self.sockets: list[socket.socket] = []  # where callers connect, in the order of the fronts
+        self.load_reported_ms = 0.0
+        self.link_scope = anyio.CancelScope()
+        self.keys_replicated = False  # if set, claims are agreed by the fleet, and the two processes exchange none
+        self.successor_allowed = anyio.Event()  # from then on this process listens for a successor
+        self.sockets: list[socket.socket] = []  # the listeners for callers, in the order of the fronts
 
     # Start.
 
     async def begin(self) -> None:
-        """Meet the process that serves, or bind the addresses as the first one.
+        """Connect to the process that serves, or bind the addresses as the first process.
 
         Raises:
-            UpgradeError, OSError: neither can be done.
+            UpgradeError, OSError: neither is possible.
         """
         settings = self.node.config.settings
-        runs_ms = max(kind.aim_ms for kind in settings.classes)  # what runs longer is rare, and answered by then
-        calls_ms = settings.call_window_ms + settings.linger_ms
+        run_lifetime_ms = max(kind.aim_ms for kind in settings.classes)  # longer runs are rare, and answered by then
+        call_lifetime_ms = settings.call_window_ms + settings.linger_ms
         while not self.sockets:
             self.link = await join_predecessor(self.path, self.limits)
             if self.link is not None:
-                self.phases = PhaseMachine(True, runs_ms, calls_ms)
+                self.phases = PhaseMachine(True, run_lifetime_ms, call_lifetime_ms)
                 self.sockets = self.link.sockets
-                self._join_clock(self.link)
+                self._adopt_clock(self.link)
                 if len(self.sockets) != len(self.node.fronts):
                     raise UpgradeError(
                         f"the process that serves has {len(self.sockets)} fronts, this one "
                         f"{len(self.node.fronts)}: change them at a restart"
                     )
                 break
-            self.phases = PhaseMachine(False, runs_ms, calls_ms)
+            self.phases = PhaseMachine(False, run_lifetime_ms, call_lifetime_ms)
             try:
-                self.sockets = [open_listener(at_, self.limits.listen_backlog) for _, at_ in self.node.fronts]
-            except OSError as error:  # held by one that leaves and gives no word any more, or refused for a moment
+                self.sockets = [open_listener(address, self.limits.listen_backlog) for _, address in self.node.fronts]
+            except OSError as error:  # in use by a process that stops and no longer answers, or a transient failure
                 if not self.node.retry.should_retry(error):
                     raise
                 await anyio.sleep(self.limits.start_retry_delay_ms / 1000)
         if self.phases.phase is Phase.ALONE:
-            self.opened.set()
+            self.successor_allowed.set()
             for front, _ in self.node.fronts:
                 front.resume_accepting()
         self.log("info", "upgrade.began", phase=self.phases.phase.value, path=str(self.path))
 
-    def _join_clock(self, link: HandoverLink) -> None:
-        """Go by the clock of the process that serves: windows are told by it."""
-        for word in link.early_messages:
-            if isinstance(word, Welcome) and word.clock_ahead_ms is not None:
-                self.now_ms.adopt_offset(word.clock_ahead_ms)
+    def _adopt_clock(self, link: HandoverLink) -> None:
+        """Adopt the clock of the process that serves: the times of windows in its messages are of that clock."""
+        for message in link.early_messages:
+            if isinstance(message, Welcome) and message.clock_ahead_ms is not None:
+                self.now_ms.adopt_offset(message.clock_ahead_ms)
 
     async def run(self) -> None:
+        """Run the link to a predecessor, and accept successors from the time that they are allowed."""
         async with anyio.create_task_group() as links:
             if self.link is not None:
-                links.start_soon(self._meet, self.link)
-            await self.opened.wait()
+                links.start_soon(self._run_link, self.link)
+            await self.successor_allowed.wait()
             try:
-                async with await self._meeting() as listener:
+                async with await self._listen_for_successor() as listener:
                     while True:
-                        await self._welcome(listener, links)
+                        await self._accept_successor(listener, links)
             finally:
                 self.path.unlink(missing_ok=True)
 
-    async def _meeting(self) -> SocketListener:
-        """Listen where a successor asks. While that can't be had the node serves, and can't be relieved."""
-        told = ""
+    async def _listen_for_successor(self) -> SocketListener:
+        """Listen at the path where a successor connects.
+
+        While that is not possible the node serves, and no successor can take over."""
+        reported_cause = ""
         while True:
             try:
                 return await SocketListener.from_socket(open_unix_listener(self.path))
-            except (OSError, ValueError) as error:  # ValueError: what the system said of the socket can't be
-                if str(error) != told:
-                    told = str(error)
+            except (OSError, ValueError) as error:  # ValueError: the system reported an impossible state of the socket
+                if str(error) != reported_cause:
+                    reported_cause = str(error)
                     self.node.counters.add("upgrade.no_path")
-                    self.node.warn(f"no successor can take over: {self.path}: {told}; it is tried again")
+                    self.node.warn(f"no successor can take over: {self.path}: {reported_cause}; it is tried again")
             await anyio.sleep(self.limits.status_listen_retry_delay_ms / 1000)
 
-    async def _welcome(self, listener: SocketListener, links: TaskGroup) -> None:
+    async def _accept_successor(self, listener: SocketListener, links: TaskGroup) -> None:
         try:
             stream = await listener.accept()
-        except OSError:  # for want of descriptors, say: that must not end the node
+        except OSError:  # such as a lack of descriptors, which must not end the node
             self.node.counters.add("upgrade.accept_failed")
             await anyio.sleep(self.limits.backoff_ms / 1000)
             return
@@ -181,69 +186,73 @@
             self.node.counters.add("upgrade.not_watched")
             await stream.aclose()
             return
-        # One that came and never said what it wants makes room: there is no more than one meeting at a time.
-        self.meeting.cancel()
+        # There is at most one link at a time. An earlier successor that connected and then sent nothing is dropped.
+        self.link_scope.cancel()
         self.link, link.sockets = link, self.sockets
-        links.start_soon(self._meet, link)
+        links.start_soon(self._run_link, link)
 
     async def close(self) -> None:
-        """This process ends in good order."""
+        """Close the link, at a graceful end of this process."""
         if self.link is not None:
             await self.link.close()
 
-    async def _meet(self, link: HandoverLink) -> None:
-        async def heard(word: Message) -> None:
-            await self.decisions.report(at.MessageReceived((link, word)))
+    async def _run_link(self, link: HandoverLink) -> None:
+        """Run a link until it ends, and report its messages and events to the decision planner."""
+
+        async def on_link_message(message: Message) -> None:
+            await self.decisions.report(at.MessageReceived((link, message)))
 
-        async def gone() -> None:
+        async def on_exit() -> None:
             await self.decisions.report(at.MessageReceived((link, PeerExited())))
 
-        async def ended(cause: str) -> None:
+        async def on_link_end(cause: str) -> None:
             self.log("info", "upgrade.link_ended", phase=self.phases.phase.value, cause=cause)
             await self.decisions.report(at.MessageReceived((link, LinkEnded(cause))))
 
-        with anyio.CancelScope() as self.meeting:
-            await link.run(heard, gone, ended)
+        with anyio.CancelScope() as self.link_scope:
+            await link.run(on_link_message, on_exit, on_link_end)
 
-    # The planner's port. All of it happens in a turn of the planner.
+    # The port of the decision planner, which calls all of it within its own turns.
 
-    def on_message(self, told: tuple[HandoverLink | None, Event]) -> None:
-        link, word = told
+    def on_message(self, report: tuple[HandoverLink | None, Event]) -> None:
+        """Handle a message of the other process, or an event of the link on which it arrives."""
+        link, event = report
         if link is not None and link is not self.link:
-            return  # of a meeting that is over
-        if isinstance(word, Claimed | Answered | Known | Over | Freed):
-            self._do(self.shared.on_message(self.now_ms(), word, self.phases.senior))
+            return  # from a link that was replaced
+        if isinstance(event, Claimed | Answered | Known | Over | Freed):
+            self._perform_steps(self.shared.on_message(self.now_ms(), event, self.phases.senior))
         else:
-            self._step(word)
+            self._handle_event(event)
 
     @property
     def shedding(self) -> bool:
-        """A successor takes the clients."""
+        """Whether a successor accepts the clients."""
         return self.phases.phase is Phase.SHEDDING
 
     @property
     def required(self) -> bool:
+        """Whether the other process must agree before a keyed run begins."""
         return self.phases.claims_required
 
     def in_doubt(self, attempt: Attempt) -> bool:
         return self.shared.in_doubt(self.now_ms(), attempt)
 
     def request_claim(self, attempt: Attempt) -> None:
-        self._do(self.shared.request_claim(self.now_ms(), attempt))
+        self._perform_steps(self.shared.request_claim(self.now_ms(), attempt))
 
     def cancel_claim(self, request: str) -> None:
         self.shared.agreement.cancel_wait(request)
 
     def on_key_claimed(self, attempt: Attempt) -> None:
         if self.phases.reports_entries:
-            self._do(self.shared.report_entry(attempt))
+            self._perform_steps(self.shared.report_entry(attempt))
 
     def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
-        return False  # the other is told of the end as the caller is answered
+        return False  # the other process receives the outcome when the caller is answered
 
     def on_run_ended(self, attempt: Attempt) -> None:
         if self.phases.reports_ends:
-            self._do(self.shared.report_end(attempt))
+            self._perform_steps(self.shared.report_end(attempt))
 
     def on_key_freed(self, attempt: Attempt) -> None:
         if self.phases.reports_ends:
@@ -251,31 +260,32 @@
 
     def tick(self) -> None:
         now = self.now_ms()
-        self._do(self.shared.expire(now))
-        if now >= self.used_ms + self.limits.load_report_interval_ms:
-            self.used_ms = now
+        self._perform_steps(self.shared.expire(now))
+        if now >= self.load_reported_ms + self.limits.load_report_interval_ms:
+            self.load_reported_ms = now
             used = self.decisions.used_share()
             connections = sum(len(front.connections) for front, _ in self.node.fronts)
             learned = self.decisions.controller.learned_estimates()
-            self._step(
+            self._handle_event(
                 UsageUpdate(
                     Load(used.concurrency, used.memory, used.calls, connections),
                     Learned(learned.run_limit, learned.run_ms),
                 )
             )
 
-    # What the node tells.
+    # Called by the node.
 
-    def pool_is_up(self) -> None:
-        self._step(PoolUp())
+    def on_pool_up(self) -> None:
+        """Handle that the worker pool of this process is up for the first time."""
+        self._handle_event(PoolUp())
 
-    def serve(self, out: bool) -> None:
-        """An operator's word at this process's door."""
-        self._step(OperatorCommand(out))
+    def on_operator_command(self, out_of_service: bool) -> None:
+        """Handle that an operator took the node out of service or put it back, by a call to this process."""
+        self._handle_event(OperatorCommand(out_of_service))
 
-    # What is answered.
+    # Events and actions of the state machines.
 
-    def _step(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         before = self.phases.phase
         try:
             actions = self.phases.handle(self.now_ms(), event)
@@ -285,56 +295,57 @@
                 self.link.abort()
             return
         for action in actions:
-            self._act(action)
+            self._perform(action)
         if self.phases.phase is not before:
             self.node.counters.add(f"upgrade.{self.phases.phase.value}")
             self.log("info", "upgrade.phase", before=before.value, phase=self.phases.phase.value)
 
-    def _act(self, action: Action) -> None:
+    def _perform(self, action: Action) -> None:
         match action:
-            case Send(Welcome(version, out)):
-                self._send(Welcome(version, out, -self.now_ms.steady_ms(0.0)))
-            case Send(word):
-                self._send(word)
+            case Send(Welcome(version, out_of_service)):
+                self._send(Welcome(version, out_of_service, -self.now_ms.steady_ms(0.0)))
+            case Send(message):
+                self._send(message)
             case SendEntries():
                 if self.link is not None:
                     self.link.send_entries(iter(()) if self.keys_replicated else self.shared.owned_entries())
             case StartAccepting():
-                self.node.take_clients()
+                self.node.start_accepting()
             case StopAccepting():
-                self.node.leave_clients()
-            case SetLimitShare(crowd, memory, calls, others):
-                self.decisions.set_limit_share(LimitShare(crowd, memory, calls))
+                self.node.stop_accepting()
+            case SetLimitShare(concurrency, memory, calls, peer_connections):
+                self.decisions.set_limit_share(LimitShare(concurrency, memory, calls))
                 for front, _ in self.node.fronts:
-                    front.other_process_open_count = others
+                    front.other_process_open_count = peer_connections
             case ApplyEstimates(learned):
                 self.decisions.pending.append(
                     at.LearnedStateReceived(api.LearnedEstimates(learned.run_limit, learned.run_ms))
                 )
             case FailPeerRuns(partial):
-                self._lose(partial)
-            case SetServiceState(out):
-                self.node.decisions.serving_status.out_of_service = out
-                self.node.tell_lists()
+                self._on_peer_exit(partial)
+            case SetServiceState(out_of_service):
+                self.node.decisions.serving_status.out_of_service = out_of_service
+                self.node.report_to_lists()
             case AbortStart(cause):
-                self.node.give_up(UpgradeError(cause))
+                self.node.abort_start(UpgradeError(cause))
             case ListenForSuccessor():
-                self.opened.set()
+                self.successor_allowed.set()
 
-    def _lose(self, partial: bool) -> None:
+    def _on_peer_exit(self, partial: bool) -> None:
+        """Handle that the other process ended; ``partial``: before it had sent all its entries."""
         self.link = None
         settings = self.decisions.catalogue.effective_settings
-        window = max((kind.repeat_window_ms for kind in settings.classes), default=0.0)
+        max_window_ms = max((kind.repeat_window_ms for kind in settings.classes), default=0.0)
         for front, _ in self.node.fronts:
             front.other_process_open_count = 0
         if not self.keys_replicated:
-            self._do(self.shared.on_peer_exit(self.now_ms(), partial, window, settings.marks_repeats))
+            self._perform_steps(self.shared.on_peer_exit(self.now_ms(), partial, max_window_ms, settings.marks_repeats))
 
-    def _do(self, steps: list[Step]) -> None:
+    def _perform_steps(self, steps: list[Step]) -> None:
         for step in steps:
             match step:
-                case SendToPeer(word):
-                    self._send(word)
+                case SendToPeer(message):
+                    self._send(message)
                 case ResumeAttempt(request, granted):
                     self.decisions.pending.append(at.ClaimAnswered(request, granted))
                 case AbandonAttempt(request):
@@ -342,6 +353,6 @@
                 case FollowerEnded(request, outcome, result):
                     self.decisions.pending.append(at.RunFinished(request, outcome, 0.0, result))
 
-    def _send(self, word: Message) -> None:
+    def _send(self, message: Message) -> None:
         if self.link is not None:
-            self.link.send(word)
+            self.link.send(message)
--- a/flintshift/lifecycle/uwsgi_wiring.py
+++ b/flintshift/lifecycle/uwsgi_wiring.py
@@ -1,4 +1,4 @@
-"""The wiring of the uwsgi front, its app servers and its DNS-SD records; imported only where it is on."""
+"""Creates and connects the uwsgi front, its app servers and its DNS-SD records; imported only if that front is on."""
 
 from __future__ import annotations
 
@@ -21,27 +21,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SecondFront:
+class UwsgiParts:
+    """The parts of the uwsgi side of a node."""
+
     front: Front
-    listed: ListService  # the node's own record
-    apps: Workers  # where its requests run
+    list_service: ListService  # publishes the node's own record
+    apps: Workers  # where requests of the uwsgi front run
     actors: tuple[Callable[[], Coroutine[Any, Any, None]], ...]
 
 
-def second_front(
+def create_uwsgi_parts(
     name: str,
-    desks: UwsgiOptions,
-    fields: AttemptBuilder,
+    options: UwsgiOptions,
+    attempt_builder: AttemptBuilder,
     decisions: Decisions,
     limits: Limits,
     counters: Counters,
     now_ms: Callable[[], float],
     verify: Callable[[], Awaitable[bool]],
     uniform: Uniform,
-) -> SecondFront:
-    resolver = Resolver(desks.resolver, limits)
-    browser = Browser(resolver, desks.app_service, desks.domain, limits, counters, uniform)
+) -> UwsgiParts:
+    """Create the parts of the uwsgi side of a node."""
+    resolver = Resolver(options.resolver, limits)
+    browser = Browser(resolver, options.app_service, options.domain, limits, counters, uniform)
     apps = AppServers(browser, limits, counters, decisions.report, now_ms)
-    record = Record(resolver, desks.node_service, desks.domain, name, desks.listen, limits, counters, now_ms)
-    front = UwsgiFront(fields, decisions, limits, counters, now_ms, limits.uwsgi_connections, verify)
-    return SecondFront(front, record, apps, (browser.run, apps.run))
+    record = Record(resolver, options.node_service, options.domain, name, options.listen, limits, counters, now_ms)
+    front = UwsgiFront(attempt_builder, decisions, limits, counters, now_ms, limits.uwsgi_connections, verify)
+    return UwsgiParts(front, record, apps, (browser.run, apps.run))
