--- a/tests/lifecycle/test_drains.py
+++ b/tests/lifecycle/test_drains.py
@@ -51,7 +51,7 @@
 
 
 @pytest.fixture
-async def served(site):  # noqa: F811
+async def node(site):  # noqa: F811
     config, text, peers = site
     config.write_text(text)
     process = await start_node(config)
@@ -71,27 +71,27 @@
     return read == answered + counters.get("departed", 0)
 
 
-async def waiting_for_a_call(served):
-    served.vault.reply = b""  # the reply never arrives
-    caller, request = await served.send_running_request()
-    served.pool.tell(request, "blocked", {"b64": ""})
-    await served.vault.log.until(lambda entry: entry[0] == "ask")
+async def waiting_for_a_call(node):
+    node.vault.reply = b""  # the reply never arrives
+    caller, request = await node.send_running_request()
+    node.pool.tell(request, "blocked", {"b64": ""})
+    await node.vault.log.until(lambda entry: entry[0] == "ask")
     return caller, {200, 500}
 
 
-async def running(served):
-    caller, request = await served.send_running_request()
-    asyncio.get_running_loop().call_later(0.1, served.pool.finish, request)
+async def running(node):
+    caller, request = await node.send_running_request()
+    asyncio.get_running_loop().call_later(0.1, node.pool.finish, request)
     return caller, {200}
 
 
-async def never_ending(served):
-    caller, _ = await served.send_running_request()
+async def never_ending(node):
+    caller, _ = await node.send_running_request()
     return caller, {500}
 
 
-async def in_pieces(served):
-    caller = await served.connect()
+async def in_pieces(node):
+    caller = await node.connect()
     request_bytes = REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results"))
     caller.send(request_bytes[:30])
     await asyncio.sleep(0.02)
@@ -99,15 +99,15 @@
     return caller, {200, 503, 500}
 
 
-async def right_after_the_accept(served):
-    caller = await served.connect()
+async def right_after_the_accept(node):
+    caller = await node.connect()
     caller.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
     return caller, {200, 503}
 
 
-async def after_a_reload(served):
-    caller, statuses = await running(served)
-    served.process.send_signal(signal.SIGHUP)
+async def after_a_reload(node):
+    caller, statuses = await running(node)
+    node.process.send_signal(signal.SIGHUP)
     return caller, statuses
 
 
@@ -116,26 +116,26 @@
 
 
 @pytest.mark.parametrize(
-    "later_signals", LATER_SIGNALS, ids=lambda numbers: "+".join(number.name for number in numbers) or "alone"
+    "later_signals", LATER_SIGNALS, ids=lambda numbers: "+".join(later.name for later in numbers) or "alone"
 )
 @pytest.mark.parametrize("moment", MOMENTS, ids=lambda moment: moment.__name__)
-async def test_requests_read_when_a_drain_begins_are_answered_once(served, moment, later_signals):
-    caller, statuses = await moment(served)
+async def test_requests_read_when_a_drain_begins_are_answered_once(node, moment, later_signals):
+    caller, statuses = await moment(node)
     for number in (signal.SIGTERM, *later_signals):
-        served.process.send_signal(number)
+        node.process.send_signal(number)
     assert (await caller.reply()).status in statuses
     assert await caller.is_closed()
-    counters = await served.counters_at_exit()
+    counters = await node.counters_at_exit()
     assert balanced(counters), counters
-    assert [entry for entry in served.names.log.entries if entry[1] == "no"]  # the node reported that it stops
+    assert [entry for entry in node.names.log.entries if entry[1] == "no"]  # the node reported that it stops
 
 
 @pytest.mark.parametrize("moment", MOMENTS, ids=lambda moment: moment.__name__)
-async def test_a_killed_process_starts_again_on_its_address_and_serves_in_time(site, served, moment):  # noqa: F811
+async def test_a_killed_process_starts_again_on_its_address_and_serves_in_time(site, node, moment):  # noqa: F811
     config, text, peers = site
-    await moment(served)
-    served.process.kill()
-    await served.process.wait()
+    await moment(node)
+    node.process.kill()
+    await node.process.wait()
     await peers[0].stop()
     peers[0].__init__(peers[0].port, tells=True)  # the worker pool is killed with it
     await peers[0].start()
@@ -156,9 +156,9 @@
     assert balanced(await restarted.counters_at_exit())
 
 
-async def test_no_descriptor_leaks_and_many_refusals_take_no_memory(served):
+async def test_no_descriptor_leaks_and_many_refusals_take_no_memory(node):
     async def send_burst():
-        callers = [await served.connect() for _ in range(150)]
+        callers = [await node.connect() for _ in range(150)]
         for caller in callers:
             caller.send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
         for caller in callers:
@@ -166,11 +166,11 @@
             caller.writer.close()
 
     def resident_kb():
-        status = Path(f"/proc/{served.process.pid}/status").read_text()
+        status = Path(f"/proc/{node.process.pid}/status").read_text()
         return int(status.partition("VmRSS:")[2].split()[0])
 
-    served.pool.plan = {"race-results": 100}  # two cores complete 20 a second, so most are refused
-    before = served.descriptor_count()
+    node.pool.plan = {"race-results": 100}  # two cores complete 20 a second, so most are refused
+    before = node.descriptor_count()
     for _ in range(2):
         await send_burst()
     settled_kb = resident_kb()
@@ -178,9 +178,9 @@
         await send_burst()
     assert resident_kb() - settled_kb < 3000
     await asyncio.sleep(0.7)  # idle connections to the vault are closed, and so are the callers'
-    assert served.descriptor_count() <= before + 1
-    served.process.terminate()
-    counters = await served.counters_at_exit()
+    assert node.descriptor_count() <= before + 1
+    node.process.terminate()
+    counters = await node.counters_at_exit()
     assert balanced(counters) and counters["answered.refused"] > 800
 
 
@@ -202,22 +202,22 @@
     config.write_text(json.dumps(document))
     process = await start_node(config)
     await peers[2].log.until(lambda entry: entry == ("/ns/hosts/n3", "yes"))
-    served = ServingNode(process, text, peers)
-    waiting, request = await served.send_running_request()  # an open run keeps the node running past its grace period
-    idle, fields = await served.connect(), request_fields("race-results")
+    node = ServingNode(process, text, peers)
+    waiting, request = await node.send_running_request()  # an open run keeps the node running past its grace period
+    idle, fields = await node.connect(), request_fields("race-results")
     idle.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
     assert (await idle.reply()).status == 200
     process.terminate()
     await asyncio.sleep(after_s)
-    served.pool.plan = {"race-results": 0}
+    node.pool.plan = {"race-results": 0}
     fields["X-Door-Time"] = str(int(time.time() * 1000))
     idle.send(REQUEST_BYTES["http"]("race-results", b"", fields))
     reply = await idle.reply()
-    runs_of_request = [entry for entry in served.pool.log.entries if entry.get("rid") == fields["X-Job-Id"]]
+    runs_of_request = [entry for entry in node.pool.log.entries if entry.get("rid") == fields["X-Job-Id"]]
     assert (reply.status, bool(runs_of_request)) == ((200, True) if runs else (503, False))
-    served.pool.finish(request)
+    node.pool.finish(request)
     assert (await waiting.reply()).status == 200
-    assert balanced(await served.counters_at_exit())
+    assert balanced(await node.counters_at_exit())
 
 
 KILLS = {  # stop_ms, the deadlines, and the earliest time of the kill
@@ -233,22 +233,22 @@
     assert kill_after_ms(stop_ms, classes) == kill_ms
 
 
-async def test_a_node_whose_event_loop_was_blocked_at_the_notice_exits_before_the_kill(site, served):  # noqa: F811
+async def test_a_node_whose_event_loop_was_blocked_at_the_notice_exits_before_the_kill(site, node):  # noqa: F811
     """Guards against a drain that counts its time from when the event loop handles the notice, not from its arrival.
 
     In a soak test, high concurrency kept the event loop busy for 100 ms and more a turn, and the drain began three
     turns after its notice. It ended connections 1950 ms after its beginning, so the process exited 90 to 200 ms later
     than planned, and was killed at 2200 ms."""
     config, text, _ = site
-    idle = await served.connect()
+    idle = await node.connect()
     idle.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
     assert (await idle.reply()).status == 200
     longest_ms = max(kind["deadlineMs"] for kind in json.loads(text)["settings"]["classes"])
-    termination = Termination(served.process, longest_ms + KILL_AFTER_DEADLINE_MS)
+    termination = Termination(node.process, longest_ms + KILL_AFTER_DEADLINE_MS)
     await termination.prepare()
     config.unlink()
     os.mkfifo(config)
-    served.process.send_signal(signal.SIGHUP)
+    node.process.send_signal(signal.SIGHUP)
     writer = None
     while writer is None:  # until the node reads its configuration, which blocks its event loop
         with contextlib.suppress(OSError):
@@ -260,15 +260,15 @@
     os.close(writer)
     departure = await termination.departure()
     assert departure.left_ms is not None, departure
-    assert balanced(await served.counters_at_exit())
+    assert balanced(await node.counters_at_exit())
 
 
-async def test_callers_that_send_repeatedly_do_not_keep_a_node_from_stopping(served):
+async def test_callers_that_send_repeatedly_do_not_keep_a_node_from_stopping(node):
     """Each answer after the notice is the last on its connection, so the node can soon stop."""
     last_answers_s = []
 
     async def send_repeatedly():
-        caller, reply = await served.connect(), None
+        caller, reply = await node.connect(), None
         while reply is None or "connection" not in reply.headers:
             caller.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
             reply = await caller.reply()
@@ -280,9 +280,9 @@
     await asyncio.sleep(0.2)
     assert not last_answers_s
     notice_s = time.monotonic()
-    served.process.send_signal(signal.SIGTERM)
+    node.process.send_signal(signal.SIGTERM)
     await asyncio.gather(*callers)
     assert max(last_answers_s) - notice_s < 1.0
-    counters = await served.counters_at_exit()
+    counters = await node.counters_at_exit()
     # The grace period is 300 ms, and the node does not wait for the kill.
     assert time.monotonic() - notice_s < 1.5 and balanced(counters)
