--- a/flintshift/cli/main.py
+++ b/flintshift/cli/main.py
@@ -52,7 +52,9 @@
     """
     from flintshift.lifecycle.start import start
 
-    load_config = partial(load, os.environ, settings) if os.environ.get("LB_CONFIG") else partial(embedded_config, settings)
+    load_config = (
+        partial(load, os.environ, settings) if os.environ.get("LB_CONFIG") else partial(embedded_config, settings)
+    )
     sys.exit(start(load_config))
 
 
