--- a/benchmarks/door_surge.py
+++ b/benchmarks/door_surge.py
@@ -56,7 +56,9 @@
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", ports[front])
             writer.write(
-                REQUEST_BUILDERS[front]("standings", b"12:01.5", request_fields(request_id, club, "standings", caller, again))
+                REQUEST_BUILDERS[front](
+                    "standings", b"12:01.5", request_fields(request_id, club, "standings", caller, again)
+                )
             )
             status, _, head = await asyncio.wait_for(read_reply_with_head(reader), 5)
             writer.close()
--- a/tests/settings/test_platform_schema.py
+++ b/tests/settings/test_platform_schema.py
@@ -10,7 +10,7 @@
 
 from flintshift.core.catalogue import Catalogue
 from flintshift.core.limits import Limits
-from flintshift.lifecycle.config import ConfigError, made
+from flintshift.lifecycle.config import ConfigError, config_from_document
 from flintshift.settings.embedded import configuration
 from flintshift.settings.operators import OperatorSettings
 from flintshift.settings.platform_schema import first_fault, missing_key
@@ -96,7 +96,7 @@
 def test_fault_is_reported_with_its_path(path, value):
     document = changed(path, value)
     with pytest.raises(ConfigError) as caught:
-        made(document, "FILE", OperatorSettings())
+        config_from_document(document, "FILE", OperatorSettings())
     message = str(caught.value)
     assert message.startswith("FILE: ") and "\n" not in message
     assert path.removeprefix("settings.") in message or "classes" in message
@@ -106,7 +106,7 @@
 def test_site_without_calls_needs_no_vault(vault):
     document = changed("vault", vault)
     document["settings"]["familyInfo"]["callsByClass"] = [False] * len(document["settings"]["classes"])
-    assert made(document, "FILE", OperatorSettings()).vault is None
+    assert config_from_document(document, "FILE", OperatorSettings()).vault is None
 
 
 @pytest.mark.parametrize(
@@ -120,12 +120,12 @@
     ],
 )
 def test_null_means_absent_and_a_whole_number_may_have_a_decimal_point(path, value):
-    assert made(changed(path, value), "FILE", OperatorSettings()).settings.servers >= 1
+    assert config_from_document(changed(path, value), "FILE", OperatorSettings()).settings.servers >= 1
 
 
 def test_file_truncated_at_any_byte_is_rejected():
     text = json.dumps(configuration())
-    made(json.loads(text), "FILE", OperatorSettings())
+    config_from_document(json.loads(text), "FILE", OperatorSettings())
     for size in range(len(text)):
         try:
             document = json.loads(text[:size])
@@ -148,7 +148,7 @@
         dropped_class_grace_ms=2500.0, max_repeat_delay_ms=5000.0, lost_run_timeout_ms=100.0, max_dropped_classes=2
     )
     first, second = (
-        made(document, "FILE", OperatorSettings()).settings
+        config_from_document(document, "FILE", OperatorSettings()).settings
         for document in (configuration(), changed("settings.classes.3.name", "submit-time-next"))
     )
     catalogue = Catalogue(first, limits)
@@ -166,13 +166,13 @@
     assert catalogue.purge(30_000) and catalogue.find_class("submit-time-next") is None
     for number in range(3):  # the number of remembered classes is bounded
         renamed = changed("settings.classes.3.name", f"c{number}")
-        problem = catalogue.change(made(renamed, "FILE", OperatorSettings()).settings, 40_000)
+        problem = catalogue.change(config_from_document(renamed, "FILE", OperatorSettings()).settings, 40_000)
     assert problem is not None and "may be" in problem and "c2" not in catalogue.active_classes
 
 
 def test_cold_start_flag_survives_a_change():
     document = configuration()
     document["settings"]["familyInfo"]["cold"] = True
-    catalogue = Catalogue(made(document, "FILE", OperatorSettings()).settings, Limits())
-    catalogue.change(made(configuration(), "FILE", OperatorSettings()).settings, 0)
+    catalogue = Catalogue(config_from_document(document, "FILE", OperatorSettings()).settings, Limits())
+    catalogue.change(config_from_document(configuration(), "FILE", OperatorSettings()).settings, 0)
     assert catalogue.effective_settings.cold
