--- a/flintshift/lifecycle/drain.py
+++ b/flintshift/lifecycle/drain.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from flintshift.core.attempts import Notice
+from flintshift.core.attempts import ShutdownNotice
 from flintshift.core.decisions import Decisions
 from flintshift.core.limits import Limits
 from flintshift.core.ports import Log, log_nothing
@@ -72,7 +72,7 @@
         last_ms = notice_ms + kill_ms - self.limits.stop_margin_ms
         for front in self.fronts:
             front.drain()
-        await self.decisions.report(Notice(max(0.0, last_ms - self.now_ms())))
+        await self.decisions.report(ShutdownNotice(max(0.0, last_ms - self.now_ms())))
         self._tell("drain.began", notice_ms, kill_ms=kill_ms)
         if not succeeded:
             await self._until(lambda: False, min(notice_ms + grace_ms, last_ms - self.limits.stop_accepting_ms))
