--- a/flintshift/lifecycle/config.py
+++ b/flintshift/lifecycle/config.py
@@ -115,7 +115,7 @@
     return config_from_document(configuration(), "the embedded default", load_operators(operators_file))
 
 
-def config_from_document(document: Any, path: str, operators: Operators, control: str | None = None) -> Config:
+def config_from_document(document: Any, path: str, operators: OperatorSettings, control: str | None = None) -> Config:
     """Convert a document in the platform's format, as parsed from JSON, to a configuration.
 
     ``path`` names the document in error messages; ``control`` is the address of the control endpoint if the document
--- a/flintshift/lifecycle/durable_state.py
+++ b/flintshift/lifecycle/durable_state.py
@@ -78,7 +78,7 @@
         counters,
         now_ms,
         log,
-        retry.again,
+        retry.should_retry,
         may_have_predecessor=config.control is not None,
     )
     try:
