--- a/tests/fair_queueing/test_fair_door.py
+++ b/tests/fair_queueing/test_fair_door.py
@@ -93,9 +93,9 @@
 
 def test_fair_queues_are_not_imported_unless_enabled():
     text = (
-        "import sys, anyio\nfrom flintshift.lifecycle.config import embedded\n"
+        "import sys, anyio\nfrom flintshift.lifecycle.config import embedded_config\n"
         "from flintshift.lifecycle.node import Node\n"
-        "async def made(): assert Node(embedded(), embedded).fair is None\nanyio.run(made)\n"
+        "async def made(): assert Node(embedded_config(), embedded_config).fair_queueing is None\nanyio.run(made)\n"
         "print([name for name in sys.modules if ('door' in name or 'fair' in name) and name.startswith('flintshift')])"
     )
     assert subprocess.run([sys.executable, "-c", text], capture_output=True).stdout == b"[]\n"
