--- a/tests/control/test_admission.py
+++ b/tests/control/test_admission.py
@@ -185,7 +185,7 @@
             server.end_run(request, took_ms=1500.0)
         server.tick(after_ms=150, run_queue=9)
     other_request, actions = server.arrive("pay")  # so that the node is not idle, which would allow a probe
-    assert api.Run(other_request) in actions and final_answers(server.arrive()[1], f"r{server.count}")
+    assert api.Run(other_request) in actions and final_answers(server.arrive()[1], f"r{server.request_count}")
     for run_queue, runs in ((9, False), (1, True)):  # busy cores, then free ones
         for _ in range(30):
             server.end_run(other_request)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "trouble"),
+    ("text", "message"),
     [
         ("HELLO\n", "expected FRAME"),
         ("FRAME\ttMs=soon\n", "no number as tMs"),
--- a/tests/test_ledger_node.py
+++ b/tests/test_ledger_node.py
@@ -101,12 +101,12 @@
 
 
 async def test_after_kills_under_load_each_answer_is_recorded_or_in_doubt():
-    report = await kill_node.play(4, 2, 1)
+    report = await kill_node.run_all(4, 2, 1)
     assert report["wrong"] == [] and report["answered"] > 500
 
 
 async def test_an_exporter_that_is_killed_a_hundred_times_bills_exactly():
-    report = await kill_exporter.play(100, 6, 5000)
+    report = await kill_exporter.run_all(100, 6, 5000)
     assert report["mismatches"] == 0 and report["kills"] >= 100
     assert report["points"].get("delivered, not acknowledged", 0) > 0
 
@@ -201,12 +201,12 @@
 
 async def test_two_exporters_at_once_and_two_copies_of_a_folder_bill_once(tmp_path):
     """A second exporter on a folder is rejected; exporters on two copies of a folder deliver the same documents."""
-    served_count = kill_exporter.make(tmp_path / "u", random.Random(3))
+    served_count = kill_exporter.create_ledger(tmp_path / "u", random.Random(3))
     shutil.copytree(tmp_path / "u", tmp_path / "copy")
     billing = Billing(tmp_path / "billing", 0.3, 7, late_s=0.05)
     url = f"http://127.0.0.1:{await billing.start()}/usage"
     processes = [
-        await kill_exporter.export(folder, url)
+        await kill_exporter.start_export(folder, url)
         for folder in (tmp_path / "u", tmp_path / "u", tmp_path / "copy", tmp_path / "copy")
     ]
     codes = [await process.wait() for process in processes]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -166,7 +166,7 @@
         for tick in range(ticks + 60):
             self.calls_hang = tick // 60 % 2 == 1
             for _ in range(self.random_source.choice([0, 0, 1, 1, 2, 5])):
-                request = f"r{self.server.count + 1}"
+                request = f"r{self.server.request_count + 1}"
                 self.kind[request] = self.random_source.choice(list(CLASSES.values()))
                 age_ms = self.random_source.choice([0.0, 5.0, 400.0])
                 self.received_ms[request], self.stage[request] = self.server.now - age_ms, "queued"
--- a/tests/wire/test_pieces.py
+++ b/tests/wire/test_pieces.py
@@ -45,7 +45,7 @@
 
         tasks.add(asyncio.ensure_future(send_in_order()))
 
-    rig.pool.say = send_bytewise
+    rig.pool.send = send_bytewise
     rig.pool.plan = {"race-results": CALL}
 
     async def serve_replies(reader, writer):
@@ -92,7 +92,7 @@
     caller, fields = await rig.connect("http"), request_fields("race-results")
     caller.send(REQUEST_BYTES["http"]("race-results", b"", fields))
     await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
-    send_whole, old_links, truncated = rig.pool.say, set(rig.pool.links), set()
+    send_whole, old_links, truncated = rig.pool.send, set(rig.pool.links), set()
 
     def send_truncated(writer, message):
         if writer not in old_links:
@@ -103,7 +103,7 @@
             if disconnects:
                 writer.close()
 
-    rig.pool.say = send_truncated
+    rig.pool.send = send_truncated
     start = time.monotonic()
     rig.pool.finish(fields["X-Job-Id"])
     assert (await caller.reply()).status == 200  # the rest arrives over a new link
--- a/tests/wire/test_pool.py
+++ b/tests/wire/test_pool.py
@@ -217,8 +217,8 @@
         await pool.log.wait_for(lambda entry: entry.get("rid") == "run")
         pool.send_notice("run", "blocked", {"b64": ""})
         call = (await reports.wait_for(lambda report: isinstance(report, CallRequested)))[0]
-        say = pool.say
-        pool.say = lambda writer, message: None if writer in old_links else say(writer, message)
+        send = pool.send
+        pool.send = lambda writer, message: None if writer in old_links else send(writer, message)
         assert link.supply("run", call.notice, b"reply") and link.spawn(attempt("next"))
         with anyio.move_on_after(0.01):
             await link.poll()
@@ -239,11 +239,11 @@
 @pytest.mark.anyio
 async def test_a_link_whose_bind_is_never_answered_is_replaced():
     async with linked(pool_bind_timeout_ms=50.0) as (pool, _, reports, _):
-        say = pool.say
-        pool.say = lambda writer, message: None
+        send = pool.send
+        pool.send = lambda writer, message: None
         pool.abort_links()
         await pool.log.wait_for(lambda entry: entry["t"] == "bind", 4)
-        pool.say = say
+        pool.send = send
         await reports.wait_for(lambda report: isinstance(report, WorkersUp), 2)
 
 
