--- a/Makefile
+++ b/Makefile
@@ -37,7 +37,7 @@
 	@for made in $(PROTO:.proto=_pb2.py) $(PROTO:.proto=_pb2.pyi); do \
 	  cmp build/proto/$$made $$made || { echo "run make proto"; exit 1; }; done
 
-# Long runs, not in CI; what they told last is committed in benchmarks/results.
+# Long runs, not in CI; their last results are committed in benchmarks/results.
 kill-exporter: $(DEPS)
 	$(PY) benchmarks/kill_exporter.py --runs 1000 --out benchmarks/results/kill_exporter.json
 
