--- a/tests/usage/test_accounts.py
+++ b/tests/usage/test_accounts.py
@@ -436,7 +436,7 @@
     assert clock.read(1_000_040, 40) == (1_000_040, None)
 
 
-@pytest.mark.parametrize("by", [30 * 86_400_000, -86_400_000])
+@pytest.mark.parametrize("step_ms", [30 * 86_400_000, -86_400_000])
 def test_a_clock_that_stays_moved_is_followed_and_the_ledger_never_goes_back(step_ms):
     clock = LedgerClock(1_000_000_000, 0)
     steady_ms, last, steps = 0, 0, 0
@@ -457,7 +457,7 @@
     assert clock.read(1_001_000, 1000)[0] == 5_000_000
 
 
-@pytest.mark.parametrize("length", [1000, 1500, 86_400_000, 31 * 86_400_000])
+@pytest.mark.parametrize("length_ms", [1000, 1500, 86_400_000, 31 * 86_400_000])
 def test_periods_are_counted_from_the_epoch_in_utc(length_ms):
     begin = period_of(1_700_000_000_123, length_ms)
     assert begin % length_ms == 0 and begin <= 1_700_000_000_123 < begin + length_ms
--- a/tests/wire/test_pool.py
+++ b/tests/wire/test_pool.py
@@ -252,7 +252,7 @@
     async with linked() as (pool, link, reports, counters):
         assert link.spawn(attempt("run"))
         await pool.log.wait_for(lambda entry: entry.get("rid") == "run")
-        pool.notices.append({"t": "finished", "no": next(pool.numbers), "rid": "old", "status": "odd"})
+        pool.notices.append({"t": "finished", "no": next(pool.notice_numbers), "rid": "old", "status": "odd"})
         for writer in list(pool.links):
             pool.send(writer, pool.notices[-1])
         pool.finish("run")
