--- a/flintshift/settings/embedded.py
+++ b/flintshift/settings/embedded.py
@@ -12,7 +12,7 @@
     name: str = "node1", ports: dict[str, int] | None = None, cores: int = 2, memory_mb: int = 192
 ) -> dict[str, Any]:
     """Return the configuration as the parsed JSON of an LB_CONFIG file; all addresses are on this machine."""
-    addresses = {what: f"127.0.0.1:{port}" for what, port in {**PORTS, **(ports or {})}.items()}
+    addresses = {setting: f"127.0.0.1:{port}" for setting, port in {**PORTS, **(ports or {})}.items()}
 
     def request_class(name: str, worth: float, effect: str, **optional: float) -> dict[str, Any]:
         return {"name": name, "onTimeMs": 900.0, "deadlineMs": 1500.0, "worth": worth, "effect": effect, **optional}
--- a/flintshift/startup/crash_loops.py
+++ b/flintshift/startup/crash_loops.py
@@ -1,7 +1,7 @@
 """Crash loops, without I/O: how long a process that keeps crashing waits before it calls services again.
 
 A process starts without any state, so the history of earlier starts is kept in a durable folder: when each began, and
-whether it reached steady service or was told to leave. Starts that did neither, one after the other, are a crash loop.
+whether it reached steady service or left in good order. Consecutive starts that did neither are a crash loop.
 Without a durable folder, whoever starts the node has to wait; the node can't know of its earlier starts.
 """
 
@@ -23,7 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashLoopTiming:
-    free_failures: int = 2  # failed starts, one after the other, that do not delay the next start
+    """When failed starts delay the next one, and by how much. Times are in milliseconds."""
+
+    free_failures: int = 2  # consecutive failed starts that do not delay the next start
     first_ms: float = 1000.0
     max_ms: float = 60_000.0
     window_ms: float = 600_000.0  # an older start does not count
@@ -37,7 +39,7 @@
         self.starts, self.timing = starts, timing or CrashLoopTiming()
 
     def count_failures(self, now_ms: float) -> int:
-        """Return the number of last starts that failed, one after the other.
+        """Return the number of consecutive failed starts up to the last one.
 
         A wall clock that was set back makes no start older."""
         count = 0
@@ -52,8 +54,8 @@
         excess = self.count_failures(now_ms) - self.timing.free_failures
         if excess <= 0:
             return 0.0
-        high = min(self.timing.first_ms * 2 ** min(excess, 20), self.timing.max_ms)
-        return uniform(high / 2, high)
+        high_ms = min(self.timing.first_ms * 2 ** min(excess, 20), self.timing.max_ms)
+        return uniform(high_ms / 2, high_ms)
 
     def with_start(self, now_ms: float) -> StartHistory:
         """Return the history with the current start added."""
@@ -76,7 +78,7 @@
     def decode(data: bytes, timing: CrashLoopTiming | None = None) -> StartHistory:
         """Read the content of the history's file. A malformed file counts as empty: it must not prevent a start."""
         try:
-            starts = [ProcessStart(float(one["began_ms"]), bool(one["well"])) for one in json.loads(data)]
+            starts = [ProcessStart(float(entry["began_ms"]), bool(entry["well"])) for entry in json.loads(data)]
         except (ValueError, KeyError, TypeError, OverflowError, RecursionError):
             starts = []
         return StartHistory(starts, timing)
--- a/flintshift/startup/permits.py
+++ b/flintshift/startup/permits.py
@@ -3,10 +3,10 @@
 
 A permit is a lease. A member that wants one asks the granter: the first member, in an order that is the same on all
 members, of those that it can reach. The granter grants as many permits as the fleet allows at once, in the order of
-the requests. A permit ends when its holder says so, when its process is known to be dead, or when its lease has expired
-without a new request. Two members may both act as granter (on the two sides of a network partition, or after one died);
-then twice as many permits are granted, for one lease at most. Permits only limit the rate of starts: nothing is unsafe
-without one.
+the requests. A permit ends when its holder gives it back, when its process is known to be dead, or when its lease has
+expired without a new request. Two members may both act as granter (on the two sides of a network partition, or after
+one died); then twice as many permits are granted, for one lease at most. Permits only limit the rate of starts: nothing
+is unsafe without one.
 
 No member waits for ever: a node that reaches no member proceeds after `no_member_ms`, and any node after `max_wait_ms`.
 A member that is in reach and does not answer for `no_member_ms` (it hangs, or its version has no permits) is
@@ -28,7 +28,7 @@
 
     lease_ms: float = 2000.0  # a permit ends unless it is requested again in this time
     retry_ms: float = 250.0  # between two requests of a waiting member, varied at random by up to half of it
-    no_member_ms: float = 1000.0  # the wait without a member in reach: the most by which a single node is delayed
+    no_member_ms: float = 1000.0  # the wait without a member in reach, and so the longest delay of a single node
     max_wait_ms: float = 20_000.0
     max_entries: int = 4096  # processes that wait, and processes that hold a permit, at one granter
 
@@ -61,6 +61,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPermitRequest:
+    """Send a request to a granter."""
+
     to: str  # a member
     request: PermitRequest
 
@@ -198,12 +200,14 @@
     def _waiting_before(self, by: str) -> int:
         """Return how many processes have waited for longer than this one."""
         known = self.waiting.get(by)
-        return sum(one.since_ms < known.since_ms for one in self.waiting.values()) if known else len(self.waiting)
+        return sum(other.since_ms < known.since_ms for other in self.waiting.values()) if known else len(self.waiting)
 
     def _expire(self, now_ms: float) -> None:
         for by in [by for by, until_ms in self.granted_until_ms.items() if until_ms <= now_ms or not self.is_alive(by)]:
             del self.granted_until_ms[by]
         # A process that has sent no request since then asks another member, or is dead.
         expired_ms = now_ms - 4 * self.timing.retry_ms
-        for by in [by for by, one in self.waiting.items() if one.requested_ms < expired_ms or not self.is_alive(by)]:
+        for by in [
+            by for by, process in self.waiting.items() if process.requested_ms < expired_ms or not self.is_alive(by)
+        ]:
             del self.waiting[by]
--- a/flintshift/startup/phases.py
+++ b/flintshift/startup/phases.py
@@ -7,7 +7,7 @@
     LISTED --- it is not -------------------------------------------------------------------> STEADY
 
 A phase that takes longer than its bound is reported once, with what it waits for. The node does not give up for that:
-a node without its pool has nothing better to do than to keep trying at its own rate. Stores are read before ALONE ends;
+a node without its pool can only keep trying, at its own rate. Stores are read before ALONE ends;
 replicas that are still being filled keep no member from serving, as further replica holders vote in its place.
 """
 
@@ -18,6 +18,8 @@
 
 
 class Phase(IntEnum):
+    """The phases of a start, in their order. Their names are written out in lower case."""
+
     ALONE = 0
     BOUND = 1
     RESTORED = 2
@@ -61,6 +63,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PhaseEntered:
+    """Report that a phase has begun."""
+
     phase: Phase
     after_ms: float  # the time in the phase before
     waited_for: tuple[str, ...]  # what the phase before waited for last
@@ -68,6 +72,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PhaseOverdue:
+    """Report that the current phase takes longer than its bound."""
+
     phase: Phase
     after_ms: float  # the time in this phase
     waits_for: tuple[str, ...]
--- a/flintshift/startup/registration.py
+++ b/flintshift/startup/registration.py
@@ -1,4 +1,5 @@
-"""The list planner: reports to each list service, repeatedly, that this node serves, and at the end that it leaves.
+"""Reports to each list service, repeatedly, that this node serves, and at the end that it leaves.
+
 `reports` decides when.
 """
 
@@ -33,6 +34,7 @@
 
 
 def now_ms() -> float:
+    """Return the event loop's monotonic time."""
     return anyio.current_time() * 1000
 
 
@@ -62,6 +64,7 @@
                 mailbox.offer(StatusChanged(serving, last))
 
     async def run(self) -> None:
+        """Report to all list services until cancelled."""
         async with anyio.create_task_group() as tasks:
             for entry in self.lists:
                 tasks.start_soon(self._keep_reporting, *entry)
--- a/flintshift/startup/reports.py
+++ b/flintshift/startup/reports.py
@@ -27,7 +27,7 @@
     spread: float = 0.05  # a period is varied at random by up to this share, both ways
     retry_ms: float = 100.0  # the first delay after a report that was not taken
     max_retry_ms: float = (
-        2800.0  # under the 3 s after which a list drops a node: it reports in time once a list is back
+        2800.0  # under the 3 s after which a list drops a node, so that it reports in time once the service is back
     )
     nodes: int = 1  # of the fleet, including this one, by the settings
 
@@ -58,6 +58,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
+    """The time of an earlier `WakeAt` has come."""
+
     pass
 
 
@@ -76,6 +78,8 @@
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
+    """Send a `Tick` at this time."""
+
     at_ms: float
 
 
--- a/flintshift/storage/commit.py
+++ b/flintshift/storage/commit.py
@@ -1,10 +1,10 @@
 """Group commit for a log, as a state machine without I/O: decides when to sync and to begin a segment.
 
-The owner writes records itself (one system call for all records of one event loop turn) and reports each write here.
-The returned actions say when to sync, to begin a segment, to release answers and to treat the disk as failed. One disk
-operation is in progress at a time. An answer waits for the disk for ``max_wait_ms`` at most, whatever the disk does:
-the caller of a request that has run gets its answer. After that wait, as after a failed write, a gap begins: records
-are kept in memory only, until a snapshot of everything is written and a new segment begins after it.
+The owner writes records itself (one system call for all records of one iteration of the event loop) and reports each
+write here. The returned actions say when to sync, to begin a segment, to release answers and to treat the disk as
+failed. One disk operation is in progress at a time. An answer waits for the disk for ``max_wait_ms`` at most, whatever
+the disk does: the caller of a request that has run gets its answer. After that wait, as after a failed write, a gap
+begins: records are kept in memory only, until a snapshot of everything is written and a new segment begins after it.
 """
 
 from __future__ import annotations
@@ -16,6 +16,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitLimits:
+    """Durations and bounds of the group commit, and what waits for a sync."""
+
     sync_enabled: bool = True  # records are synced within ``sync_ms``; if False, only on request
     hold_answers: bool = False  # answers wait for that sync
     sync_ms: float = 50.0
@@ -70,6 +72,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Sync:
+    """Sync all records that were written so far."""
+
     pass
 
 
@@ -80,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reopen:
-    """Write a snapshot of everything, begin a segment after it, and write the records that came meanwhile there."""
+    """Write a snapshot of everything, begin a segment after it, and write to it the records that arrived meanwhile."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,11 +101,15 @@
 
 @dataclass(frozen=True, slots=True)
 class GapBegan:
+    """Report that the disk failed, and that records are kept in memory only from here on."""
+
     cause: str
 
 
 @dataclass(frozen=True, slots=True)
 class GapEnded:
+    """Report that the disk works again, and that the records of the gap are written."""
+
     since_ms: float
     requests: int
     cause: str
@@ -109,11 +117,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ReopenFailed:
+    """Report that an attempt to end the gap failed."""
+
     cause: str
 
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
+    """Send ``TimerFired`` at this time."""
+
     at_ms: float
 
 
@@ -123,7 +135,7 @@
 
 @dataclass(slots=True)
 class Gap:
-    """The current time without a working disk, in which records are kept in memory only."""
+    """The current period without a working disk, in which records are kept in memory only."""
 
     since_ms: float
     requests: int
@@ -229,7 +241,7 @@
 
     def _next_actions(self, now_ms: float) -> list[CommitAction]:
         """Return the operation that is due, or when to wake up for the next one."""
-        wake_times_ms = [one[1] + self.limits.max_wait_ms for one in list(self.waiting_answers)[:1]]
+        wake_times_ms = [entry[1] + self.limits.max_wait_ms for entry in list(self.waiting_answers)[:1]]
         if self.operation_in_progress is None:
             operation, at_ms = self._next_operation(now_ms)
             if operation is not None:
--- a/flintshift/storage/files.py
+++ b/flintshift/storage/files.py
@@ -50,7 +50,7 @@
 
 
 class DiskFile:
-    """A file on the real disk."""
+    """A file on the real disk: a ``File``, and a ``Lock`` where it is locked."""
 
     def __init__(self, path: Path, flags: int) -> None:
         self.fd = os.open(path, flags | os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC, 0o640)
@@ -73,7 +73,7 @@
 
 
 class DiskFiles:
-    """The file operations on the real disk."""
+    """The operations of ``Files`` on the real disk."""
 
     def make_folder(self, path: Path) -> None:
         path.mkdir(parents=True, exist_ok=True)
--- a/flintshift/storage/frames.py
+++ b/flintshift/storage/frames.py
@@ -24,7 +24,7 @@
 TRAILER = struct.Struct("<IB")
 END_MARK = 0xA5
 OVERHEAD_BYTES = HEADER.size + TRAILER.size
-BATCH_RECORDS = 4096  # of one list that is read
+BATCH_RECORDS = 4096  # the longest list that ``unpack_batches`` yields
 MAX_PAYLOAD_BYTES = 16 << 20  # a longer length is damage, whatever its checksum says
 
 
--- a/flintshift/storage/log.py
+++ b/flintshift/storage/log.py
@@ -99,7 +99,7 @@
 def read_batches(files: Files, folder: Path, first: int, position: LogPosition) -> Iterator[list[Record]]:
     """Read records in lists (of plain tuples in the shape of ``Record``), from a sequence at which a segment begins.
 
-    ``position`` is updated, and tells at the end how far the log was read. The files are not changed, so a log that
+    ``position`` is updated, and shows at the end how far the log was read. The files are not changed, so a log that
     another process writes can be read too.
 
     Raises:
@@ -176,8 +176,8 @@
         """Begin a new segment.
 
         The segment before is synced first, unless the log is broken: then a durable snapshot must cover all of it.
-        ``first`` is the sequence that the segment begins with, for callers during whose call ``next_sequence`` may
-        advance."""
+        ``first`` is the sequence that the segment begins with; it is given where ``next_sequence`` may advance during
+        the call."""
         path = self.folder / segment_name(self.next_sequence if first is None else first)
         if self.file is not None:
             previous, self.file = self.file, None
@@ -222,7 +222,7 @@
         return first
 
     def append_with_retry(self, items: list[tuple[int, bytes]]) -> int:
-        """Append, and retry once if the write fails: a single failure tells nothing about the next write.
+        """Append, and retry once if the write fails: a single failure does not mean that the next write fails.
 
         Raises:
             OSError: it failed again; none of these records counts, and the next call removes what is left of them.
@@ -267,6 +267,7 @@
             raise
 
     def close(self) -> None:
+        """Close the segment in use, without a sync."""
         if self.file is not None:
             self.file.close()
             self.file = None
--- a/flintshift/storage/snapshot.py
+++ b/flintshift/storage/snapshot.py
@@ -40,11 +40,11 @@
 def find_unfinished(names: list[str], name: str, below: int) -> list[str]:
     """Return the unfinished files of ``name``, among a folder's names, of writers with a number under ``below``."""
     candidates = [
-        (one, one.removeprefix(f"{name}.").removesuffix(UNFINISHED_SUFFIX))
-        for one in names
-        if one.startswith(f"{name}.") and one.endswith(UNFINISHED_SUFFIX)
+        (candidate, candidate.removeprefix(f"{name}.").removesuffix(UNFINISHED_SUFFIX))
+        for candidate in names
+        if candidate.startswith(f"{name}.") and candidate.endswith(UNFINISHED_SUFFIX)
     ]
-    return [one for one, writer in candidates if writer.isdecimal() and int(writer) < below]
+    return [candidate for candidate, writer in candidates if writer.isdecimal() and int(writer) < below]
 
 
 def _write_unfinished(files: Files, path: Path, data: bytes, durable: bool, writer_suffix: str = "") -> Path:
--- a/flintshift/usage/folder.py
+++ b/flintshift/usage/folder.py
@@ -29,7 +29,7 @@
 from flintshift.usage.retention import Removal, StoredDocument, StoredSegment, plan_removal
 
 SNAPSHOT_SUFFIX = ".snapshot"
-REPLY_RETENTION_MS = 86_400_000.0  # a correction's result is kept for so long for its author to read
+REPLY_RETENTION_MS = 86_400_000.0  # how long a correction's result is kept for its author to read
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
         DamagedError: a file that was written completely has changed since.
     """
     gc_was_enabled = gc.isenabled()
-    gc.disable()  # records form no reference cycles, and searching for some takes a third of the time
+    gc.disable()  # records form no reference cycles, and the search for cycles takes a third of the time
     try:
         return _load(files, folder, bounds)
     finally:
--- a/flintshift/usage/ledger.py
+++ b/flintshift/usage/ledger.py
@@ -73,9 +73,9 @@
 )
 
 TICK_INTERVAL_S = 0.25
-# An answer waits no longer than this for a disk that hangs: it has a deadline, and what was run must be answered.
+# The longest wait of an answer for a disk that hangs: a request that has run must be answered by its deadline.
 MAX_ANSWER_WAIT_MS = 250.0
-# A mark waits so long for claims to be written together with. A crash before that leaves its request in doubt.
+# A mark waits this long, to be written together with claims. A crash before that leaves its request in doubt.
 MARK_DELAY_S = 0.01
 MAX_BACKLOG_RECORDS = 100_000  # records that arrive while a segment is begun after a gap
 REOPEN_RETRY_MS = 1000.0  # between two attempts to end a gap
@@ -111,12 +111,12 @@
 class Ticket:
     """Refers to a claim, so that its delivery and late runs can be recorded."""
 
-    __slots__ = ("book", "due_ms", "lists", "marked", "period", "row", "sequence")
+    __slots__ = ("accounts", "due_ms", "lists", "marked", "period", "row", "sequence")
 
     def __init__(self, row: int, lists: RowLists, due_ms: float) -> None:
         self.due_ms = due_ms  # deadline of its answer, by the steady clock
         self.row, self.lists, self.sequence, self.period, self.marked = row, lists, 0, 0, False
-        self.book: UsageAccounts | None = None  # the accounts that the claim was written to
+        self.accounts: UsageAccounts | None = None  # the accounts that the claim was written to
 
 
 QueuedClaim = tuple[Ticket, Claim, Callable[[], object] | None]  # the callable delivers the answer
@@ -203,7 +203,7 @@
         """Record that the answer was sent (``arrived``), or that its caller disconnected before."""
         if not ticket.marked:
             ticket.marked = True
-            if ticket.book is not None and ticket.book is not self.accounts:
+            if ticket.accounts is not None and ticket.accounts is not self.accounts:
                 return  # another member continues that ledger, where the claim is in doubt
             (self.delivered if arrived else self.undelivered).append(ticket)
             if not self.flush_scheduled and not self.mark_flush_scheduled:  # it may be written with the next claim
@@ -262,7 +262,7 @@
             entries.append(self.new_row_lists)
             sequence, self.new_row_lists = sequence + 1, None
         for ticket, claim, _ in claims:
-            ticket.sequence, ticket.period, ticket.book = sequence, period, self.accounts
+            ticket.sequence, ticket.period, ticket.accounts = sequence, period, self.accounts
             sequence += 1
             entries.append(claim)
         if delivered or undelivered:
@@ -317,8 +317,8 @@
                 case Sync() | BeginSegment() | Reopen():
                     self.disk_operation = action
                     self._notify_disk_changed()
-                case ReleaseAnswers(upto):
-                    self.synced_through = self.synced_through if upto == math.inf else upto
+                case ReleaseAnswers(up_to):
+                    self.synced_through = self.synced_through if up_to == math.inf else up_to
                     self.release_answers()
                 case ResumeWrites():
                     if not self.flush_scheduled:
@@ -346,13 +346,13 @@
 
     def release_answers(self) -> None:
         """Deliver the answers whose claims are stored as far as the limits require."""
-        waiting, upto = (
+        waiting, up_to = (
             self.pending_answers,
             self.replication.replicated_through if self.replication is not None else math.inf,
         )
         if self.commit.limits.hold_answers and self.commit.gap is None:
-            upto = min(upto, self.synced_through)
-        while waiting and waiting[0][0] <= upto:
+            up_to = min(up_to, self.synced_through)
+        while waiting and waiting[0][0] <= up_to:
             deliver = waiting.popleft()[1][2]
             if deliver is not None:
                 deliver()
@@ -581,11 +581,11 @@
         """
         unsent = [queued for _, queued in self.pending_answers]
         for ticket, _, _ in unsent:
-            ticket.book = None
+            ticket.accounts = None
         self.pending_answers.clear()
         self.claims = unsent + self.claims
-        self.delivered = [ticket for ticket in self.delivered if ticket.book is None]
-        self.undelivered = [ticket for ticket in self.undelivered if ticket.book is None]
+        self.delivered = [ticket for ticket in self.delivered if ticket.accounts is None]
+        self.undelivered = [ticket for ticket in self.undelivered if ticket.accounts is None]
         self.folder, self.accounts, self.new_row_lists = folder, folder.accounts, None
         self.policy = LedgerPolicy(folder.accounts, self.policy.grace_ms)
         self.commit = GroupCommit(self.commit.limits, folder.log.next_sequence - 1)
--- a/flintshift/usage/messages.py
+++ b/flintshift/usage/messages.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockAdjusted:
-    """The system's clock was moved by so much."""
+    """The system's clock was moved by ``by_ms``."""
 
     by_ms: int
 
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The sink has another content under this name, or will never accept the document: an operator must look."""
+    """The sink has another content under this name, or will never accept the document: an operator must act."""
 
     sink: str
     name: str
--- a/flintshift/usage/periods.py
+++ b/flintshift/usage/periods.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 
-STEP_CONFIRM_MS = 300_000.0  # a step is followed once the clocks have been apart for so long
+STEP_CONFIRM_MS = 300_000.0  # a step is followed once the clocks have been apart for this long
 CLOCK_TOLERANCE_MS = 1000.0  # a smaller difference is no step and is followed at once
 
 
--- a/flintshift/usage/replica.py
+++ b/flintshift/usage/replica.py
@@ -201,7 +201,7 @@
         try:
             entries = [unpack(kind, payload) for kind, payload in items]
         except ValueError as error:
-            raise DamagedError(f"{self.folder}: record {first} and on: {error}") from error
+            raise DamagedError(f"{self.folder}: records from {first} on: {error}") from error
         log.epoch = epoch
         begin = 0
         for index, entry in enumerate(entries):
--- a/flintshift/usage/sinks.py
+++ b/flintshift/usage/sinks.py
@@ -29,7 +29,7 @@
 
 
 class Sink(Protocol):
-    """A destination of documents. ``deliver`` may be called again with the same document."""
+    """A destination of documents. ``deliver`` sends one, and may be called again with the same document."""
 
     async def deliver(self, name: str, data: bytes, epoch: int) -> DeliveryOutcome: ...
     async def close(self) -> None: ...
@@ -62,7 +62,8 @@
         return Rejected("folder", name, f"{self.folder / name} holds something else")
 
     async def close(self) -> None:
-        pass  # nothing is open between deliveries
+        """Do nothing, as nothing is open between deliveries."""
+        pass
 
 
 class HttpSink:
--- a/tests/fair_queueing/test_fair_door.py
+++ b/tests/fair_queueing/test_fair_door.py
@@ -23,8 +23,8 @@
 pytestmark = pytest.mark.anyio
 
 
-async def request_status(rig, number, club="sur-pacers"):
-    reader, writer = await asyncio.open_connection("127.0.0.1", rig.ports["http"])
+async def request_status(cluster, number, club="sur-pacers"):
+    reader, writer = await asyncio.open_connection("127.0.0.1", cluster.ports["http"])
     writer.write(http_request("standings", b"1", request_fields(f"{number:016x}", club, "standings", number)))
     status, *_ = await read_reply(reader)
     writer.close()
@@ -49,8 +49,10 @@
     unreachable = await run_show()
     assert unreachable.exit_code == 1 and "refused" in unreachable.output and "door.socket" in unreachable.output
     file = f"door: {{enabled: true, socket: {path.parent.name}/door.sock}}\n"
-    async with SingleNodeCluster(tmp_path, file, pool=Pool(cores=2, took_ms={"standings": 10.0}), control=True) as rig:
-        assert [await request_status(rig, number) for number in range(1, 6)] == [200] * 5
+    async with SingleNodeCluster(
+        tmp_path, file, pool=Pool(cores=2, took_ms={"standings": 10.0}), control=True
+    ) as cluster:
+        assert [await request_status(cluster, number) for number in range(1, 6)] == [200] * 5
         silent_clients = [socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) for _ in range(3)]
         with short_socket_path(path) as name:
             for client in silent_clients:  # they never read
@@ -60,16 +62,16 @@
         header, line, tables = (await run_show()).output.splitlines()
         assert line.split()[:5] == ["sur-pacers", "0.50", "0.1", "0", "5"] and header.endswith("promised")
         assert "KiB" in tables
-        config = json.loads(rig.config.read_text())
+        config = json.loads(cluster.config.read_text())
         config["settings"]["tenants"].append({"name": "new-club", "quotaPerS": 240.0})
-        rig.config.write_text(json.dumps(config))
-        rig.process.send_signal(signal.SIGHUP)
+        cluster.config.write_text(json.dumps(config))
+        cluster.process.send_signal(signal.SIGHUP)
         row = (await clubs_when(lambda rows: rows[0]["cores"] == 0.25))["sur-pacers"]
-        assert row["served_ms"] == 50.0 and await request_status(rig, 6, "new-club") == 200
+        assert row["served_ms"] == 50.0 and await request_status(cluster, 6, "new-club") == 200
         assert (await clubs_when(bool))["new-club"]["cores"] == 1.0
-        assert await rig.upgrade() == 0  # the successor finds the path in use and binds it a second later
+        assert await cluster.upgrade() == 0  # the successor finds the path in use and binds it a second later
         assert await clubs_when(lambda rows: not rows) == {}
-        assert await rig.terminate() == 0 and not path.exists()
+        assert await cluster.terminate() == 0 and not path.exists()
 
 
 @pytest.mark.parametrize(
@@ -82,11 +84,11 @@
 )
 async def test_socket_path_in_use_is_reported_kept_and_costs_no_service(tmp_path, occupy, cause):
     occupant = occupy(tmp_path / "door.sock")
-    async with SingleNodeCluster(tmp_path, "door: {enabled: true, socket: door.sock}\n") as rig:
-        await rig.kill()
-        process = await rig.start(asyncio.subprocess.PIPE)
+    async with SingleNodeCluster(tmp_path, "door: {enabled: true, socket: door.sock}\n") as cluster:
+        await cluster.kill()
+        process = await cluster.start(asyncio.subprocess.PIPE)
         line = await asyncio.wait_for(process.stderr.readline(), 5)
-        assert cause.encode() in line and b"tried again" in line and await request_status(rig, 1) == 200
+        assert cause.encode() in line and b"tried again" in line and await request_status(cluster, 1) == 200
     assert (tmp_path / "door.sock").exists()
     del occupant
 
--- a/tests/fair_queueing/test_fair_queue.py
+++ b/tests/fair_queueing/test_fair_queue.py
@@ -189,10 +189,10 @@
 @pytest.mark.parametrize("clubs", [1, 5, 50])
 def test_full_tables_take_at_most_the_bytes_per_entry(clubs):
     names, generator = [f"c{number}" for number in range(clubs)], random.Random(1)
-    asked = [(f"{number:016x}", names[number % clubs], generator.getrandbits(63)) for number in range(12_000)]
+    requests = [(f"{number:016x}", names[number % clubs], generator.getrandbits(63)) for number in range(12_000)]
     tracemalloc.start()
     queue = FairQueue(QueueSettings(dict.fromkeys(names, 1.0), 2, {"look": 20.0}, True), KEY)
-    for number, (request, club, caller) in enumerate(asked):
+    for number, (request, club, caller) in enumerate(requests):
         queue.handle(0.0, RequestArrived(request, club, caller, "look"))
         if number % 3:
             queue.handle(0.0, RequestRejected(request, 0.0, 20_000.0, 0.5))
--- a/tests/startup/test_permits.py
+++ b/tests/startup/test_permits.py
@@ -191,8 +191,10 @@
                     proceeded.append((now, action.cause))
                 elif action.to not in silent:
                     proceeded += [
-                        (now, one.cause)
-                        for one in requester.on_permit(now, action.to, granter.on_request(now, last, action.request))
+                        (now, permitted.cause)
+                        for permitted in requester.on_permit(
+                            now, action.to, granter.on_request(now, last, action.request)
+                        )
                     ]
             now += 20.0
         assert proceeded[0][0] <= max_ms
--- a/tests/startup/test_reports.py
+++ b/tests/startup/test_reports.py
@@ -99,7 +99,7 @@
         simulate(300, 1, outage_s=0.0, collapse=True, before=True),
         simulate(300, 1, outage_s=0.0, collapse=True, longest_ms=1600.0),
     ]
-    assert [one.listed_ms for one in plays] == [None, None] and plays[0].load_at_end > 5.0
+    assert [play.listed_ms for play in plays] == [None, None] and plays[0].load_at_end > 5.0
 
 
 def test_the_version_without_random_delays_keeps_its_retry_storm_alive():
@@ -121,7 +121,7 @@
         return process.returncode, process.stdout
 
     code, out = command("--nodes", "200", "--fault", "outage")
-    plays = {one["version"]: one for one in json.loads(out)["plays"]}
+    plays = {play["version"]: play for play in json.loads(out)["plays"]}
     assert code == 0 and plays["now"]["collapses"] == 0 and plays["before"]["collapses"] == 1
     assert command("--nodes", "200", "--capacity", "0.5")[0] == 3  # the capacity is below the fleet's steady rate
     assert command("--nodes", "0")[0] == 2
--- a/tests/startup/test_starts.py
+++ b/tests/startup/test_starts.py
@@ -19,7 +19,7 @@
 
 
 def phases_of(actions):
-    return [one.phase for one in actions if isinstance(one, PhaseEntered)]
+    return [action.phase for action in actions if isinstance(action, PhaseEntered)]
 
 
 def test_a_start_goes_through_its_phases_and_reports_what_each_waited_for():
@@ -143,41 +143,41 @@
         return json.loads(out)
 
     settings_text = "startup: {enabled: true, socket: up.sock, folder: startup}\nlog: {enabled: true}\n"
-    async with SingleNodeCluster(tmp_path, settings_text) as rig:
+    async with SingleNodeCluster(tmp_path, settings_text) as cluster:
         async with asyncio.timeout(10):
             while (status_document := await status(0))["phase"] != "steady":
                 await asyncio.sleep(0.05)
-        assert [one["phase"] for one in status_document["entered"]] == ["bound", "restored", "listed", "steady"]
-        await rig.kill()
+        assert [entered["phase"] for entered in status_document["entered"]] == ["bound", "restored", "listed", "steady"]
+        await cluster.kill()
         (tmp_path / "up.sock").unlink()
         for _ in range(3):  # each is killed before it serves, as its pool is down
-            await rig.pool.stop()
-            rig.process = await rig._spawn(rig.command())
+            await cluster.pool.stop()
+            cluster.process = await cluster._spawn(cluster.command())
             async with asyncio.timeout(10):
                 while not (tmp_path / "up.sock").exists() or (await status(3))["phase"] != "bound":
                     await asyncio.sleep(0.05)
-            await rig.kill()
+            await cluster.kill()
             (tmp_path / "up.sock").unlink()
-        rig.process = await rig._spawn(rig.command())  # it is told to leave while it waits
+        cluster.process = await cluster._spawn(cluster.command())  # it is terminated while it waits
         history_file = tmp_path / "startup" / "lives.json"
         async with asyncio.timeout(10):
             while len(json.loads(history_file.read_text())) < 5:
                 await asyncio.sleep(0.01)
-        assert await rig.terminate() == 0 and not (tmp_path / "up.sock").exists()
-        rig.pool.port = 0
-        await rig.pool.start()
-        await rig.start()
+        assert await cluster.terminate() == 0 and not (tmp_path / "up.sock").exists()
+        cluster.pool.port = 0
+        await cluster.pool.start()
+        await cluster.start()
         assert (await status(0))["crash_loop_wait_ms"] == 0
-        await rig.kill()
+        await cluster.kill()
         (tmp_path / "up.sock").unlink()
-        # As if it had not been told to leave.
+        # As if it had not been terminated in good order.
         history_file.write_text(json.dumps(json.loads(history_file.read_text())[:4]))
         began = asyncio.get_running_loop().time()
-        await rig.start()
+        await cluster.start()
         assert asyncio.get_running_loop().time() - began > 1.0
         status_document = await status(0)
         assert status_document["lives_that_ended_badly"] == 3 and status_document["crash_loop_wait_ms"] >= 1000
         await asyncio.sleep(0.3)
-        assert await rig.terminate() == 0
-        await rig.start()
+        assert await cluster.terminate() == 0
+        await cluster.start()
         assert (await status(0))["crash_loop_wait_ms"] == 0
--- a/tests/startup/test_storms.py
+++ b/tests/startup/test_storms.py
@@ -85,9 +85,9 @@
 def start_causes(fleet, name):
     """Return why the member's last start proceeded, by its log."""
     return [
-        one["cause"]
-        for one in fleet.timeline()
-        if one["event"] == "startup.goes_on" and one["life"] == fleet.members[name].logs[-1].name
+        entry["cause"]
+        for entry in fleet.timeline()
+        if entry["event"] == "startup.goes_on" and entry["life"] == fleet.members[name].logs[-1].name
     ]
 
 
@@ -108,12 +108,12 @@
         await fleet.wait_until_linked()
         first, second, *others = granter_order(fleet.members)
         name = others[0]
-        assert all(len(start_causes(fleet, one)) == 1 for one in fleet.members)
+        assert all(len(start_causes(fleet, member)) == 1 for member in fleet.members)
 
         async def restart(*reached):
             """Restart the member with links to these members only, as which of all links is up first is random."""
             await fleet.kill(name)
-            fleet.cut([name], [one for one in fleet.members if one not in (name, *reached)])
+            fleet.cut([name], [member for member in fleet.members if member not in (name, *reached)])
             began = now_ms()
             await fleet.start(name)
             assert now_ms() - began < 5000.0
--- a/tests/storage/sim_files.py
+++ b/tests/storage/sim_files.py
@@ -125,8 +125,8 @@
                 self.current_files[to] = self.current_files.pop(path)
                 self.write_times_ms[to] = self.now_ms
                 return
-            for one in [one for one in self.current_files if path in one.parents]:  # a folder
-                self.current_files[to / one.relative_to(path)] = self.current_files.pop(one)
+            for inner in [inner for inner in self.current_files if path in inner.parents]:  # a folder
+                self.current_files[to / inner.relative_to(path)] = self.current_files.pop(inner)
 
         self.run_operation("rename", to, apply)
 
--- a/tests/storage/test_commit.py
+++ b/tests/storage/test_commit.py
@@ -54,7 +54,7 @@
                     assert self.operation is None, "one operation at a time"
                     self.operation, self.sync_covers = action, self.sequence
                 case ReleaseAnswers(up_to):
-                    for sequence in [one for one in self.waiting if one <= up_to]:
+                    for sequence in [waiting for waiting in self.waiting if waiting <= up_to]:
                         assert sequence <= self.durable or self.commit.gap is not None, "released before its sync"
                         del self.waiting[sequence]
                 case ResumeWrites():
--- a/tests/usage/test_accounts.py
+++ b/tests/usage/test_accounts.py
@@ -254,10 +254,10 @@
     def requests_in_doubt_are_listed_or_counted(self):
         state = self.recorded.accounts.state
         published = [documents.parse(data) for data in self.recorded.documents.values()]
-        listed_count = sum(len(holder.in_doubt) + holder.in_doubt_unlisted for holder in published)
-        listed_count += sum(len(holder.doubted) + holder.doubted_unlisted for holder in state.periods.values())
+        listed_count = sum(len(document.in_doubt) + document.in_doubt_unlisted for document in published)
+        listed_count += sum(len(period.doubted) + period.doubted_unlisted for period in state.periods.values())
         assert listed_count == self.in_doubt_count
-        assert all(len(holder.doubted) <= 5 for holder in state.periods.values())
+        assert all(len(period.doubted) <= 5 for period in state.periods.values())
         assert len(state.documents) <= BOUNDS.documents and len(state.periods) <= BOUNDS.periods
 
 
@@ -436,7 +436,7 @@
     assert clock.read(1_000_040, 40) == (1_000_040, None)
 
 
-@pytest.mark.parametrize("by", [30 * 86_400_000, -86_400_000])
+@pytest.mark.parametrize("step_ms", [30 * 86_400_000, -86_400_000])
 def test_a_clock_that_stays_moved_is_followed_and_the_ledger_never_goes_back(step_ms):
     clock = LedgerClock(1_000_000_000, 0)
     steady_ms, last, steps = 0, 0, 0
@@ -457,7 +457,7 @@
     assert clock.read(1_001_000, 1000)[0] == 5_000_000
 
 
-@pytest.mark.parametrize("length", [1000, 1500, 86_400_000, 31 * 86_400_000])
+@pytest.mark.parametrize("length_ms", [1000, 1500, 86_400_000, 31 * 86_400_000])
 def test_periods_are_counted_from_the_epoch_in_utc(length_ms):
     begin = period_of(1_700_000_000_123, length_ms)
     assert begin % length_ms == 0 and begin <= 1_700_000_000_123 < begin + length_ms
--- a/tests/usage/test_folder.py
+++ b/tests/usage/test_folder.py
@@ -106,7 +106,7 @@
 def test_acknowledgements_left_by_a_crash_and_old_replies_are_removed():
     files = SimFiles()
     make_ledger(files)
-    acknowledge(files, [*read_documents(files, FOLDER), "n0.of-a-document-that-went.usage"])
+    acknowledge(files, [*read_documents(files, FOLDER), "n0.of-a-removed-document.usage"])
     files.make_folder(FOLDER / "replies")
     publish(files, FOLDER / "replies" / "old.json", b"{}")
     files.now_ms = 2 * DAY_MS
--- a/tests/usage/test_ledger_stops.py
+++ b/tests/usage/test_ledger_stops.py
@@ -202,7 +202,7 @@
     files = SimFiles()
     simulated = run_script(files)
     assert simulated.delivered == {1, 2, 4, 5, 6}
-    kinds = {what for what, _ in files.operations}
+    kinds = {name for name, _ in files.operations}
     assert kinds == {"create", "append", "sync", "sync_folder", "rename", "link", "remove"}
     assert verify(files, simulated) == {1, 2, 3, 4, 5, 6, 40}
 
@@ -373,10 +373,10 @@
         self.disk_works = threading.Event()
         self.disk_works.set()
 
-    def run_operation(self, what, path, do=lambda: None, partial=lambda: None):
-        if what == "sync" and path.suffix == ".log":
+    def run_operation(self, name, path, apply=lambda: None, apply_partly=lambda: None):
+        if name == "sync" and path.suffix == ".log":
             self.disk_works.wait(20)
-        return super().run_operation(what, path, do, partial)
+        return super().run_operation(name, path, apply, apply_partly)
 
 
 @pytest.mark.parametrize("hang_in", ["sync", "segment", "reopen"])
