--- a/tests/usage/test_accounts.py
+++ b/tests/usage/test_accounts.py
@@ -254,10 +254,10 @@
     def requests_in_doubt_are_listed_or_counted(self):
         state = self.recorded.accounts.state
         published = [documents.parse(data) for data in self.recorded.documents.values()]
-        listed_count = sum(len(holder.in_doubt) + holder.in_doubt_unlisted for holder in published)
-        listed_count += sum(len(holder.doubted) + holder.doubted_unlisted for holder in state.periods.values())
+        listed_count = sum(len(document.in_doubt) + document.in_doubt_unlisted for document in published)
+        listed_count += sum(len(period.doubted) + period.doubted_unlisted for period in state.periods.values())
         assert listed_count == self.in_doubt_count
-        assert all(len(holder.doubted) <= 5 for holder in state.periods.values())
+        assert all(len(period.doubted) <= 5 for period in state.periods.values())
         assert len(state.documents) <= BOUNDS.documents and len(state.periods) <= BOUNDS.periods
 
 
