--- a/benchmarks/chaos_copies.py
+++ b/benchmarks/chaos_copies.py
@@ -1,4 +1,4 @@
-"""Fault injection into replication: rounds of seeded faults, each losing a machine with its disk; also without copies.
+"""Fault injection into replication: rounds of seeded faults, each with the loss of a machine and its disk.
 
     python benchmarks/chaos_copies.py --rounds 200 --out benchmarks/results/chaos_copies.json
 
@@ -23,12 +23,12 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from flintshift.lab.chaos_replication import DiskRefusal, run_rounds  # noqa: E402
+from flintshift.lab.chaos_replication import DiskFailures, run_rounds  # noqa: E402
 from flintshift.lab.ports import PORTS_PART_VARIABLE  # noqa: E402
 
 
 def run_fleet(
-    part: int, parts: int, count: int, seed: int, copies: bool, disks: DiskRefusal | None = None
+    part: int, parts: int, count: int, seed: int, copies: bool, disks: DiskFailures | None = None
 ) -> dict[str, Any]:
     """Run the rounds of one of the ``parts`` fleets in this process; return the tally of what callers saw."""
     import os
@@ -52,7 +52,7 @@
     return tally.to_dict()
 
 
-def run_fleets(count: int, parallel: int, seed: int, copies: bool, disks: DiskRefusal | None = None) -> dict[str, Any]:
+def run_fleets(count: int, parallel: int, seed: int, copies: bool, disks: DiskFailures | None = None) -> dict[str, Any]:
     """Divide the rounds among parallel fleets; return the sum of their tallies."""
     rounds_by_fleet = [count // parallel + (part < count % parallel) for part in range(parallel)]
     with ProcessPoolExecutor(parallel) as executor:
@@ -91,7 +91,7 @@
     parser.add_argument("--disks-for", type=float, default=math.inf, metavar="S", help="duration of the disk faults")
     parser.add_argument("--out", type=Path, help="also write the result to this file")
     options = parser.parse_args()
-    disks = DiskRefusal(options.disks, options.disks_from, options.disks_for) if options.disks else None
+    disks = DiskFailures(options.disks, options.disks_from, options.disks_for) if options.disks else None
     result = {"copies": run_fleets(options.rounds, min(options.parallel, options.rounds), options.seed, True, disks)}
     if disks is not None:
         result["disks"] = {"rate": disks.rate, "from_s": disks.from_s, "lasts_s": str(disks.lasts_s)}
--- a/benchmarks/control_latency.py
+++ b/benchmarks/control_latency.py
@@ -26,7 +26,7 @@
 from flintshift.lab.single_node_cluster import SingleNodeCluster  # noqa: E402
 from flintshift.lab.standins import Pool  # noqa: E402
 
-ROW_S = 12.0  # longest duration of the calls of a row
+ROW_S = 12.0  # the longest that the calls of a row of the result may take
 
 
 async def call_control(port: int) -> float:
--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -3,8 +3,8 @@
     python benchmarks/copies_cost.py --out benchmarks/results/copies_cost.json
 
 Fleets of five members run at the same time, one without copies. Phases alternate between them, so that disturbances
-of the machine affect all fleets. Delays and CPU are measured at an even rate, throughput with enough callers to
-saturate the members, which are bound to two cores so that the members are the bottleneck, not the callers.
+of the machine affect all fleets. Delays and CPU are measured at an even rate. Throughput is measured with enough
+callers to saturate the members, which are bound to two cores so that they are the bottleneck and not the callers.
 """
 
 from __future__ import annotations
@@ -92,6 +92,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
+    """Return the quantile ``share`` of the values."""
     return sorted(values)[int(len(values) * share)]
 
 
--- a/benchmarks/copies_loss.py
+++ b/benchmarks/copies_loss.py
@@ -25,7 +25,7 @@
 from flintshift.lab.fleet import Fleet  # noqa: E402
 
 HALLS = {"ruwi-hall": 3, "seeb-hall": 2}
-BIN_S = 0.1
+BIN_S = 0.1  # in which served writes are counted
 
 
 async def run_callers(fleet: Fleet, names: list[str], seconds: float, callers: int, served: list[float]) -> None:
--- a/benchmarks/copies_model.py
+++ b/benchmarks/copies_model.py
@@ -30,7 +30,7 @@
 from flintshift.replication.placement import SLOT_COUNT, Placement  # noqa: E402
 from flintshift.replication.registers import Entry, HolderBounds, Registers  # noqa: E402
 
-HOP_MS, RUN_MS = 0.5, 20.0
+HOP_MS, RUN_MS = 0.5, 20.0  # delay of a message, and duration of a run
 
 
 def assign_halls(count: int, halls: int) -> dict[str, str]:
--- a/benchmarks/disk_faults.py
+++ b/benchmarks/disk_faults.py
@@ -27,7 +27,7 @@
 from flintshift.lab.syscall_faults import NO_FAULTS, Rates, SyscallFaults  # noqa: E402
 
 DISK_FAULTS = Rates(disk=200)
-RECOVERY_S = 2.5
+RECOVERY_S = 2.5  # from the end of the disk faults to the notice to leave
 
 
 async def run_with_disk_faults(seed: int, folder: Path) -> list[str]:
--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -27,19 +27,19 @@
 
 def measure(callers: int, waiting: int, requests: int) -> tuple[float, int]:
     """Return the microseconds per request, and the entries in the tables at the end."""
-    rng, shares = random.Random(1), FairQueue(WEIGHTS, b"k" * 16)
+    rng, fair_queue = random.Random(1), FairQueue(WEIGHTS, b"k" * 16)
     arrivals = [(f"{number:016x}", rng.choice(CLUBS), rng.randrange(callers)) for number in range(requests)]
     queue: list[str] = []
     began_s = time.perf_counter()
     for number_arrived, (request, club, caller) in enumerate(arrivals):
-        shares.handle(number_arrived * 2.0, RequestArrived(request, club, caller, "look"))
+        fair_queue.handle(number_arrived * 2.0, RequestArrived(request, club, caller, "look"))
         queue.append(request)
         if len(queue) > waiting:
-            first = min(queue, key=shares.rank_ms)
+            first = min(queue, key=fair_queue.rank_ms)
             queue.remove(first)
-            shares.handle(number_arrived * 2.0, RunStarted(first))
-            shares.handle(number_arrived * 2.0, RunEnded(first, 20.0))
-    return (time.perf_counter() - began_s) / requests * 1e6, shares.entries
+            fair_queue.handle(number_arrived * 2.0, RunStarted(first))
+            fair_queue.handle(number_arrived * 2.0, RunEnded(first, 20.0))
+    return (time.perf_counter() - began_s) / requests * 1e6, fair_queue.entries
 
 
 def main() -> None:
--- a/benchmarks/door_model.py
+++ b/benchmarks/door_model.py
@@ -4,7 +4,8 @@
 
 The node has one core, runs of 10 ms and two clubs of equal weight: "a" overloads the node, "b" asks for 0.8 of its
 share. Requests that are not among the next five of the order are rejected with a retry time. With ``heeds`` the callers
-come back at that time, without it after a quarter of the wait. The table gives the share of returning callers that were
+come back at that time, without it after a quarter of the wait. ``flood`` is the number of first tries of "a" per run,
+and ``storm`` that of its further tries without a retry time. The table gives the share of returning callers that were
 let in, how much later than the retry time their runs began, the number of served first tries of "a", and the share of
 the requests of "b" that were served.
 """
@@ -34,7 +35,7 @@
     RunStarted,
 )
 
-RUN_MS, QUEUE_LIMIT, MAX_WAIT_MS = 10.0, 5, 1000.0
+RUN_MS, QUEUE_LIMIT, MAX_WAIT_MS = 10.0, 5, 1000.0  # of a run; waiting requests; the longest retry time
 
 
 @dataclass
@@ -59,20 +60,24 @@
         return sorted(self.late_ms)[int(len(self.late_ms) * quantile)] if self.late_ms else 0.0
 
 
-def simulate(heeds: bool, seed: int, flood: int = 3, storm: int = 0, ticks: int = 2000) -> ReturnCounts:
+def simulate(
+    heeds: bool, seed: int, first_tries_per_run: int = 3, retries_per_run: int = 0, ticks: int = 2000
+) -> ReturnCounts:
     """Simulate ``ticks`` runs of the node.
 
-    ``flood`` is the number of first tries of club "a" per run, by callers that come back only at a retry time.
-    ``storm`` is the number of its further tries per run that come without a retry time. "b" has one caller.
+    ``first_tries_per_run`` is the number of first tries of club "a" per run, by callers that come back only at a retry
+    time; ``retries_per_run`` is that of its further tries without a retry time. "b" has one caller.
     """
-    shares = FairQueue(QueueSettings({"a": 1.0, "b": 1.0}, 1, {"look": RUN_MS}, True), b"model".ljust(16))
+    fair_queue = FairQueue(QueueSettings({"a": 1.0, "b": 1.0}, 1, {"look": RUN_MS}, True), b"model".ljust(16))
     rng, counts = random.Random(seed), ReturnCounts()
     returning: list[tuple[float, str, int]] = []
     waiting: dict[str, float | None] = {}  # by request: the retry time of a returning caller; infinite without one
     for tick in range(ticks):
         now = tick * RUN_MS
-        arrivals: list[tuple[str, int, float | None]] = [("a", rng.randrange(10_000), None) for _ in range(flood)]
-        arrivals += [("a", rng.randrange(10_000), math.inf) for _ in range(storm)]
+        arrivals: list[tuple[str, int, float | None]] = [
+            ("a", rng.randrange(10_000), None) for _ in range(first_tries_per_run)
+        ]
+        arrivals += [("a", rng.randrange(10_000), math.inf) for _ in range(retries_per_run)]
         arrivals += [("b", 1, None)] * (tick % 5 in (0, 2))
         counts.requests_of_b += tick % 5 in (0, 2)
         arrivals += [(club, caller, retry_at_ms) for retry_at_ms, club, caller in returning if retry_at_ms <= now]
@@ -80,20 +85,20 @@
         rng.shuffle(arrivals)
         for number, (club, caller, retry_at_ms) in enumerate(arrivals):
             request = f"{tick}-{number}-{club}"
-            shares.handle(now, RequestArrived(request, club, caller, "look", retry_at_ms is not None))
+            fair_queue.handle(now, RequestArrived(request, club, caller, "look", retry_at_ms is not None))
             waiting[request] = retry_at_ms
-        order = sorted(waiting, key=shares.rank_ms)
+        order = sorted(waiting, key=fair_queue.rank_ms)
         for request in order[QUEUE_LIMIT:]:
             retry_at_ms = waiting.pop(request)
             counts.rejected_returns += retry_at_ms is not None and retry_at_ms < math.inf
             counts.rejected_first_tries += retry_at_ms is None
-            caller, club = shares.tracked[request].caller, request[-1]
-            (response,) = shares.handle(now, RequestRejected(request, 0.0, MAX_WAIT_MS, rng.random()))
+            caller, club = fair_queue.tracked[request].caller, request[-1]
+            (response,) = fair_queue.handle(now, RequestRejected(request, 0.0, MAX_WAIT_MS, rng.random()))
             assert isinstance(response, RetryAfter) and response.wait_ms <= MAX_WAIT_MS
             if response.reserved and retry_at_ms != math.inf:
                 returning.append((now + response.wait_ms * (1.0 if heeds else 0.25), club, caller))
-        shares.handle(now, RunStarted(order[0]))
-        shares.handle(now, RunEnded(order[0], RUN_MS))
+        fair_queue.handle(now, RunStarted(order[0]))
+        fair_queue.handle(now, RunEnded(order[0], RUN_MS))
         retry_at_ms = waiting.pop(order[0])
         counts.served_first_tries += retry_at_ms is None
         counts.served[order[0][-1]] += 1
@@ -119,7 +124,7 @@
     parser.add_argument("--out", type=Path, help="write the result to this file as JSON")
     options = parser.parse_args()
     rows = []
-    for flood, heeds, storm in (
+    for first_tries_per_run, heeds, retries_per_run in (
         (2, True, 0),
         (6, True, 0),
         (20, True, 0),
@@ -127,12 +132,12 @@
         (6, True, 20),
         (6, True, 100),
     ):
-        runs = [simulate(heeds, seed, flood, storm) for seed in range(options.seeds)]
+        runs = [simulate(heeds, seed, first_tries_per_run, retries_per_run) for seed in range(options.seeds)]
         rows.append(
             {
-                "flood": flood,
+                "flood": first_tries_per_run,
                 "heeds": heeds,
-                "storm": storm,
+                "storm": retries_per_run,
                 "came_back": sum(one.served_returns + one.rejected_returns for one in runs),
                 **{name: round(sum(map(compute, runs)) / len(runs), 3) for name, compute in FIGURES.items()},
             }
--- a/benchmarks/kill_exporter.py
+++ b/benchmarks/kill_exporter.py
@@ -106,7 +106,7 @@
     for _ in range(KILLS_PER_RUN):
         process = await start_export(folder, url)
         acknowledged_before = len(list((folder / "acks").glob("http/*.usage")))
-        # The start takes most of the time and nothing can fail in it, so most kills wait for a delivery.
+        # Most of an export's time is its start, in which nothing can go wrong, so most kills wait for a delivery.
         began_s, deliveries_before = time.monotonic(), sum(billing.request_counts.values())
         if rng.random() < 0.7:
             while sum(billing.request_counts.values()) == deliveries_before and process.returncode is None:
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -42,16 +42,19 @@
 
 
 def run_from_command_line(
-    description: str | None, play: Callable[[int, int, int], Any], runs: int, parallel: int
+    description: str | None, run_benchmark: Callable[[int, int, int], Any], runs: int, parallel: int
 ) -> int:
-    """Parse the command line, run ``play`` and print its result; return exit code 3 if the result has violations."""
+    """Parse the command line, call ``run_benchmark`` and print its result.
+
+    Returns the exit code: 3 if the result has violations, else 0.
+    """
     parser = argparse.ArgumentParser(description=description, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--runs", type=int, default=runs)
     parser.add_argument("--parallel", type=int, default=parallel)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--out", type=Path, help="also write the result to this file")
     options = parser.parse_args()
-    result = asyncio.run(play(options.runs, options.parallel, options.seed))
+    result = asyncio.run(run_benchmark(options.runs, options.parallel, options.seed))
     text = json.dumps(result, indent=1)
     print(text)
     if options.out:
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -27,7 +27,7 @@
 PING = b"GET /ping HTTP/1.1\r\nHost: node\r\n\r\n"
 POLL_S = 0.01  # between two health checks of a node that is not ready yet
 TIMEOUT_S = 60.0
-LINGER_S = 0.1  # lets the links of the stand-in close
+LINGER_S = 0.1  # time for the worker pool's links to close
 THIS_CHECKOUT = Path(__file__).resolve().parent.parent
 
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -33,7 +33,7 @@
 from flintshift.lab.standins import Pool  # noqa: E402
 from flintshift.settings.embedded import CLUBS  # noqa: E402
 
-STEADY_S = 1.0
+STEADY_S = 1.0  # of steady load before each upgrade
 # Time of the request, ms until the answer, status (0: the connection ended without one), id, result, key of a write.
 Answer = tuple[float, float, int, str, bytes, str]
 
--- a/flintshift/cli/control.py
+++ b/flintshift/cli/control.py
@@ -11,7 +11,7 @@
 
 from flintshift.settings import units
 
-TIMEOUT_S = 2.0  # a node answers within 1 s
+TIMEOUT_S = 2.0  # twice the 1 s within which a node answers
 
 
 def find_control_address(at: str | None) -> str:
@@ -61,6 +61,8 @@
 
 
 def add_command(name: str, method: str, help_text: str) -> Callable[..., None]:
+    """Add a subcommand that sends the call ``name`` with this HTTP method."""
+
     @control.command(name, help=help_text)
     @click.option("--at", metavar="HOST:PORT", help="The control address; else LB_CONTROL, else LB_CONFIG's `control`.")
     def command(at: str | None) -> None:
--- a/flintshift/cli/status_client.py
+++ b/flintshift/cli/status_client.py
@@ -13,7 +13,7 @@
 
 from flintshift.wire.unix import short_socket_path
 
-TIMEOUT_S = 5.0
+TIMEOUT_S = 5.0  # for connecting, and for reading the whole response
 MAX_RESPONSE_BYTES = 16 << 20
 
 
--- a/flintshift/cli/usage.py
+++ b/flintshift/cli/usage.py
@@ -64,7 +64,7 @@
             fail(f"{folder}: holds no ledger", 1)
         try:
             command(folder=folder, options=options, **arguments)
-        except BrokenPipeError:  # the reader of the output closed its end
+        except BrokenPipeError:  # an OSError that is no error of the folder: the reader of the output closed its end
             raise
         except DamagedError as error:
             fail(str(error), 1)
@@ -213,17 +213,17 @@
 
 
 class PeriodBegin(click.ParamType):
-    """Begin of a period in UTC on the command line, converted to epoch milliseconds."""
+    """Start of a period in UTC on the command line, converted to epoch milliseconds."""
 
     name = "YYYYMMDDTHHMMSS.mmmZ"
 
     def convert(self, value: Any, param: Any, ctx: Any) -> int:
         if not PERIOD_BEGIN_PATTERN.fullmatch(str(value)):
-            self.fail(f"{value!r} is no begin of a period, such as 20261201T160000.000Z", param, ctx)
+            self.fail(f"{value!r} is not the start of a period, such as 20261201T160000.000Z", param, ctx)
         try:
             moment = datetime.strptime(value[:15], "%Y%m%dT%H%M%S").replace(tzinfo=UTC)
         except ValueError:
-            self.fail(f"{value!r} is no date", param, ctx)
+            self.fail(f"{value!r} is not a date", param, ctx)
         return int(moment.timestamp()) * 1000 + int(value[16:19])
 
 
@@ -232,7 +232,7 @@
 @click.option("--id", "id_", required=True, help="Id of this correction; the same correction again changes nothing.")
 @click.option("--author", required=True)
 @click.option("--reason", required=True)
-@click.option("--period", type=PeriodBegin(), required=True, help="Begin of the period, as `usage show` prints it.")
+@click.option("--period", type=PeriodBegin(), required=True, help="Start of the period, as `usage show` prints it.")
 @click.option("--club", required=True)
 @click.option("--class", "class_name", required=True)
 @click.option("--front", type=click.Choice(FRONTS), required=True)
@@ -335,7 +335,7 @@
     deadline_s = time.monotonic() + wait
     while not reply_path.exists():
         if time.monotonic() >= deadline_s:
-            fail(f"handed in; the node has not answered within {wait:g} s: its answer will be in {reply_path}", 1)
+            fail(f"submitted; the node has not answered within {wait:g} s: its answer will be in {reply_path}", 1)
         time.sleep(0.05)
     reply = json.loads(reply_path.read_bytes())
     reply_path.unlink(missing_ok=True)
--- a/flintshift/lab/billing.py
+++ b/flintshift/lab/billing.py
@@ -36,11 +36,13 @@
 
 
 class Billing:
-    """The server. Faults are drawn at random for the share ``fault_share`` of the requests.
+    """The billing server. A share ``fault_share`` of the requests meets a fault of `FAULTS`, drawn at random.
 
     ``scripted_faults`` are used up first, one for each request ("" for none). lost-before and lost-after close the
-    connection before and after the document is stored; late answers after ``late_s``; twice sends its answer two times;
-    wrong-digest stores the document and answers with another digest.
+    connection before and after the document is stored; silent also does so before, but after three times ``late_s``;
+    late answers after ``late_s``; half sends an incomplete answer, and junk one that is not JSON; twice sends its
+    answer two times; wrong-digest stores the document and answers with another digest. The others are status codes, of
+    which 500-before is sent instead of storing the document and 500-after once it is stored.
     """
 
     def __init__(self, folder: Path, fault_share: float = 0.0, seed: int = 0, late_s: float = 0.3) -> None:
@@ -48,18 +50,20 @@
         self.scripted_faults: list[str] = []
         self.request_counts: Counter[str] = Counter()  # by document name
         self.fault_counts: Counter[str] = Counter()  # by fault
-        self.epochs: dict[str, int] = {}  # highest one by ledger; exports that name no ledger share one entry
+        self.epochs: dict[str, int] = {}  # highest epoch by ledger; exports that name no ledger share one entry
         self.conflicts = 0
         self.tasks: set[asyncio.Task[None]] = set()
         self.down = False
         folder.mkdir(parents=True, exist_ok=True)
 
     async def start(self, port: int = 0) -> int:
+        """Listen on ``port``, or on a free one for 0; return the port."""
         self.port = port or free_ports(1)[0]
         self.server = await asyncio.start_server(ConnectionTasks(self._serve), "127.0.0.1", self.port)
         return self.port
 
     def stop(self) -> None:
+        """Accept no new connections; open ones stay open."""
         self.server.close()
 
     def accept_document(self, name: str, data: bytes, epoch: int, ledger: str = "") -> tuple[int, bytes]:
@@ -155,6 +159,7 @@
 
 
 def main() -> None:
+    """Serve until the process is ended."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("folder", type=Path)
     parser.add_argument("--port", type=int, default=8090)
--- a/flintshift/lab/callers.py
+++ b/flintshift/lab/callers.py
@@ -21,7 +21,7 @@
 
     answers: Counter[tuple[str, str, str, str]] = field(default_factory=Counter)
     row_by_id: dict[str, tuple[str, str, str, str]] = field(default_factory=dict)
-    bytes_out: Counter[str] = field(default_factory=Counter)
+    bytes_out: Counter[str] = field(default_factory=Counter)  # of the answers' bodies, by club
     unanswered: set[str] = field(default_factory=set)  # ids of requests whose connection broke before the answer
     delays_ms: list[float] = field(default_factory=list)
 
@@ -44,6 +44,7 @@
 
 
 def http_request(class_name: str, body: bytes, fields: dict[str, str]) -> bytes:
+    """Return the bytes of a request to the http front."""
     lines = [
         f"POST /call/{class_name} HTTP/1.1",
         "Host: api.internal",
@@ -56,6 +57,7 @@
 
 
 def uwsgi_request(class_name: str, body: bytes, fields: dict[str, str]) -> bytes:
+    """Return the bytes of a request to the uwsgi front."""
     variables = {
         "REQUEST_METHOD": "POST",
         "PATH_INFO": f"/call/{class_name}",
@@ -88,7 +90,10 @@
 
 
 class Caller:
-    """A caller with one connection, which sends each request after the answer to the previous one."""
+    """A caller with one connection, which sends each request after the answer to the previous one.
+
+    ``pause_s`` is the mean pause between two requests. Without ``keep_ids`` the tally gets no rows by request id.
+    """
 
     def __init__(
         self,
--- a/flintshift/lab/capacity.py
+++ b/flintshift/lab/capacity.py
@@ -12,8 +12,8 @@
 
 BIN_MS = 100.0  # calls are counted in bins of this length
 LOAD_BINS = 10  # the load is that of the last second
-SLOW_ANSWER_MS = 300.0  # time of an answer over the capacity
-OVERLOAD_FACTOR = 1.2  # times the capacity; calls past it are rejected
+SLOW_ANSWER_MS = 300.0  # response time while the load is over the capacity
+OVERLOAD_FACTOR = 1.2  # multiple of the capacity; calls beyond it are rejected
 COLLAPSE_AFTER_MS = 1000.0  # of overload
 RECOVERY_AFTER_MS = 2000.0  # under a third of the capacity
 
@@ -27,14 +27,14 @@
 
 
 class Capacity:
-    """A service that takes ``per_s`` calls a second. ``bins`` counts all its calls, in bins of 100 ms by number."""
+    """A service that takes ``per_s`` calls a second. ``bins`` has the number of its calls by 100 ms bin."""
 
     def __init__(self, per_s: float) -> None:
         self.per_s = per_s
         self.down = False
         self.collapsed = False
         self.collapses = 0
-        self.since_ms: float | None = None  # begin of the overload or, once collapsed, of the low load
+        self.since_ms: float | None = None  # start of the overload or, while collapsed, of the low load
         self.bins: dict[int, int] = {}
         self.recent: deque[int] = deque([0] * LOAD_BINS, LOAD_BINS)  # calls of the last bins
         self.current_bin: int | None = None
--- a/flintshift/lab/chaos_replication.py
+++ b/flintshift/lab/chaos_replication.py
@@ -37,12 +37,14 @@
 
 
 async def slow_link(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    """One direction of a link is delayed."""
     source, target = rng.sample(others, 2)
     fleet.links[source, target].forward = Fault(delay_ms=200.0, jitter_ms=50.0)
     fleet.add_to_timeline(f"{source} to {target}: delayed by 200 ms")
 
 
 async def one_way_cut(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    """The bytes of one direction of a link are lost."""
     source, target = rng.sample(others, 2)
     fleet.links[source, target].forward = Fault(drops=True)
     fleet.add_to_timeline(f"{source} to {target}: one-way cut")
@@ -55,10 +57,12 @@
 
 
 async def hall_cut(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    """The links between the two halls are cut."""
     fleet.cut(fleet.members_in_hall("ruwi-hall"), fleet.members_in_hall("seeb-hall"))
 
 
 async def flapping(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    """The links of a second member are reset several times."""
     member = rng.choice(others)
     for _ in range(4):
         for link in fleet.links_between([member], [name for name in fleet.members if name != member]):
@@ -68,6 +72,7 @@
 
 
 async def paused(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    """A second member's process is paused, and resumed after 1.8 s."""
     member = rng.choice(others)
     fleet.pause(member)
     await asyncio.sleep(1.8)
@@ -83,6 +88,7 @@
 
 
 async def torn_frames(fleet: Fleet, rng: random.Random, others: list[str]) -> None:
+    """Connections break within a frame, some of them after duplicated bytes."""
     for _ in range(6):
         source, target = rng.sample(others, 2)
         fleet.links[source, target].forward = Fault(reset_after=rng.randrange(2000), duplicates=rng.random() < 0.3)
@@ -96,7 +102,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DiskRefusal:
+class DiskFailures:
     """A share of each member's writes and syncs fails, for some time."""
 
     rate: int  # failures of 1,000 writes and syncs
@@ -121,7 +127,7 @@
     in_doubt: int = 0
     # For each round, the time from its end or from the disks' later recovery until all ledgers had all replicas.
     complete_after_s: list[float] = field(default_factory=list)
-    # Requests recorded while no replica answered, which was reported, by a machine that was lost then.
+    # Requests that a machine recorded while it reported that no replica answered, and that were lost with it.
     lost_in_gaps: int = 0
 
     @property
@@ -230,7 +236,7 @@
         member.pool.spawned.clear()
 
 
-async def _inject_disk_failures(fleet: Fleet, disks: DiskRefusal) -> None:
+async def _inject_disk_failures(fleet: Fleet, disks: DiskFailures) -> None:
     """Let the fleet's disks fail for the given time."""
     await asyncio.sleep(disks.from_s)
     fleet.set_write_failure_rate(disks.rate)
@@ -271,7 +277,7 @@
     callers: int = 8,
     report: Callable[[str], None] = lambda text: None,
     root: Path | None = None,
-    disks: DiskRefusal | None = None,
+    disks: DiskFailures | None = None,
 ) -> Tally:
     """Run ``count`` rounds on one fleet, and return their results.
 
@@ -286,7 +292,7 @@
         seed=seed,
         root=root,
         extra_settings=usage_settings(folder, PERIOD),
-        disks_refuse=disks is not None,
+        syscall_faults_enabled=disks is not None,
     ) as fleet:
         await fleet.wait_until_linked()
         disk_task = asyncio.ensure_future(_inject_disk_failures(fleet, disks)) if disks is not None else None
--- a/flintshift/lab/cold_start.py
+++ b/flintshift/lab/cold_start.py
@@ -23,14 +23,14 @@
     WakeAt,
 )
 
-QUIET_MS = 10_000.0  # from the start to an outage
-AFTER_MS = 20_000.0  # simulated after the outage
-LAPSE_MS = 3000.0  # a node leaves the list so long after its last accepted report
+QUIET_MS = 10_000.0  # from the start of the simulation to the outage
+AFTER_MS = 20_000.0  # from the end of the outage to that of the simulation
+LAPSE_MS = 3000.0  # after its last accepted report; then a node's entry is removed from the list
 
 
 @dataclass(frozen=True, slots=True)
 class SimulationResult:
-    """The load that the service met, and how the nodes' entries fared."""
+    """The load on the list service, and what became of the nodes' entries in its list."""
 
     steady_per_s: float  # calls that the fleet makes while the service is healthy
     peak_start: float  # highest load of any 100 ms, relative to the steady rate, up to the outage
@@ -49,7 +49,7 @@
     reports: ReportSchedule
     starts_ms: float
     taken_ms: float | None = None  # time of its last accepted report
-    wakes: int = 0  # a Tick that was scheduled at an earlier count is stale
+    wakes: int = 0  # events handled so far; a Tick that was scheduled at an earlier count is ignored
     lapses: int = 0
 
 
@@ -73,6 +73,7 @@
     queue: list[tuple[float, int, SimNode, Event, int]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
+        # Begin and end of the outage.
         self.down_ms = QUIET_MS, QUIET_MS + self.outage_s * 1000
         self.rng = random.Random(self.seed)
         self.timing = ReportTiming(nodes=self.nodes)
--- a/flintshift/lab/demo.py
+++ b/flintshift/lab/demo.py
@@ -31,7 +31,7 @@
     accounts, _, _ = load(files, folder)
     requests: Counter[str] = Counter()
     in_doubt = len(accounts.state.waiting) + sum(len(period.doubted) for period in accounts.state.periods.values())
-    # A document is in the log alone where the node exited after it was created and before its file was written.
+    # A document is only in the log if the node exited after creating it and before writing its file.
     logged = {document.name: documents.parse(document.data) for document in accounts.state.documents}
     for document in {**logged, **read_documents(files, folder)}.values():
         in_doubt += len(document.in_doubt)
--- a/flintshift/lab/drain_history.py
+++ b/flintshift/lab/drain_history.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-CROSSING_MS = 50.0  # by the protocol, a request that crosses a close within this time is sent once more
-LATE_TOLERANCE_MS = 100.0  # past the deadline: 50 ms by the protocol, the rest for a busy machine
+CROSSING_MS = 50.0  # the protocol has a request sent once more if the connection closes within this time after it
+LATE_TOLERANCE_MS = 100.0  # past the deadline: the protocol allows 50 ms, the rest is for delays on a busy machine
 REJECTED_STATUSES = (429, 503)
 
 
@@ -48,8 +48,8 @@
 
     exit_code: int
     left_ms: float | None  # from the notice to the exit; None: it was killed
-    requests_after_end: int = 0  # that the node read from a connection after it had shut down its sending side
-    truncated_commands: int = 0  # to the worker pool; the node closed the link in the middle
+    requests_after_end: int = 0  # read from a connection after the node had shut down its sending side
+    truncated_commands: int = 0  # to the worker pool, in the middle of which the node closed the link
     counters: dict[str, int] = field(default_factory=dict)
 
 
@@ -64,6 +64,7 @@
     examples: list[str] = field(default_factory=list)
 
     def add_violation(self, rule: str, example: str) -> None:
+        """Count a violation of the rule; keep the first examples of all rules."""
         self.broken[rule] += 1
         if len(self.examples) < 20:
             self.examples.append(f"{rule}: {example}")
--- a/flintshift/lab/drain_soak.py
+++ b/flintshift/lab/drain_soak.py
@@ -40,7 +40,7 @@
 )
 
 
-FAILING_CALLS = (  # may fail under load and in a drain; none of them breaks a caller's connection
+FAILING_CALLS = (  # these may fail under load and in a drain; no failure of them breaks a caller's connection
     Call.SOCKET,
     Call.BIND,
     Call.LISTEN,
@@ -66,8 +66,8 @@
     """The load and the faults of one drain; drawn from a seed by `draw_plan`."""
 
     seed: int
-    callers: int  # that keep a connection, and pause between requests
-    pause_s: float  # the longest pause
+    callers: int  # callers that keep a connection and pause between requests
+    pause_s: float  # the longest pause of a caller between two requests
     openers: int  # callers that open a connection for each request
     resting: int  # callers that send one request, and keep the connection until the node closes it
     pieces: float  # share of requests that are written in two pieces
@@ -78,7 +78,7 @@
     step_s: float  # adjustment of the wall clock; 0: none
     step_in_drain: bool  # else it happens under load, before the notice
     pool_cuts: int  # resets of the worker pool's link
-    calls: tuple[CallFault, ...]
+    calls: tuple[CallFault, ...]  # system calls that fail from the load on
 
 
 def draw_plan(seed: int) -> Plan:
@@ -115,6 +115,7 @@
         self.max_ms = 0.0
 
     async def watch(self) -> None:
+        """Measure until the task is cancelled."""
         while True:
             expected_ms = now_ms() + self.INTERVAL_S * 1000
             await asyncio.sleep(self.INTERVAL_S)
--- a/flintshift/lab/fault_injection.py
+++ b/flintshift/lab/fault_injection.py
@@ -17,6 +17,7 @@
 
 
 def main() -> None:
+    """Patch the clock and the disk files, and run the node in this process."""
     offset_s, marker_path = float(sys.argv[1]) / 1000, sys.argv[2]
     real_time, real_append, real_sync = time.time, DiskFile.append, DiskFile.sync
 
--- a/flintshift/lab/faults.py
+++ b/flintshift/lab/faults.py
@@ -27,7 +27,7 @@
     delay_ms: float = 0.0
     jitter_ms: float = 0.0  # maximum random extra delay; bytes keep their order, as in TCP
     drops: bool = False  # bytes are read and discarded: a one-way cut, or with both directions a half-open connection
-    bytes_per_s: int = 0  # 0: unlimited
+    bytes_per_s: int = 0  # throughput; 0: unlimited
     duplicates: bool = False  # each chunk is passed on twice, which a reader of frames sees as malformed data
     reset_after: int = -1  # the connection is reset after this many more bytes, also within a frame; -1: never
 
@@ -44,9 +44,11 @@
         self.connections = ConnectionTasks(self._serve)
 
     async def start(self) -> None:
+        """Listen for connections."""
         self.server = await asyncio.start_server(self.connections, "127.0.0.1", self.port)
 
     async def stop(self) -> None:
+        """Reset all connections, and wait until they are closed."""
         self.server.close()
         await self.connections.wait_until_accepted()
         self.reset()
--- a/flintshift/lab/faulty_start.py
+++ b/flintshift/lab/faulty_start.py
@@ -17,13 +17,13 @@
 from flintshift.lab.single_node_cluster import SingleNodeCluster
 from flintshift.lab.syscall_faults import NO_FAULTS, Call, Rates, SyscallFaults
 
-READY_TIMEOUT_S = 30.0  # for a process to become ready, by the platform's pages
-DISK_FAULT_S = 2.0  # for which writes and syncs fail
+READY_TIMEOUT_S = 30.0  # the time that the platform gives a process to become ready
+DISK_FAULT_S = 2.0  # duration of failing writes and syncs
 
 
 ABORTING_CALLS = frozenset({Call.EPOLL_CTL, Call.PIPE, Call.OPEN})
-"""Calls of which single failures end a start: the event loop's library aborts the process, or a module of the program
-can't be imported. A start outlasts them only where each call fails."""
+"""Calls of which a single failure ends a start: the event loop's library aborts the process, or a module of the program
+can't be imported. A start survives such a fault only if every call fails while it lasts."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
     ready_s: float | None  # from the process's start to its first report that it serves; None: never
     exit_code: int | None  # of a process that exited before the notice to leave; None: it did not
     left: int | None  # the exit code after the notice to leave; None: it had exited before
-    said: str  # the text on standard error
+    said: str  # what the process wrote on standard error
 
     @property
     def served(self) -> bool:
--- a/flintshift/lab/fleet.py
+++ b/flintshift/lab/fleet.py
@@ -89,7 +89,7 @@
 
 
 class RecordingPool(Pool):
-    """A worker pool that records the runs that it is told to start."""
+    """A worker pool that records the start of each run in the fleet's history."""
 
     def __init__(self, member: str, events: list[Event], cores: int, took_ms: dict[str, float]) -> None:
         super().__init__(cores=cores, took_ms=took_ms)
@@ -109,7 +109,7 @@
     ports: dict[str, int]
     pool: RecordingPool
     process: asyncio.subprocess.Process | None = None
-    incarnation: int = 0  # of its process
+    incarnation: int = 0  # number of its present process
     clock_offset_ms: float = 0.0
     paused: bool = False
     logs: list[Path] = field(default_factory=list)
@@ -117,6 +117,7 @@
 
     @property
     def up(self) -> bool:
+        """Whether its process runs; also if it is paused."""
         return self.process is not None and self.process.returncode is None
 
 
@@ -141,13 +142,13 @@
         platform: dict[str, Any] | None = None,
         direct: bool = False,
         control: bool = False,
-        disks_fail: bool = False,
-        disks_refuse: bool = False,
+        disk_errors_enabled: bool = False,
+        syscall_faults_enabled: bool = False,
     ) -> None:
-        self.disks_refuse = disks_refuse  # members can be given failing system calls, by `set_write_failure_rate`
-        self.disks_recovered_s = 0.0  # in monotonic time; 0: they didn't fail
+        self.syscall_faults_enabled = syscall_faults_enabled  # `set_write_failure_rate` can be used
+        self.disks_recovered_s = 0.0  # monotonic time at which the disks' failures ended; 0: they had none
         self.write_failure_rate = 0  # of 1,000 writes and syncs of regular files
-        self.disks_fail = disks_fail  # members can be given failing disks, by `set_disk_failing`
+        self.disk_errors_enabled = disk_errors_enabled  # `set_disk_failing` can be used
         self.control = control  # members have a control address, and can be upgraded
         self.direct = direct  # members are linked without proxies, for measurements
         self.folder, self.copies, self.root, self.extra_settings, self.platform = (
@@ -241,7 +242,7 @@
                 f"copies:\n  enabled: true\n{self.copies}"
             )
         (member.home / "flintshift.yaml").write_text(text)
-        needs_faults = member.clock_offset_ms or self.disks_fail
+        needs_faults = member.clock_offset_ms or self.disk_errors_enabled
         program = (
             ["flintshift.lab.fault_injection", str(member.clock_offset_ms), str(member.home / "failing")]
             if needs_faults
@@ -288,7 +289,7 @@
         log = self.folder / "logs" / f"{name}.{member.incarnation}.log"
         member.logs.append(log)
         fault_environment: dict[str, str] = {}
-        if self.disks_refuse:
+        if self.syscall_faults_enabled:
             rates = Rates(disk=self.write_failure_rate)
             member.syscall_faults = SyscallFaults(log.with_suffix(".faults"), rates, self.rng.getrandbits(32))
             fault_environment = member.syscall_faults.environment
--- a/flintshift/lab/history.py
+++ b/flintshift/lab/history.py
@@ -1,7 +1,7 @@
 """Checks the history of a fleet for broken guarantees. It has no I/O.
 
-The history has callers' requests and answers, and the runs that worker pools were told to start, but nothing that a
-member reports about itself. Times are Unix milliseconds of one clock, that of the test cluster.
+The history has callers' requests and answers, and the runs that worker pools were commanded to start, but nothing that
+a member reports about itself. Times are Unix milliseconds of one clock, that of the test cluster.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunStarted:
-    """A worker pool was told to start a run for a try."""
+    """A worker pool received the command to start the run of a try."""
 
     at_ms: float
     rid: str
@@ -178,7 +178,7 @@
     runs = sorted(runs, key=lambda pair: pair[0].at_ms)
     for (first, first_request), (second, second_request) in pairwise(runs):
         if first.rid == second.rid and first.member == second.member:
-            continue  # the pool was told again after its link broke: it starts no second run
+            continue  # the command was sent again after the pool's link broke; the pool starts no second run
         if second_request.at_ms <= first_request.at_ms + window_ms:
             violations.append(
                 Violation(
@@ -224,7 +224,7 @@
 def _expected_result(
     attempt: RequestSent, runs: list[tuple[RunStarted, RequestSent]], window_ms: float
 ) -> bytes | None:
-    """Return the result that a try is due: that of the first run within whose window it was sent.
+    """Return the result that a try must get: that of the first run within whose window it was sent.
 
     The window of a run begins when the run's own try was sent. None: all windows had passed, and no run was started for
     the try.
--- a/flintshift/lab/node_model.py
+++ b/flintshift/lab/node_model.py
@@ -24,7 +24,7 @@
 from flintshift.core.limits import Limits
 from flintshift.lifecycle.fair_queueing import FairQueueing
 
-START_MS = 1000.0  # of the clock
+START_MS = 1000.0  # initial time of the simulated clock
 
 
 def build_settings(clubs: dict[str, float], **overrides: Any) -> api.Settings:
@@ -78,6 +78,7 @@
         self.decisions.handle(WorkersUp())
 
     def clock(self) -> float:
+        """Return the simulated time in milliseconds."""
         return self.now_ms
 
     def _schedule_tick(self, at_ms: float, token: str) -> None:
@@ -86,6 +87,7 @@
     # The worker pool, as the decisions call it.
 
     def spawn(self, attempt: Attempt) -> bool:
+        """Start the run of an attempt. Returns True: the command is always accepted."""
         self.runs.append(attempt)
         if attempt.class_name in self.took_ms:
             self.queue.append(attempt)
@@ -93,9 +95,11 @@
         return True
 
     def supply(self, request: str, no: int, reply: bytes) -> bool:
-        return False  # simulated runs make no calls
+        """Return False: simulated runs make no calls, so none waits for a reply."""
+        return False
 
     def continue_run(self, request: str, no: int) -> bool:
+        """Return False: no simulated run waits at a call."""
         return False
 
     def _start_queued_runs(self) -> None:
--- a/flintshift/lab/replicated_logs_model.py
+++ b/flintshift/lab/replicated_logs_model.py
@@ -60,6 +60,7 @@
 
     @property
     def identity(self) -> str:
+        """The name of its present process."""
         return f"{self.name}#{self.incarnation}"
 
 
@@ -131,6 +132,7 @@
         )
 
     def is_alive(self, identity: str) -> bool:
+        """Return whether this process runs and is not paused."""
         return any(
             machine.up and not machine.paused and machine.identity == identity for machine in self.machines.values()
         )
@@ -138,12 +140,14 @@
     # The steps of a scenario.
 
     def write_record(self, name: str) -> None:
+        """Let a machine append the next number to its own ledger, if it runs."""
         machine = self.machines[name]
         if machine.up and not machine.paused:
             self.record_count += 1
             self._append(machine, machine.own_log, machine.records, 1, str(self.record_count).encode())
 
     def crash(self, name: str, disk_lost: bool) -> None:
+        """End a machine's process, and lose its disk if ``disk_lost``."""
         machine = self.machines[name]
         machine.up = False
         if disk_lost:
@@ -153,6 +157,7 @@
                 self._set_reachable(other, name, False)
 
     def restart(self, name: str) -> None:
+        """Start a new process of a machine on its disk."""
         self._boot(self.machines[name])
 
     def deliver(self, index: int, duplicate: bool = False) -> None:
@@ -174,6 +179,7 @@
             self._perform_holder_actions(machine, machine.replicas.handle_message(sender, message))  # type: ignore[arg-type]
 
     def tick(self, by_ms: float) -> None:
+        """Let time pass, and handle the timers of all machines that run."""
         self.now += by_ms
         for machine in self.machines.values():
             if machine.up and not machine.paused:
--- a/flintshift/lab/replication_model.py
+++ b/flintshift/lab/replication_model.py
@@ -73,6 +73,7 @@
 
     @property
     def identity(self) -> str:
+        """The name of its present process."""
         return f"{self.name}#{self.incarnation}"
 
 
@@ -143,11 +144,13 @@
         self._handle_event(machine, ReachabilityChanged(other.name, up, other.registers.store if up else 0))
 
     def is_alive(self, identity: str) -> bool:
+        """Return whether this process runs."""
         return any(machine.up and machine.identity == identity for machine in self.machines.values())
 
     # The steps of a scenario.
 
     def claim(self, name: str, key: Key, owner: str, may_be_repeat: bool = False) -> None:
+        """Claim the key for the request ``owner`` at a member."""
         self._handle_event(
             self.machines[name], Claim(key, owner, b"p", self.window_ms, self.now + 1000.0, may_be_repeat)
         )
@@ -176,6 +179,7 @@
         return True
 
     def crash(self, name: str, disk_lost: bool = False) -> None:
+        """End a machine's process, and lose its disk if ``disk_lost``."""
         machine = self.machines[name]
         machine.up = False
         if disk_lost:
@@ -185,6 +189,7 @@
                 self._set_reachable(other, machine, False)
 
     def restart(self, name: str) -> None:
+        """Start a new process of a machine on its disk."""
         self._boot(self.machines[name])
 
     def deliver(self, index: int, duplicate: bool = False) -> None:
@@ -229,6 +234,7 @@
                 refill.handle_link_lost(other)
 
     def tick(self, by_ms: float) -> None:
+        """Let time pass, and handle the timers of all machines that run."""
         self.now += by_ms
         for machine in self.machines.values():
             if not machine.up:
--- a/flintshift/lab/single_node_cluster.py
+++ b/flintshift/lab/single_node_cluster.py
@@ -45,10 +45,11 @@
         self.processes: list[asyncio.subprocess.Process] = []  # all that were started: none outlives the cluster
         self.ports: dict[str, int] = {}
         self.predecessor_pools: list[Pool] = []  # of earlier processes of the node, with their runs
-        self.process_count = 0  # of the node, since its last start without an upgrade
+        self.process_count = 0  # processes of the node since its last start without an upgrade, that one included
 
     @property
     def stand_ins(self) -> tuple[StandIn, ...]:
+        """The stand-ins that listen on TCP ports: all except the resolver."""
         return self.pool, self.vault, self.names, self.apps
 
     async def __aenter__(self) -> SingleNodeCluster:
@@ -180,6 +181,7 @@
         return await asyncio.wait_for(older.wait(), 10)
 
     async def kill(self) -> None:
+        """Send SIGKILL unless the process has ended, and wait for its end."""
         assert self.process is not None
         if self.process.returncode is None:
             self.process.kill()
--- a/flintshift/lab/standins.py
+++ b/flintshift/lab/standins.py
@@ -40,6 +40,7 @@
         self.changed = asyncio.Condition()
 
     async def add(self, entry: Any) -> None:
+        """Append an entry, and wake those that wait for one."""
         async with self.changed:
             self.entries.append(entry)
             self.changed.notify_all()
@@ -96,8 +97,8 @@
         self.connections = ConnectionTasks(self._serve)
 
     async def start(self) -> None:
-        # A port that the system chooses may be given to another process once it is released, and the node would go on
-        # connecting to it there.
+        # The system may give a port that it chose to another process once it is released, and the node would go on
+        # connecting to it.
         self.port = self.port or free_ports(1)[0]
         self.server = await asyncio.start_server(self.connections, "127.0.0.1", self.port)
 
@@ -120,6 +121,7 @@
         await self.start()
 
     def abort_links(self) -> None:
+        """Reset all open connections."""
         for writer in list(self.links):
             writer.transport.abort()
 
@@ -151,6 +153,7 @@
         )
 
     async def serve(self, reader: RecordingReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection until it ends; implemented by each stand-in."""
         raise NotImplementedError
 
 
@@ -174,7 +177,7 @@
         super().__init__(port, keep_journal)
         self.took_ms, self.calling_classes, self.auto_finish = took_ms or {}, calling_classes, auto_finish
         self.plan: dict[str, float | tuple[str, dict[str, Any]]] = {}
-        self.truncated_commands = 0  # the node closed the link in the middle of these
+        self.truncated_commands = 0  # commands in the middle of which the node closed the link
         self.drop_replies = False  # replies to runs that wait at a call are ignored
         self.spawned: Counter[str] = Counter()
         self.routes: dict[str, str] = {}  # by id, of runs whose work has not begun
@@ -254,10 +257,12 @@
             self.core_demand -= 1
 
     def finish(self, rid: str, took_ms: float = 1.0) -> None:
+        """Finish a run with the result of its id."""
         result = base64.b64encode(f"result of {rid}\n".encode()).decode()
         self.send_notice(rid, "finished", {"status": "fine", "time_ms": took_ms, "b64": result})
 
     def send_notice(self, rid: str, kind: str, more: dict[str, Any]) -> None:
+        """Send the next notice to all linked nodes, and keep it for those that bind later."""
         notice = {"t": kind, "no": next(self.notice_numbers), "rid": rid, **more}
         self.notices.append(notice)
         del self.notices[:-4000]
@@ -371,6 +376,7 @@
         self.transport, _ = await loop.create_datagram_endpoint(lambda: self, ("127.0.0.1", self.port))
 
     def add_record(self, name: str, kind: str, text: str) -> None:
+        """Add a resource record to the zone."""
         rrset = dns.rrset.from_text(name, 5, "IN", kind, text)
         self.records.setdefault((rrset.name, rrset.rdtype), []).extend(rrset)
 
--- a/flintshift/lab/syscall_faults.py
+++ b/flintshift/lab/syscall_faults.py
@@ -17,6 +17,7 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("syscall_faults.c")
+# The layout of the shared file, `struct control` of the C source; offsets are bytes.
 LAYOUT = struct.Struct("=qQ6I2I192x3I4x")
 CLOCK = struct.Struct("=q")
 CALL_FAULT = struct.Struct("=Ii")
--- a/flintshift/lab/termination.py
+++ b/flintshift/lab/termination.py
@@ -22,6 +22,7 @@
 
 
 def now_ms() -> float:
+    """Return the monotonic time in milliseconds."""
     return time.monotonic() * 1000
 
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -21,6 +21,7 @@
 
 
 def invoke(*arguments):
+    """Run the command line in this process, and return its result."""
     return CliRunner().invoke(main, [str(word) for word in arguments])
 
 
@@ -137,8 +138,8 @@
     ("arguments", "code", "text"),
     [
         (["--period", "19700101T000009.000Z", *CORRECTION_OPTIONS], 3, "no period begins at 9000 ms"),
-        (["--period", "yesterday", *CORRECTION_OPTIONS], 2, "is no begin of a period"),
-        (["--period", "19701301T000000.000Z", *CORRECTION_OPTIONS], 2, "is no date"),
+        (["--period", "yesterday", *CORRECTION_OPTIONS], 2, "is not the start of a period"),
+        (["--period", "19701301T000000.000Z", *CORRECTION_OPTIONS], 2, "is not a date"),
         (
             ["--period", "19700101T000001.000Z", *CORRECTION_OPTIONS, "--by", "calls=-9"],
             3,
--- a/tests/fair_queueing/test_reservations.py
+++ b/tests/fair_queueing/test_reservations.py
@@ -77,6 +77,6 @@
 
 
 def test_retry_storm_displaces_neither_first_tries_nor_reservations():
-    calm, storm = door_model.simulate(True, 1, 6), door_model.simulate(True, 1, 6, storm=50)
+    calm, storm = door_model.simulate(True, 1, 6), door_model.simulate(True, 1, 6, retries_per_run=50)
     assert storm.served_first_tries >= 0.9 * calm.served_first_tries and storm.returns_served_share >= 0.95
     assert storm.served["b"] >= storm.requests_of_b - 2
--- a/tests/fleet/test_hard_cases.py
+++ b/tests/fleet/test_hard_cases.py
@@ -133,7 +133,7 @@
     fleet.pause("n1")
     await asyncio.sleep(2.5)
     during = await repeat_at_members(fleet, key, excluded=("n1",))
-    await asyncio.sleep(extra_pause_s)  # it is resumed after up to ten seconds, and takes itself for the runner
+    await asyncio.sleep(extra_pause_s)  # it is resumed after up to ten seconds, still as the runner in its own view
     fleet.resume("n1")
     late_answer = await caller
     assert [answer.status for answer in during] == [500] * 4
@@ -318,7 +318,7 @@
 
 
 async def test_members_with_failing_disks_do_not_vote_and_no_guarantee_is_broken(tmp_path):
-    async with Fleet(tmp_path, HALLS, copies=COPIES, disks_fail=True) as fleet:
+    async with Fleet(tmp_path, HALLS, copies=COPIES, disk_errors_enabled=True) as fleet:
         await fleet.wait_until_linked()
         key = next(
             key
--- a/tests/fleet/test_refusing_disks.py
+++ b/tests/fleet/test_refusing_disks.py
@@ -16,7 +16,7 @@
 import pytest
 
 from flintshift.cli.status_client import query_status
-from flintshift.lab.chaos_replication import COPIES, HALLS, DiskRefusal, Load, run_rounds
+from flintshift.lab.chaos_replication import COPIES, HALLS, DiskFailures, Load, run_rounds
 from flintshift.lab.fleet import Fleet, usage_settings
 from flintshift.replication.store import STATUS_SOCKET
 
@@ -28,9 +28,9 @@
 @pytest.mark.parametrize(
     ("disks", "count", "max_not_served"),
     [
-        (DiskRefusal(5), 2, 0.05),
-        (DiskRefusal(50), 1, 0.2),
-        (DiskRefusal(300, from_s=0.5, lasts_s=5.0), 1, math.inf),
+        (DiskFailures(5), 2, 0.05),
+        (DiskFailures(50), 1, 0.2),
+        (DiskFailures(300, from_s=0.5, lasts_s=5.0), 1, math.inf),
     ],
     ids=["5 of 1,000", "50 of 1,000", "300 of 1,000 for 5 s"],
 )
@@ -54,7 +54,7 @@
 async def test_while_one_members_disk_is_full_the_others_serve_and_it_recovers_by_itself(tmp_path):
     rng = random.Random(5)
     settings = usage_settings(tmp_path, "2s")
-    async with Fleet(tmp_path, HALLS, COPIES, extra_settings=settings, disks_refuse=True) as fleet:
+    async with Fleet(tmp_path, HALLS, COPIES, extra_settings=settings, syscall_faults_enabled=True) as fleet:
         await fleet.wait_until_linked()
         fleet.set_write_failure_rate(FULL_DISK_RATE, ["n1"])
         end_s, statuses, number = time.monotonic() + FULL_DISK_S, [], 0
@@ -85,7 +85,7 @@
 async def test_a_drain_and_a_start_succeed_while_all_disks_fail_writes(seed, tmp_path):
     """Exports run at the same time, each second."""
     settings = usage_settings(tmp_path, "1s")
-    fleet = Fleet(tmp_path, HALLS, COPIES, seed=seed, extra_settings=settings, disks_refuse=True)
+    fleet = Fleet(tmp_path, HALLS, COPIES, seed=seed, extra_settings=settings, syscall_faults_enabled=True)
     async with fleet, failing_disks(fleet, seed):
         process = fleet.members["n2"].process
         process.send_signal(signal.SIGTERM)
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 async def test_an_upgrade_succeeds_while_all_disks_fail_writes(seed, tmp_path):
     """There are no ledgers, as the ledger of a serving process is locked, and its upgrade is rejected on any disk."""
-    fleet = Fleet(tmp_path, HALLS, COPIES, seed=seed, control=True, disks_refuse=True)
+    fleet = Fleet(tmp_path, HALLS, COPIES, seed=seed, control=True, syscall_faults_enabled=True)
     async with fleet, failing_disks(fleet, seed):
         assert await fleet.upgrade("n4", asyncio.sleep(0.3)) == 0
 
--- a/tests/lab/test_history.py
+++ b/tests/lab/test_history.py
@@ -102,7 +102,7 @@
             RequestSent(8100, "a3", "k", b"x", "n1"),
             ResponseReceived(8110, "a3", 200, run_result(A2)),
         ],  # and its repeats get its result
-        [*CORRECT[:2], RunStarted(7, A1, "n1"), *CORRECT[2:]],  # the pool is told again over a new link
+        [*CORRECT[:2], RunStarted(7, A1, "n1"), *CORRECT[2:]],  # the command is sent again to the pool over a new link
     ],
 )
 def test_a_correct_history_has_no_violations(events):
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -1,15 +1,13 @@
 """Tests that a stand-in is reached by the node of its own test only, and names the sender of anything else.
 
-Guards against this failure: in a run of all tests beside four busy processes, the drain of soak seed 11 failed, since
-two connections had sent bytes that are not uwsgi to its app server's stand-in. The same seed passed in all later runs.
-
-A test stops the worker pool or the name service of a node that goes on running. The node keeps connecting to that port,
-as it should. Stand-ins listened at ports that the system chose, and the system gave the released port to a stand-in of
-a test in another process. Besides, a rig whose start failed left its node running, which went on reporting.
-
-Reproduction: a node whose pool was stopped connected to an app server's stand-in at that port six times in 3 s, and
-four times where its name service was stopped, each with the error of the failed run. The error did not name the sender
-then; now it does.
+Guards against a failure under load: a drain test failed because the node of another test had connected to its app
+server's stand-in and sent bytes that are not uwsgi.
+
+A test may stop the worker pool or the name service of a node that goes on running and connecting to that port. When
+stand-ins listened on ports that the system chose, the system could give the released port to a stand-in of a test in
+another process. A node whose pool was stopped connected to that stand-in six times in 3 s, and one whose name service
+was stopped four times. Besides, a test cluster whose start failed left its node running, which went on reporting. The
+error did not name the sender.
 """
 
 from __future__ import annotations
--- a/tests/soak/test_drain_soak.py
+++ b/tests/soak/test_drain_soak.py
@@ -11,7 +11,7 @@
 pytestmark = pytest.mark.anyio
 
 SEEDS = (1, 5, 8, 11, 12, 15, 18, 24, 30, 36, 101, 102)
-"""Each of the first ten broke a rule on the version that failed its trial."""
+"""The drains of the first ten each broke a rule on an earlier version."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/tests/soak/test_start_soak.py
+++ b/tests/soak/test_start_soak.py
@@ -11,7 +11,7 @@
 pytestmark = pytest.mark.anyio
 
 SEEDS = (3, 20, 23, 34, 38, 41, 48, 59, 61, 64)
-"""Some of the 29 seeds from 1 to 100 whose start failed on the version that failed its trial."""
+"""Ten of the 29 seeds from 1 to 100 whose start failed on an earlier version."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
