--- a/benchmarks/door_surge.py
+++ b/benchmarks/door_surge.py
@@ -47,12 +47,14 @@
 ) -> RequestCounts:
     """Run one process of callers that send requests at a fixed rate, whatever the answers are."""
     surging, *_ = CLUBS
-    asked: Counter[str] = Counter()
+    sent: Counter[str] = Counter()
     served: Counter[str] = Counter()
 
-    async def ask(club: str, kind: str, caller: int, front: str, rng: random.Random, again: bool = False) -> None:
+    async def send_request(
+        club: str, kind: str, caller: int, front: str, rng: random.Random, again: bool = False
+    ) -> None:
         request_id = f"{rng.getrandbits(64):016x}"
-        asked[kind] += 1
+        sent[kind] += 1
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", ports[front])
             writer.write(
@@ -69,7 +71,7 @@
         if status != 200 and retry_after_ms is not None and not again and heed:
             await asyncio.sleep(retry_after_ms / 1000)
             # The longest retry time means that no reservation could be made: these callers are counted separately.
-            await ask(
+            await send_request(
                 club,
                 "came back" if retry_after_ms < MAX_WAIT_MS else "came back, not promised",
                 caller,
@@ -78,13 +80,13 @@
                 True,
             )
 
-    async def stream(club: str, kind: str, callers: list[int], per_s: float, number: int) -> None:
+    async def send_stream(club: str, kind: str, callers: list[int], per_s: float, number: int) -> None:
         rng, next_s, tasks = random.Random(seed * 1000 + number), time.monotonic(), set[asyncio.Task[None]]()
         deadline_s = next_s + seconds
         while next_s < deadline_s:
             next_s += rng.expovariate(per_s)
             await asyncio.sleep(max(0.0, next_s - time.monotonic()))
-            task = asyncio.create_task(ask(club, kind, rng.choice(callers), rng.choice(FRONTS), rng))
+            task = asyncio.create_task(send_request(club, kind, rng.choice(callers), rng.choice(FRONTS), rng))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
@@ -102,10 +104,10 @@
         if times > 1:
             numbers = [99] if one_caller else [*range(50, 50 + 5 * CALLERS_PER_CLUB)]
             streams.append((surging, "surge", numbers, (times - 1) * USUAL_PER_S))
-        await asyncio.gather(*(stream(*one, number) for number, one in enumerate(streams)))
+        await asyncio.gather(*(send_stream(*one, number) for number, one in enumerate(streams)))
 
     asyncio.run(run_streams())
-    return {kind: (asked[kind], served[kind]) for kind in asked}
+    return {kind: (sent[kind], served[kind]) for kind in sent}
 
 
 async def load_in_turn(
@@ -151,12 +153,12 @@
                 counts_in_surge = await load_in_turn(rigs, times, one_caller, heed, seconds, 20 + round_, executor)
                 for variant in rigs:
                     row = kept_shares.setdefault(variant, {})
-                    for kind, (asked, served) in counts_in_surge[variant].items():
+                    for kind, (sent, served) in counts_in_surge[variant].items():
                         usual = counts_before[variant].get(kind, counts_before[variant]["usual"])
                         if kind.startswith("came back"):  # for returning callers the served share itself
                             usual = (1, 1)
-                            row.setdefault(f"{kind}, number", []).append(asked)
-                        row.setdefault(kind, []).append(served / asked / (usual[1] / usual[0]))
+                            row.setdefault(f"{kind}, number", []).append(sent)
+                        row.setdefault(kind, []).append(served / sent / (usual[1] / usual[0]))
     return {
         variant: {kind: round(statistics.median(shares), 3) for kind, shares in row.items()}
         for variant, row in kept_shares.items()
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -1,7 +1,7 @@
 """Tests that a stand-in is reached by the node of its own test only, and names the sender of anything else.
 
-Guards against a failure under load: a drain test failed because the node of another test had connected to its app
-server's stand-in and sent bytes that are not uwsgi.
+Guards against a failure under load: the drain test of seed 11 failed because the node of another test had connected to
+its app server's stand-in and sent bytes that are not uwsgi.
 
 A test may stop the worker pool or the name service of a node that goes on running and connecting to that port. When
 stand-ins listened on ports that the system chose, the system could give the released port to a stand-in of a test in
