--- a/flintshift/benchlink.py
+++ b/flintshift/benchlink.py
@@ -1,7 +1,7 @@
 """Adapter from the simulator's wire to the controller's interface: ``python -m flintshift.benchlink``.
 
 Reads batches of events from standard input, hands each event to the controller of its server and writes one reply
-per batch. It holds the names of the wire, as tables, and no decision. Another dialect needs only other tables.
+per batch. It makes no decisions. The names on the wire are in tables, so that another dialect needs only other tables.
 """
 
 from __future__ import annotations
@@ -119,7 +119,7 @@
 
 
 def format_action(server: str, action: api.Action) -> str:
-    """Return the line of an action."""
+    """Return the line that sends an action to a server."""
     action_name, keys = ACTIONS[type(action)]
     parts = [action_name, f"{SERVER_KEY}={server}"]
     for field_name, key in keys.items():
--- a/flintshift/caller_patience.py
+++ b/flintshift/caller_patience.py
@@ -8,9 +8,9 @@
 import math
 from collections import deque
 
-MAX_AGES = 24  # per caller
+MAX_AGES = 24  # remembered per caller
 MIN_AGES = MAX_AGES // 3  # fewer give no estimate
-SPREAD = 0.1  # of the median: the upper quartile may lie so far above it for the ages to count as one timeout
+MAX_SPREAD = 0.1  # share of the median by which the upper quartile may exceed it if the ages show one timeout
 MAX_CALLERS = 256  # callers reconnect under new numbers without end
 
 
@@ -28,12 +28,12 @@
         if len(self.ages) > MAX_CALLERS:
             del self.ages[next(iter(self.ages))]
 
-    def of(self, caller: int) -> float:
-        """Return the timeout of a caller: past that age, work for it is wasted.
+    def timeout_ms(self, caller: int) -> float:
+        """Return the age at which this caller abandons a request: past it, work for it is wasted.
 
         Infinite unless most of its requests were abandoned at about one age."""
         ages = sorted(self.ages.get(caller, ()))
         if len(ages) < MIN_AGES:
             return math.inf
         median, upper_quartile = ages[len(ages) // 2], ages[len(ages) * 3 // 4]
-        return median if upper_quartile - median < SPREAD * median else math.inf
+        return median if upper_quartile - median < MAX_SPREAD * median else math.inf
--- a/flintshift/control.py
+++ b/flintshift/control.py
@@ -35,7 +35,7 @@
 RETRY_STORM, STARVED, LOAD_WEIGHT = 0.1, 0.7, 0.03  # share of further tries; rejected share; sample weight
 STALL_RUNS = 3.0  # run times without progress after which the server counts as stalled
 MAX_CALL_SHARE, COLD_CALL_SHARE, MIN_CALL_SHARE = 0.65, 0.3, 0.2  # of the configured call share
-SLOW_CALL_FACTOR, SKIPPABLE_LIMIT_FACTOR = 4.0, 16.0  # times the best call time; times the mean one
+SLOW_CALL_FACTOR, SKIPPABLE_LIMIT_FACTOR = 4.0, 16.0  # times the best call time; times the mean call time
 CALL_RISE, CALL_DECAY = 0.02, 0.95  # per call; the rise as a share of the call share
 MAX_CALL_TRIES, CALL_WEIGHT, BEST_CALL_RISE = 3, 0.3, 1.01  # sample weight; of the best time, per call
 SKIPPABLE_SHARE = 0.5  # of the call limit, for skippable calls while calls are slow
@@ -47,7 +47,7 @@
 QUOTA_SLACK, QUOTA_BURST_S = 1.2, 2.0  # times an even spread over servers; a burst, in seconds of it
 
 
-class Stage(Enum):
+class Stage(Enum):  # of a request that was read and has not ended
     QUEUED = 1
     RUNNING = 2
     CALL_QUEUED = 3  # needs a call that has not been made yet
@@ -218,6 +218,7 @@
         self.idle_ms, self.call_limit = min(idle_ms, self.idle_ms), min(call_limit, self.call_limit)
 
     def learned_estimates(self) -> api.LearnedEstimates:
+        """Return what a controller that replaces this one on the same machine can start with."""
         return api.LearnedEstimates(self.run_limit, dict(self.run_ms))
 
     def _on_estimates(self, event: api.LearnedEstimates) -> None:
@@ -308,7 +309,7 @@
         self.arrival_ms = self.now
         arrived_ms = self.now - event.age_ms
         due_ms = self.now + event.patience_ms if event.patience_ms else arrived_ms + kind.deadline_ms
-        aim_ms = min(arrived_ms + min(kind.aim_ms, self.caller_patience.of(event.caller)), due_ms)
+        aim_ms = min(arrived_ms + min(kind.aim_ms, self.caller_patience.timeout_ms(event.caller)), due_ms)
         value, must_call = self._value(kind, event.tenant), kind.calls and not kind.skip_worth
         in_quota = value >= self._value(kind, None)
         order = (0.0, -math.inf if in_quota and self.rejected[kind.name] > STARVED else -value, aim_ms)
@@ -411,8 +412,8 @@
             self.retries += LOAD_WEIGHT * (not self.settings.marks_repeats)
             # A further try was rejected elsewhere, and in a retry storm the next will be: it costs reading.
             storm = self.retries > RETRY_STORM
-            vain = value_share < 1 or (storm and self.settings.marks_repeats)  # unmarked work may find room
-            self.actions.append(api.Reject(work.id, delay_ms, vain and (work.arrival.marked_repeat or storm)))
+            futile = value_share < 1 or (storm and self.settings.marks_repeats)  # unmarked work may find room
+            self.actions.append(api.Reject(work.id, delay_ms, futile and (work.arrival.marked_repeat or storm)))
             self._discard(work)
             return
         self.actions.append(api.Fail(work.id))
@@ -473,8 +474,7 @@
         A call is charged its limit and linger from its start, and once ended what it took. Charges leave the
         window and only what fits is added: none exceeds MAX_CALL_SHARE even if all calls of all servers hang.
         A cold process may follow one whose calls still count: until they are past, it uses COLD_CALL_SHARE.
-        Both come to 0.95 of the share; the rest is for the rounding of the configured figure.
-        """
+        Both come to 0.95 of the share; the rest is for the rounding of the configured figure."""
         from_ms = self.now - self.settings.call_window_ms
         # Ended calls are kept as a sum: a loop over them at each decision would cost a busy server most.
         ended = [call for call in self.calls if call[1] <= (self.now if call[2] else from_ms)]
--- a/flintshift/core/attempts.py
+++ b/flintshift/core/attempts.py
@@ -67,7 +67,7 @@
 
     @property
     def settled(self) -> bool:
-        """Whether no answer is owed any more: it was answered, or its caller disconnected."""
+        """Whether no answer is pending any more: it was answered, or its caller disconnected."""
         return self.caller_disconnected or self.answer is not None
 
     @property
@@ -80,7 +80,7 @@
         )
 
     def settle(self, answer: Answer, now_ms: float) -> bool:
-        """Give the final answer; False if none is owed any more.
+        """Give the final answer; False if none is pending any more.
 
         Guards against a second answer, against an answer to a caller that disconnected, and against refusing an
         attempt that has run: that refusal becomes a failure."""
--- a/flintshift/core/counters.py
+++ b/flintshift/core/counters.py
@@ -10,6 +10,7 @@
     """Counts by name, such as ``answered.served`` or ``pool.junk``."""
 
     def add(self, name: str, by: int = 1) -> None:
+        """Increase the count of this name."""
         self[name] += by
 
     def to_json_line(self, name: str) -> str:
--- a/flintshift/core/decisions.py
+++ b/flintshift/core/decisions.py
@@ -30,7 +30,7 @@
 from flintshift.core.waiting_claims import ClaimState, WaitingClaims
 from flintshift.interface import Outcome
 
-MIN_PATIENCE_MS = 1e-3
+MIN_PATIENCE_MS = 1e-3  # reported for an attempt past its deadline
 
 
 class Decisions:
@@ -97,8 +97,8 @@
             self.attempts.settle(attempt, Answer(Verdict.FAILED) if repeat else self.attempts.refusal())
 
     def reject(self, attempt: Attempt) -> None:
-        """Answer an attempt at once for want of a connection: it never ran, so it is refused. A repeat, whose first try
-        may have run, fails."""
+        """Answer an attempt at once that came when no connection was free: it never ran, so it is refused. A repeat,
+        whose first try may have run, fails."""
         self.counters.add("full.connections")
         self.attempts.settle(attempt, Answer(Verdict.FAILED) if self._is_repeat(attempt) else self.attempts.refusal())
 
--- a/flintshift/core/limits.py
+++ b/flintshift/core/limits.py
@@ -50,7 +50,7 @@
     # Times, in milliseconds.
     clock_skew_ms: float = 5000.0  # a request's arrival time may lie this far in the future
     max_request_age_ms: float = 86_400_000.0  # an older arrival time is invalid
-    key_margin_ms: float = 250.0  # keys live longer than callers are told: on sockets the rule's times are 50 ms longer
+    key_margin_ms: float = 250.0  # keys live longer than their documented window, which is 50 ms longer on sockets
     max_repeat_delay_ms: float = 5000.0  # a repeat may be read this long after its arrival
     dropped_class_grace_ms: float = 2500.0  # a dropped class is accepted this long: callers learn of it 1.2 s late
     request_read_timeout_ms: float = 2000.0  # for a connection's first request, and for the rest of a later one
@@ -58,7 +58,7 @@
     displace_idle_after_ms: float = 500.0  # so may one that has been idle for so long after an answer
     last_read_timeout_ms: float = 20.0  # for the rest of a request while the node stops
     linger_ms: float = 500.0  # for what still arrives after a connection's last answer
-    close_crossing_ms: float = 100.0  # for a request that crosses an idle connection's close: callers know of 50 ms
+    close_crossing_ms: float = 100.0  # for a request that crosses an idle connection's close: 50 ms are documented
     write_timeout_ms: float = 5000.0  # for a caller to read an answer
     welcome_timeout_ms: float = 5000.0  # for the running process to welcome its successor; the start has 6 s
     claim_timeout_ms: float = 1000.0  # for the other process of an upgrade to answer a claim on a key
@@ -71,7 +71,9 @@
     gauge_stale_ms: float = 500.0  # older gauges are not used
     pool_in_doubt_ms: float = 100.0  # what was sent so shortly before a break may be lost; the protocol names 50 ms
     pool_check_interval_ms: float = 100.0  # between two checks whether the worker pool has sent anything
-    max_silent_pool_checks: int = 10  # a pool that owes a message is reconnected after so many checks without one
+    max_silent_pool_checks: int = (
+        10  # a pool from which a message is due is reconnected after so many checks without one
+    )
     pool_bind_timeout_ms: float = 3000.0  # for a bind to be answered, if the pool was up before
     verify_timeout_ms: float = 2000.0
     call_grace_ms: float = 25.0  # past a call's limit, until the node itself cancels it
@@ -102,7 +104,7 @@
     max_dns_tries: int = 4  # of one DNS exchange that this machine's own system refuses
     confirming_empty_browses: int = 3  # a list that names no server is believed after so many in a row
     browse_retry_delay_ms: float = 500.0  # while no server is known; grows up to the interval
-    peer_timeout_ms: float = 400.0  # another member that owes an answer for so long is unreachable
+    peer_timeout_ms: float = 400.0  # a member that leaves a request unanswered for so long is unreachable
     max_peer_backoff_ms: float = 500.0  # the longest delay before the next try to link to another member
     dns_timeout_ms: float = 1000.0  # for one DNS exchange
     record_ttl_s: int = 20
@@ -113,24 +115,30 @@
 
     @property
     def http_connections(self) -> int:
+        """Connections of the HTTP front, where it is the only front."""
         return self.sockets * 5 // 8  # callers open up to half of the descriptors
 
     @property
     def http_connections_beside_uwsgi(self) -> int:
+        """Connections of the HTTP front, where there is a uwsgi front too."""
         return self.sockets // 2
 
     @property
     def uwsgi_connections(self) -> int:
+        """Connections of the uwsgi front."""
         return self.sockets // 8
 
     @property
     def vault_connections(self) -> int:
+        """Connections to the vault."""
         return self.sockets // 16
 
     @property
     def control_connections(self) -> int:
+        """Connections to the control port."""
         return max(4, self.sockets // 32)
 
     @property
     def app_connections(self) -> int:
+        """Connections to the app servers."""
         return self.sockets // 8
--- a/flintshift/core/open_attempts.py
+++ b/flintshift/core/open_attempts.py
@@ -28,18 +28,21 @@
 
     @property
     def unanswered(self) -> int:
-        """The number of attempts that are owed an answer."""
+        """The number of attempts whose answer is pending."""
         return sum(not attempt.settled for attempt in self.by_id.values())
 
     def get(self, request: str) -> Attempt | None:
+        """The open attempt with this id, if there is one."""
         return self.by_id.get(request)
 
     def add(self, attempt: Attempt) -> None:
+        """Add an attempt that is handed to the controller."""
         self.by_id[attempt.id] = attempt
         if self.ranking is not None:
             self.ranking.on_arrival(attempt)
 
     def remove(self, attempt: Attempt) -> None:
+        """Remove an attempt at once."""
         self.by_id.pop(attempt.id, None)
 
     def close(self, attempt: Attempt) -> None:
@@ -76,6 +79,6 @@
         return Answer(Verdict.REFUSED, retry_after_ms=self.serving_status.default_retry_after_ms)
 
     def mark_disconnected(self, attempt: Attempt) -> None:
-        """Note that the caller disconnected: no answer is owed any more."""
+        """Record that the caller disconnected: no answer is pending any more."""
         attempt.caller_disconnected, attempt.settled_ms = True, self.now_ms()
         self.counters.add("departed")
--- a/flintshift/core/ports.py
+++ b/flintshift/core/ports.py
@@ -37,7 +37,7 @@
     def refusing(self) -> bool: ...  # the use of new work could not be recorded: it must not be accepted
     def track(self, attempt: Attempt, front: str) -> None: ...  # called before the attempt is submitted
     def record_delivery(self, attempt: Attempt, written: bool) -> None: ...  # whether its answer could be written
-    def record_disconnect(self, attempt: Attempt, front: str) -> None: ...  # its caller left before an answer
+    def record_disconnect(self, attempt: Attempt, front: str) -> None: ...  # its caller disconnected before an answer
     def record_late_run(self, attempt: Attempt, took_ms: float) -> None: ...  # a run ended after the final answer
 
 
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class ServingStatus:
-    """What the fronts tell callers beside the answers. The decision planner writes it, except ``out_of_service``."""
+    """What the fronts report to callers besides answers. The decision planner writes it, except ``out_of_service``."""
 
     workers_up: bool = False  # work can be run
     draining: bool = False
--- a/flintshift/core/runs.py
+++ b/flintshift/core/runs.py
@@ -53,8 +53,8 @@
             api.Fail: self._fail,
             api.Call: self._call,
             api.SkipCall: self._skip_call,
-            api.RememberKey: self._keep,
-            api.ReleaseKey: self._forget,
+            api.RememberKey: self._remember_key,
+            api.ReleaseKey: self._release_key,
             api.AnswerFromOriginal: self._follow,
             api.Stop: self._stop,
         }
@@ -193,13 +193,13 @@
         if not self._workers(attempt).continue_run(attempt.id, attempt.call_notice):
             self.counters.add("dropped.pass")
 
-    def _keep(self, attempt: Attempt, action: api.RememberKey) -> None:
+    def _remember_key(self, attempt: Attempt, action: api.RememberKey) -> None:
         if attempt.request_key is None:  # reads are stored only if answers may be shared
             return
         self.keys.claim(attempt, self.now_ms() + action.retention_ms)
         self.waiting_claims.on_key_claimed(attempt)
 
-    def _forget(self, attempt: Attempt, _: api.ReleaseKey) -> None:
+    def _release_key(self, attempt: Attempt, _: api.ReleaseKey) -> None:
         self._free_key(attempt)
 
     def _stop(self, attempt: Attempt, _: api.Stop) -> None:
--- a/flintshift/core/waiting_claims.py
+++ b/flintshift/core/waiting_claims.py
@@ -36,7 +36,7 @@
 
     @property
     def open(self) -> int:
-        """The number of attempts that wait here and are owed an answer."""
+        """The number of attempts that wait here and whose answer is pending."""
         return len(self.awaiting_claim) + sum(not attempt.settled for attempt in self.awaiting_record.values())
 
     def may_have_run(self, attempt: Attempt, marks_repeats: bool) -> bool:
--- a/flintshift/interface.py
+++ b/flintshift/interface.py
@@ -19,19 +19,19 @@
     OK = "ok"
     ERROR = "error"
     REJECTED = "rejected"  # before it was examined: proven not run
-    TIMED_OUT = "timed_out"
+    TIMED_OUT = "timed_out"  # it may have run, or may still run
     UNREACHABLE = "unreachable"  # no connection: proven not run
-    INTERRUPTED = "interrupted"
-    STOPPED = "stopped"
+    INTERRUPTED = "interrupted"  # the connection broke: it may have run
+    STOPPED = "stopped"  # by an action of the controller, or lost
     MOOT = "moot"  # nothing was started, as the request had ended
 
 
 class Effect(Enum):
     """What running a request twice would do."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # nothing more than running it once
+    KEYED = "keyed"  # a further effect; tries of one request share a key, by which a second run is prevented
+    UNSAFE = "unsafe"  # a further effect that nothing prevents
 
 
 class Halt(Enum):
@@ -76,35 +76,35 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What a controller goes by: the server's resources, the rules, and the habits of callers."""
+    """The settings of a controller: the server's resources, the rules, and the habits of callers."""
 
     classes: list[RequestClass]
     cores: int
     memory_kb: float
-    run_factor: float
-    fall_multiple: float
-    drain_grace_ms: float
+    run_factor: float  # memory of a request that was started, as a multiple of its memory before
+    fall_multiple: float  # runs per core that a server at full speed survives
+    drain_grace_ms: float  # requests that arrive up to this long after the start of a drain may still run
     tenants: list[Tenant]
-    cold: bool = False
-    cold_from: float = 1.0
-    cold_ms: float = 0.0
+    cold: bool = False  # the server starts below its full speed
+    cold_from: float = 1.0  # share of the full speed at the start
+    cold_ms: float = 0.0  # from the start to the full speed
     servers: int = 1
     callers: int = 1
-    call_share: float = 0.0
+    call_share: float = 0.0  # mean number of calls that may be open over the call window; 0: unbounded
     call_window_ms: float = 0.0
-    linger_ms: float = 0.0
+    linger_ms: float = 0.0  # an abandoned call occupies the service that was called for this long
     halt: Halt = Halt.NONE
-    key_kb: float = 0.0
-    fresh_ms: float = 0.0
-    idle_ms: float = 0.0
-    deep_checks: bool = False
-    list_follows_health: bool = False
+    key_kb: float = 0.0  # memory of a remembered key
+    fresh_ms: float = 0.0  # the result of a safe request may answer others for this long
+    idle_ms: float = 0.0  # the longest time that an idle connection stays open
+    deep_checks: bool = False  # health checks cost work, unless they are answered from the stored verdict
+    list_follows_health: bool = False  # an unhealthy server is taken off the list of servers that callers use
     free_value: FreeValue = FreeValue.NONE
-    marks_repeats: bool = False
-    advice_allowed: bool = False
-    advice_max_ms: float = 0.0
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
+    marks_repeats: bool = False  # callers mark further tries of a request
+    advice_allowed: bool = False  # a rejected caller may be given a retry delay
+    advice_max_ms: float = 0.0  # the longest retry delay
+    over_share_worth: float = 1.0  # factor on the worth of requests over their tenant's quota
+    worth_by_work: bool = False  # worth is given per unit of work, not per request
     concurrency_share: float = 1.0  # of the survivable concurrency, for this process; another one has the rest
 
 
@@ -137,14 +137,14 @@
 
     request: str
     class_name: str
-    held_kb: float
-    age_ms: float = 0.0
+    held_kb: float  # its memory before it is started
+    age_ms: float = 0.0  # since it was received
     caller: int = 0
     tenant: str | None = None
-    repeat_of: str | None = None
-    marked_repeat: bool = False
-    patience_ms: float | None = None
-    subject: int | None = None
+    repeat_of: str | None = None  # the remembered request that it repeats
+    marked_repeat: bool = False  # its caller marked it as a further try
+    patience_ms: float | None = None  # how much longer its caller waits
+    subject: int | None = None  # the resource that it concerns
 
 
 @dataclass(slots=True)
@@ -188,7 +188,7 @@
 
 @dataclass(slots=True)
 class Woken:
-    """The time of a WakeAt has come; with the present gauges."""
+    """The time of a `WakeAt` has come; with the present gauges."""
 
     token: str
     gauges: Gauges
@@ -243,7 +243,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Reject a request that never ran."""
+    """Reject a request that never ran. ``no_retry_elsewhere``: its caller is asked not to try another server."""
 
     request: str
     retry_after_ms: float = 0.0
@@ -259,7 +259,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """Make the call that a run needs, for at most a time."""
+    """Make the call that a run needs; cancel it after ``limit_ms``."""
 
     request: str
     limit_ms: float = 0.0
@@ -274,7 +274,7 @@
 
 @dataclass(slots=True)
 class RememberKey:
-    """Remember a request for a time, so that repeats of it get its result."""
+    """Remember a request for ``retention_ms``, so that repeats of it get its result."""
 
     request: str
     retention_ms: float
@@ -296,7 +296,7 @@
 
 @dataclass(slots=True)
 class SetHealth:
-    """Answer health checks so from now on."""
+    """Answer health checks with this verdict from now on."""
 
     healthy: bool
     from_store: bool = False  # answer from this verdict alone, without a deep check
@@ -318,7 +318,7 @@
 
 @dataclass(slots=True)
 class WakeAt:
-    """Send Woken with this token at a time."""
+    """Send `Woken` with this token at the time ``at_ms``."""
 
     at_ms: float
     token: str
--- a/flintshift/peers/members.py
+++ b/flintshift/peers/members.py
@@ -16,12 +16,14 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-WATCHERS = 3
-MAX_PROCESSES = 4096  # that are remembered; past that, the one that was heard from longest ago is dropped
+WATCHER_COUNT = 3  # of each member
+MAX_PROCESSES = 4096  # that are remembered; beyond that, the one whose last message is the oldest is dropped
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatTiming:
+    """Intervals and timeouts of the failure detection."""
+
     heartbeat_ms: float = 200.0
     lease_ms: float = 1200.0  # a process that sends nothing for this time is accused
     repeat_ms: float = 1000.0  # after which an accusation is sent again
@@ -40,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accused:
-    """A watcher reports that the lease of a process lapsed (or that the process is heard from again)."""
+    """A watcher reports that the lease of a process lapsed (or that it receives messages of the process again)."""
 
     by: str  # the watcher's member name
     identity: str
@@ -49,6 +51,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
+    """Time has passed: heartbeats and leases are to be checked."""
+
     pass
 
 
@@ -60,6 +64,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHeartbeat:
+    """Send a heartbeat to this member."""
+
     to: str
 
 
@@ -73,6 +79,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Appeared:
+    """The first message of a process has come."""
+
     identity: str
 
 
@@ -86,6 +94,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Died:
+    """A majority of its watchers accuses the process, and this member receives nothing from it: it counts as dead."""
+
     identity: str
     silent_ms: float
     accusers: tuple[str, ...]
@@ -142,7 +152,7 @@
     def _watchers_of(self, name: str) -> tuple[str, ...]:
         index = self.ring.index(name)
         others = [self.ring[(index + step) % len(self.ring)] for step in range(1, len(self.ring))]
-        return tuple(others[:WATCHERS])
+        return tuple(others[:WATCHER_COUNT])
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Handle an event; returns the actions to take."""
@@ -155,7 +165,7 @@
                 return self._on_tick(now_ms)
 
     def is_alive(self, identity: str, now_ms: float) -> bool:
-        """Return whether to count on a process. One that was never heard from counts as alive for two leases from the
+        """Return whether to count on a process. One that never sent a message counts as alive for two leases from the
         start of this process."""
         if identity == self.identity:
             return True
--- a/flintshift/replication/log_holders.py
+++ b/flintshift/replication/log_holders.py
@@ -40,7 +40,7 @@
     """Timing and limits of the replicas that a member holds."""
 
     takeover_delay_ms: float = 60_000.0  # from a writer's death to the first attempt to take its log over
-    patience_factor: float = 10.0  # after so many times that delay, holders without a vote are no longer waited for
+    patience_factor: float = 10.0  # after so many times that delay, holders that do not answer are no longer waited for
     stagger_ms: float = 1000.0  # between the first attempts of one holder and the next
     retry_ms: float = 5000.0  # between two attempts
     max_logs: int = 256
@@ -74,7 +74,7 @@
 class LogReplicas:
     """All replicas that one member holds.
 
-    ``holders`` returns the holders of a member's logs, with that member first. ``is_alive`` tells whether a process is.
+    ``holders`` returns the holders of a member's logs, that member first. ``is_alive`` returns whether a process is.
     """
 
     def __init__(
@@ -162,7 +162,7 @@
         return []
 
     def announce_finished(self, member: str) -> list[HolderAction]:
-        """Tells a member that is reachable again which logs are finished.
+        """Notifies a member that is reachable again of the logs that are finished.
 
         It may have missed the message while it was away, and would hold its replicas of them for ever.
         """
@@ -173,6 +173,7 @@
         ]
 
     def mark_finished(self, log: LogId, epoch: int) -> list[HolderAction]:
+        """Reduces a replica to the fact that its log is finished."""
         replica = self.table[log]
         self.table[log] = LogReplica(epoch, replica.promised_to, replica.writer, replica.last, False, finished=True)
         return [MarkFinished(log, epoch)]
@@ -232,8 +233,12 @@
 
         A process writes one log of its own member: an earlier one had been taken over before the process learned of it.
         """
-        for (member, life), replica in self.table.items():
-            if (member, replica.writer) == (log[0], sender) and life != log[1] and sender.rpartition("#")[0] == member:
+        for (member, incarnation), replica in self.table.items():
+            if (
+                (member, replica.writer) == (log[0], sender)
+                and incarnation != log[1]
+                and sender.rpartition("#")[0] == member
+            ):
                 replica.writer = ""
 
     def _make_room(self) -> list[HolderAction]:
@@ -336,7 +341,7 @@
         return replica.readable and not replica.complete and replica.last == NO_POSITION and promised_to_owner
 
     def tick(self, now_ms: float) -> list[HolderAction]:
-        """Begins the takeovers, and drops the empty replicas, whose time has come."""
+        """Begins the takeovers that are due, and drops empty replicas whose writer has been dead for long enough."""
         actions: list[HolderAction] = []
         for log, replica in list(self.table.items()):
             if replica.finished:
--- a/flintshift/replication/log_writer.py
+++ b/flintshift/replication/log_writer.py
@@ -38,10 +38,10 @@
 class ReplicaState(IntEnum):
     """How a replica takes part in the replication."""
 
-    AWAY = 0
-    JOINING = 1
-    FILLING = 2
-    FOLLOWING = 3
+    AWAY = 0  # unreachable, or without room or a vote for the log
+    JOINING = 1  # asked to join; once it has answered, it follows or gets a snapshot
+    FILLING = 2  # receives a snapshot
+    FOLLOWING = 3  # receives each record
 
 
 @dataclass(slots=True)
@@ -88,9 +88,11 @@
 
     @property
     def in_gap(self) -> bool:
+        """Whether answers do not wait for replicas now, as too few of them answer."""
         return self.gap_since_ms is not None
 
     def set_reachable(self, member: str, reachable: bool) -> list[WriterAction]:
+        """Handles a link to a holder that came up, over which it is asked to join, or that broke."""
         replica = self.replicas.get(member)
         if replica is None or self.fenced:
             return []
@@ -150,6 +152,7 @@
         return [SendTo(member, replica.parts[0])]
 
     def handle_status(self, now_ms: float, member: str, status: ReplicaStatus) -> list[WriterAction]:
+        """Handles a holder's answer about its replica."""
         replica = self.replicas.get(member)
         if replica is None or self.fenced or not replica.reachable:
             return []
--- a/flintshift/replication/logs.py
+++ b/flintshift/replication/logs.py
@@ -4,8 +4,8 @@
 accepts, and who takes the log over once its writer is dead. Without I/O; the state machines are in `log_writer.py` and
 `log_holders.py`.
 
-A log belongs to the member that began it, and has a life that is drawn when it begins: after the loss of a disk, or
-after a takeover, the member begins another log. The other holders copy a log record by record
+A log belongs to the member that began it, and has an incarnation, an id drawn when it begins: after the loss of a disk,
+or after a takeover, the member begins another log. The other holders copy a log record by record
 (`Placement.log_holders`).
 
 - A writer has an **epoch**. A replica promises the highest epoch that it was asked for and rejects everything of a
@@ -29,7 +29,7 @@
 
 from msgspec import Struct
 
-LogId = tuple[str, bytes]  # the member that began the log, and the log's life
+LogId = tuple[str, bytes]  # the member that began the log, and the log's incarnation
 LogPosition = tuple[int, int]  # epoch and sequence of a last record
 NO_POSITION: LogPosition = (0, 0)
 Record = tuple[int, bytes]  # kind and payload
@@ -241,7 +241,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToHolder:
-    """Ask a member for its vote on a takeover, or tell it that a log is finished."""
+    """Ask a member for its vote on a takeover, or notify it that a log is finished."""
 
     member: str
     message: Join | LogFinished
--- a/flintshift/replication/placement.py
+++ b/flintshift/replication/placement.py
@@ -29,6 +29,7 @@
 
     @property
     def majority(self) -> int:
+        """The number of holders that make a majority."""
         return self.replica_count // 2 + 1
 
     @property
@@ -41,9 +42,11 @@
 
     @staticmethod
     def slot(key: Key) -> int:
+        """The slot of a key; keys of one slot have the same holders."""
         return crc32(f"{key[0]}\n{key[1]}".encode()) % SLOT_COUNT
 
     def holders(self, key: Key) -> tuple[str, ...]:
+        """The members that hold replicas of a key."""
         return self._slot_holders(self.slot(key))
 
     def _slot_holders(self, slot: int) -> tuple[str, ...]:
--- a/flintshift/replication/proposals.py
+++ b/flintshift/replication/proposals.py
@@ -63,8 +63,8 @@
 class ProposalTiming:
     """Timing and limits of proposals."""
 
-    fast_round_ms: float = 8.0  # how long round 0 waits for its holders: this long, or
-    fast_round_factor: float = 8.0  # this many times the recent answer time, whichever is longer
+    fast_round_ms: float = 8.0  # round 0 waits at least this long for its holders
+    fast_round_factor: float = 8.0  # and at least this many times the mean answer time, but no longer than retry_ms
     retry_ms: float = 250.0  # until a request without an answer is sent again
     poll_ms: float = 400.0  # until a followed key is read again, in case the report of its end is lost
     uncertain_poll_ms: float = 20.0  # the same if its end was seen at a minority
@@ -78,7 +78,7 @@
 
     intent: Intent
     holders: tuple[str, ...]
-    expires_ms: float  # when it is given up
+    expires_ms: float  # when it is abandoned
     step: Step = Step.READ
     request_number: int = 0  # of the current step
     ballot: Ballot = NO_BALLOT
@@ -99,7 +99,7 @@
 class Proposals:
     """The proposals of one process.
 
-    ``identity`` names this process and never another or earlier one. ``is_alive`` tells whether a runner is.
+    ``identity`` names this process and never another or earlier one. ``is_alive`` returns whether a runner is.
     """
 
     def __init__(
@@ -208,7 +208,7 @@
         if isinstance(intent, Claim):
             proposal.waiting_claims[intent.owner] = intent.deadline_ms
             if not self._is_majority_reachable(holders):
-                return self._give_up(now_ms, key, proposal, NO_MAJORITY)
+                return self._handle_no_majority(now_ms, key, proposal, NO_MAJORITY)
         return self._start(now_ms, key, proposal)
 
     def _start(self, now_ms: float, key: Key, proposal: Proposal) -> list[Action]:
@@ -417,7 +417,7 @@
         able_count = sum(name in self.reachable_stores for name in proposal.holders) - len(unable)
         if able_count < self.placement.majority:
             is_full = any(vote.verdict is Verdict.FULL for vote in unable)
-            return self._give_up(
+            return self._handle_no_majority(
                 now_ms,
                 key,
                 proposal,
@@ -489,13 +489,13 @@
             del self.granted_claims[key]
 
     def _answer_claims(self, now_ms: float, key: Key, proposal: Proposal, value: Value | None) -> list[Action]:
-        """Tells the waiting tries which of them, or which other try, holds the claim."""
+        """Reports to the waiting tries which of them, or which other try, holds the claim."""
         waiting = tuple(proposal.waiting_claims)
         if value is None or value.stage is Stage.FREE:  # impossible: the claim would have been written
             return [MajorityUnavailable(owner, True, "the key's register is empty") for owner in waiting]
         runs_here = value.stage is Stage.CLAIMED and value.runner == self.identity
         if runs_here and value.owner not in waiting and self.granted_claims.get(key) != value.owner:
-            # The caller departed, or was told that there is no majority: the request does not run.
+            # The caller disconnected, or was answered that there is no majority: the request does not run.
             proposal.queued.appendleft(Free(key, value.owner))
         others = tuple(owner for owner in waiting if not (runs_here and owner == value.owner))
         actions: list[Action] = []
@@ -521,7 +521,7 @@
             value = Value(Stage.FREE, owner, "", b"", 0.0)
         return [FollowedKeyEnded(key, value)]
 
-    def _give_up(self, now_ms: float, key: Key, proposal: Proposal, cause: str) -> list[Action]:
+    def _handle_no_majority(self, now_ms: float, key: Key, proposal: Proposal, cause: str) -> list[Action]:
         """No majority can be had now. Reports that to whoever waits.
 
         What a minority may have accepted is settled later.
@@ -561,7 +561,7 @@
                 del proposal.waiting_claims[owner]
                 actions.append(MajorityUnavailable(owner, True, "the holders did not answer in time"))
             if late and not proposal.waiting_claims and isinstance(intent, Claim):
-                actions += self._give_up(now_ms, key, proposal, "")
+                actions += self._handle_no_majority(now_ms, key, proposal, "")
                 continue
             if isinstance(intent, Finish) and not proposal.abandoned and intent.deadline_ms <= now_ms:
                 proposal.abandoned = True
@@ -590,7 +590,7 @@
             return self._prepare(now_ms, key, proposal)
         proposal.retry_at_ms = now_ms + self.timing.retry_ms
         if not self._is_majority_reachable(proposal.holders):
-            return self._give_up(now_ms, key, proposal, NO_MAJORITY)
+            return self._handle_no_majority(now_ms, key, proposal, NO_MAJORITY)
         return self._send_requests(key, proposal, proposal.holders)
 
     def _handle_reachability(self, now_ms: float, member: str, reachable: bool, store: int) -> list[Action]:
@@ -606,7 +606,7 @@
             if reachable:
                 proposal.retry_at_ms = min(proposal.retry_at_ms, now_ms)
             elif not self._is_majority_reachable(proposal.holders):
-                actions += self._give_up(now_ms, key, proposal, NO_MAJORITY)
+                actions += self._handle_no_majority(now_ms, key, proposal, NO_MAJORITY)
             elif proposal.sent_ms != -math.inf:
                 actions += self._evaluate_votes(now_ms, key, proposal)
         return actions
--- a/flintshift/replication/refill.py
+++ b/flintshift/replication/refill.py
@@ -79,9 +79,11 @@
 
     @property
     def finished(self) -> bool:
+        """Whether all other members have sent everything."""
         return all(source.done for source in self.sources.values())
 
     def due_requests(self, now_ms: float, store: int, reached: Iterable[str]) -> list[tuple[str, FillAsk]]:
+        """The requests to send now to the members that are reached; each is returned once per link."""
         requests = []
         for name in reached:
             source = self.sources.get(name)
--- a/flintshift/replication/registers.py
+++ b/flintshift/replication/registers.py
@@ -75,11 +75,13 @@
 
     @property
     def store(self) -> int:
+        """The incarnation of this member's store."""
         return self.stores[self.member]
 
     # Votes.
 
     def can_vote_on(self, now_ms: float, holders: tuple[str, ...]) -> bool:
+        """Whether this store may vote on keys with these holders: its promises are complete, refilled or expired."""
         if self.votes_on_all_keys or now_ms >= self.voting_from_ms:
             return True
         return self._is_filled(holders)
--- a/flintshift/replication/store.py
+++ b/flintshift/replication/store.py
@@ -206,6 +206,7 @@
             del self.segment_expiry_ms[start]
 
     def close(self) -> None:
+        """Closes the log, and releases the folder for another process."""
         self.log.close()
         self.lock.close()
 
@@ -239,7 +240,7 @@
         FileExistsError: the folder is not empty.
     """
     if files.names(folder):
-        raise FileExistsError(f"{folder} is not empty; founding the store again would forget what it promised")
+        raise FileExistsError(f"{folder} is not empty; a new store would not know the promises of the one before")
     files.make_folder(folder / "log")
     data = msgspec.msgpack.encode(StoreState(int(now_ms), True, "", boot))
     snapshot.publish(files, folder / STORE_FILE, snapshot.seal(STORE_KIND, 1, 1, data))
--- a/flintshift/tick_interval.py
+++ b/flintshift/tick_interval.py
@@ -4,7 +4,9 @@
 
 
 class TickInterval:
-    """Ticks are requested every ``tick_ms``. On a busy machine several in a row come late, about equally.
+    """Estimates the time until the next tick from the last intervals.
+
+    Ticks are requested every ``tick_ms``. On a busy machine several in a row come late, about equally.
 
     >>> interval = TickInterval(40.0)
     >>> interval.record(1000.0); interval.record(1040.0); interval.next_ms
--- a/tests/core/test_repeats.py
+++ b/tests/core/test_repeats.py
@@ -10,7 +10,7 @@
 from flintshift.interface import Outcome
 
 WINDOW_MS = 2000.0  # of the class in the harness's settings
-MARGIN_MS = 250.0  # Limits.key_margin_ms, of which callers know of 50 ms
+MARGIN_MS = 250.0  # Limits.key_margin_ms, of which 50 ms are documented
 
 
 def finish_run(node, request, outcome=Outcome.OK, result=b"x"):
--- a/tests/replication/test_agreement.py
+++ b/tests/replication/test_agreement.py
@@ -102,7 +102,7 @@
     assert any(run_random_scenario(seed, proposals=MinorityDecides).violations for seed in range(200))
 
 
-def walk(order: tuple[int, ...], crash_at: int, crashed: str, disk_lost: bool, **mutant) -> World:
+def run_two_claims(order: tuple[int, ...], crash_at: int, crashed: str, disk_lost: bool, **mutant) -> World:
     """Two members claim one key at the same time.
 
     ``order`` tells for each holder which of the two claims it receives first. At the step ``crash_at`` a machine
@@ -129,19 +129,21 @@
     return settle_all(world)
 
 
-WALKS = list(itertools.product(itertools.product((0, 1), repeat=3), range(0, 26), ("n1", "n2", "n3"), (False, True)))
+TWO_CLAIM_SCENARIOS = list(
+    itertools.product(itertools.product((0, 1), repeat=3), range(0, 26), ("n1", "n2", "n3"), (False, True))
+)
 
 
 @pytest.mark.parametrize("part", range(4))
 def test_two_claims_in_every_order_with_a_crash_at_every_step(part):
-    for arguments in WALKS[part::4]:
-        assert walk(*arguments).violations == [], arguments
+    for arguments in TWO_CLAIM_SCENARIOS[part::4]:
+        assert run_two_claims(*arguments).violations == [], arguments
 
 
 def test_a_majority_does_not_decide_round_0():
-    assert any(walk(*arguments, proposals=MajorityDecidesFastRound).violations for arguments in WALKS) or any(
-        run_random_scenario(seed, proposals=MajorityDecidesFastRound).violations for seed in range(200)
-    )
+    assert any(
+        run_two_claims(*arguments, proposals=MajorityDecidesFastRound).violations for arguments in TWO_CLAIM_SCENARIOS
+    ) or any(run_random_scenario(seed, proposals=MajorityDecidesFastRound).violations for seed in range(200))
 
 
 ORDERS = list(itertools.product(itertools.permutations(HALLS), HALLS))
@@ -322,7 +324,7 @@
         self.world.tick(by_ms)
 
     @invariant()
-    def nothing_is_wrong(self):
+    def no_violation_is_found(self):
         assert self.world.violations == []
 
     def teardown(self):
--- a/tests/replication/test_usage_replica_refusals.py
+++ b/tests/replication/test_usage_replica_refusals.py
@@ -39,15 +39,15 @@
 WRITER = "n1#1"
 EPOCH = 5
 OPENED = pack(Opened("n1", LOG[1], 1000, ["a"], ["look"], 1_000_000))
-TURNED = pack(Rotated(1_000_000, 1000))
+ROTATED = pack(Rotated(1_000_000, 1000))
 
 
 def snapshot_of_first_record():
     """A snapshot of a ledger that has its first record only."""
-    book = UsageAccounts()
-    book.apply(1, EPOCH, Opened("n1", LOG[1], 1000, ["a"], ["look"], 1_000_000))
-    book.state.sequence = 1
-    return msgspec.msgpack.encode(on_disk.LedgerSnapshot(book.dump(), [], []))
+    accounts = UsageAccounts()
+    accounts.apply(1, EPOCH, Opened("n1", LOG[1], 1000, ["a"], ["look"], 1_000_000))
+    accounts.state.sequence = 1
+    return msgspec.msgpack.encode(on_disk.LedgerSnapshot(accounts.dump(), [], []))
 
 
 class Holder:
@@ -100,7 +100,7 @@
         """The messages of a replica's life: join, snapshot, records, export, join under a higher epoch, end."""
         yield logs.Join(LOG, EPOCH, (EPOCH, 1))
         yield logs.SnapshotPart(LOG, EPOCH, (EPOCH, 1), 0, False, snapshot_of_first_record())
-        yield logs.Append(LOG, EPOCH, 2, (TURNED,))
+        yield logs.Append(LOG, EPOCH, 2, (ROTATED,))
         yield logs.Exported(LOG, "folder", "n1.e5.20260101T000000.000Z.r0.usage", b"d" * 32)
         yield logs.Join(LOG, EPOCH + 1, (EPOCH, 2))
         yield logs.LogFinished(LOG, EPOCH + 1)
@@ -141,7 +141,7 @@
     assert status.verdict is logs.ReplicaVerdict.GRANTED
     if status.last != (EPOCH, 2):
         holder.send(logs.SnapshotPart(LOG, EPOCH, (EPOCH, 1), 0, False, snapshot_of_first_record()))
-        holder.send(logs.Append(LOG, EPOCH, 2, (TURNED,)))
+        holder.send(logs.Append(LOG, EPOCH, 2, (ROTATED,)))
     holder.assert_consistent()
     replica = holder.copies.ledger_replicas.log_replicas.table[LOG]
     assert replica.complete and replica.last == (EPOCH, 2)
@@ -166,7 +166,7 @@
     holder.files.failures = {holder.files.operation_count + operation: errno.ENOSPC for operation in range(1, 1000)}
     assert holder.send(logs.Join(LOG, EPOCH, (EPOCH, 1))) is None
     assert holder.copies.ledger_replicas.log_replicas.table == {} and holder.copies.ledger_replicas.replicas == {}
-    assert holder.send(logs.Append(LOG, EPOCH, 2, (TURNED,))).verdict is logs.ReplicaVerdict.NO_VOTE
+    assert holder.send(logs.Append(LOG, EPOCH, 2, (ROTATED,))).verdict is logs.ReplicaVerdict.NO_VOTE
     holder.files.failures = {}
     assert holder.send(logs.Join(LOG, EPOCH, (EPOCH, 1))).verdict is logs.ReplicaVerdict.GRANTED
 
@@ -193,14 +193,14 @@
 
 
 @pytest.mark.parametrize("rejected", [1, 1000], ids=["a record", "a record and its repair"])
-def test_a_writer_is_told_of_rejected_records_though_it_writes_no_more(rejected):
+def test_a_writer_is_notified_of_rejected_records_though_it_writes_no_more(rejected):
     """The disk of a replica rejected the last record, no answer was sent, and the writer took the replica for a
     following one. So the ledger was still incomplete 30 s later."""
     holder = Holder()
     for message in list(holder.life_cycle())[:2]:
         holder.send(message)
     holder.files.failures = {holder.files.operation_count + operation: errno.EIO for operation in range(1, 1000)}
-    assert holder.send(logs.Append(LOG, EPOCH, 2, (TURNED,))) is None
+    assert holder.send(logs.Append(LOG, EPOCH, 2, (ROTATED,))) is None
     if rejected == 1:
         holder.files.failures = {}
     statuses = []
