--- a/flintshift/control.py
+++ b/flintshift/control.py
@@ -406,14 +406,14 @@
             local = self.memory_full or self._unhealthy() or self.drain_ms < math.inf  # others may do better
             value_share = 1.0 if local else min(1.0, work.value / highest_value)
             max_ms = math.inf if local else RETRY_AFTER_SHARE * self.settings.servers * work.kind.aim_ms
-            delay_ms = value_share * min(max_ms, self.settings.advice_max_ms) * self.settings.advice_allowed
+            wait_ms = value_share * min(max_ms, self.settings.advice_max_ms) * self.settings.advice_allowed
             self.shed_load = True
             self.rejected[work.kind.name] += LOAD_WEIGHT * (1 - self.rejected[work.kind.name]) * work.in_quota
             self.retries += LOAD_WEIGHT * (not self.settings.marks_repeats)
             # A further try was rejected elsewhere, and in a retry storm the next will be: it costs reading.
             storm = self.retries > RETRY_STORM
-            futile = value_share < 1 or (storm and self.settings.marks_repeats)  # unmarked work may find room
-            self.actions.append(api.Reject(work.id, delay_ms, futile and (work.arrival.marked_repeat or storm)))
+            waste = value_share < 1 or (storm and self.settings.marks_repeats)  # unmarked work may find room
+            self.actions.append(api.Reject(work.id, wait_ms, waste and (work.arrival.marked_repeat or storm)))
             self._discard(work)
             return
         self.actions.append(api.Fail(work.id))
@@ -514,13 +514,13 @@
                 end_ms = min(end_ms, self.now + SKIPPABLE_LIMIT_FACTOR * self.call_ms)
             limit_ms = min(max(end_ms - self.now, TICK_MS), free_ms)
             share = SKIPPABLE_SHARE if work.kind.skip_worth and slow else 1.0
-            room = pending + 1 <= max(1.0, self.call_limit) and spent <= max_ms * share and free_ms >= TICK_MS
-            skip = work.calls >= work.max_calls or work.tries > work.lost_replies or (not room and not waits)
+            fits = pending + 1 <= max(1.0, self.call_limit) and spent <= max_ms * share and free_ms >= TICK_MS
+            skip = work.calls >= work.max_calls or work.tries > work.lost_replies or (not fits and not waits)
             if work.kind.skip_worth and skip:
                 free_concurrency -= 1
                 self._resume_run(work)
                 self.actions.append(api.SkipCall(work.id))
-            elif room:
+            elif fits:
                 self._set_stage(work, Stage.CALLING)
                 work.tries += 1
                 work.last_call = [self.now, self.now + limit_ms + self.settings.linger_ms, False]
--- a/flintshift/core/limits.py
+++ b/flintshift/core/limits.py
@@ -11,7 +11,7 @@
 
     memory_mb: int = 192
     sockets: int = 1024
-    stop_ms: float = 3000.0  # from the notice to leave until the process is killed
+    stop_ms: float = 3000.0  # from the platform's notice to stop until it kills the process
 
     # Sizes, in bytes.
     max_body_bytes: int = 2048
@@ -96,7 +96,7 @@
     reservation_slot_ms: float = 50.0  # one slot in the calendar of reserved retry times
     sweep_interval_ms: float = 250.0  # between two checks for idle connections
     purge_interval_ms: float = 1000.0  # between two checks for expired keys and lost runs
-    max_notice_delay_ms: float = 500.0  # a busy node may receive the notice to leave this late
+    max_notice_delay_ms: float = 500.0  # a busy node may receive the notice to stop this late
     drain_check_interval_ms: float = 10.0  # between two checks whether all requests are answered
     stop_margin_ms: float = 250.0  # all requests are answered so long before the kill
     stop_accepting_ms: float = 300.0  # accepting ends so long before that: accepted connections are answered
--- a/flintshift/replication/log_writer.py
+++ b/flintshift/replication/log_writer.py
@@ -1,4 +1,4 @@
-"""The writer of a replicated log: which holders copy it, how far each one is, and when records are on a majority.
+"""The writer of a replicated log: the state of each replica, and up to which record a majority has the log.
 
 Without I/O; the rules are in `logs.py`.
 """
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -265,7 +265,7 @@
         return Counter(json.loads(await asyncio.wait_for(self.process.stderr.readline(), 10))["counters"])
 
     async def leave(self):
-        """Send the notice to leave; returns once the node has withdrawn from the name service."""
+        """Send the notice to stop; returns once the node has withdrawn from the name service."""
         self.process.send_signal(signal.SIGTERM)
         await self.names.log.wait_for(lambda entry: entry[1] == "no")
 
