--- a/flintshift/handover/phases.py
+++ b/flintshift/handover/phases.py
@@ -34,8 +34,8 @@
     Yours,
 )
 
-# The minimum share of each limit that a predecessor keeps for requests on its open connections: the first when the
-# successor starts to accept clients. It falls with the number of connections, to the second at the lowest.
+# The minimum share of each limit that a predecessor keeps for requests on its open connections. It has the first value
+# when the successor starts to accept clients, and falls with the number of connections, to the second at the lowest.
 INITIAL_MIN_SHARE, LOWEST_MIN_SHARE = 0.5, 0.2
 EXIT_REPORT_TIMEOUT_MS = 500.0  # from the end of the link to the report that its process has ended
 TOTAL_CALL_SHARE = 0.95  # of the calls to the vault, for both; the rest allows for rounding of the reported share
@@ -59,7 +59,7 @@
         self.scheduled_shares: list[tuple[float, SetLimitShare]] = []  # what this process gets back, and when
         self.pool_up = False  # whether this process's worker pool is up
         self.out_of_service = False  # passed on to a successor
-        self.peer_left = False  # the predecessor sent all ends of its runs
+        self.peer_left = False  # the other process shuts down regularly and has sent the ends of all its runs
         self.predecessor_share = WHOLE_LIMITS  # what the predecessor keeps, in both processes
         self.last_usage = WHOLE_LIMITS  # what this process used at the last update
         self.learned: Learned | None = None  # and what it had learned
@@ -67,7 +67,7 @@
 
     @property
     def alone(self) -> bool:
-        """There is no other process."""
+        """Whether there is no other process."""
         return self.phase is Phase.ALONE
 
     @property
@@ -158,7 +158,7 @@
                 self.last_usage, self.learned = load, learned
                 if self.link_loss is not None and now_ms >= self.link_loss[0] + EXIT_REPORT_TIMEOUT_MS:
                     return [
-                        AbortStart(f"the link to the process that serves ended ({self.link_loss[1]}), and it lives")
+                        AbortStart(f"the link to the process that serves ended ({self.link_loss[1]}), but it is alive")
                     ]
                 return self._release_due_shares(now_ms)
             case LinkEnded(cause):
--- a/flintshift/lifecycle/config.py
+++ b/flintshift/lifecycle/config.py
@@ -53,7 +53,7 @@
     gauge_names: list[str | None]
     limits: Limits
     operators: OperatorSettings
-    told: dict[str, Any]  # the platform's file as parsed from JSON
+    document: dict[str, Any]  # the platform's file as parsed from JSON
 
 
 def load(env: Mapping[str, str], operators_file: Path | None = None) -> Config:
@@ -149,7 +149,7 @@
             limits=replace(limits, max_key_result_bytes=limits.memory_mb * (1 << 20) // 6),
             gauge_names=[GAUGE_FIELDS.get(name) for name in pairs.get("familyInfo.gauges", "").split(",")],
             operators=operators,
-            told=document,
+            document=document,
         )
     except KeyError as error:
         raise ConfigError(f"{path}: {error.args[0]} is missing") from error
--- a/flintshift/lifecycle/durable_state.py
+++ b/flintshift/lifecycle/durable_state.py
@@ -34,14 +34,14 @@
     """
     from flintshift.lifecycle import usage_recording
 
-    copies = config.operators.copies
+    replication_options = config.operators.copies
     open_step = partial(
         usage_recording.open_ledger,
         config.name,
         config.settings,
         options,
         log,
-        replicated=copies is not None and copies.copies > 1,
+        replicated=replication_options is not None and replication_options.copies > 1,
     )
     try:
         return retry.run_with_retries(open_step)
@@ -84,7 +84,7 @@
     try:
         return retry.run_with_retries(open_step)
     except OPEN_ERRORS as error:
-        raise ConfigError(f"the folder of copies can't be used: {error}") from error
+        raise ConfigError(f"the folder of the replicas can't be used: {error}") from error
 
 
 def replicate_ledger(replication: ReplicationService, ledger: Ledger, options: UsageOptions, retry: StartRetry) -> None:
@@ -96,4 +96,4 @@
     try:
         retry.run_with_retries(partial(replication.replicate_ledger, ledger, options))
     except OPEN_ERRORS as error:
-        raise ConfigError(f"the folder of copies can't be used: {error}") from error
+        raise ConfigError(f"the folder of the replicas can't be used: {error}") from error
--- a/flintshift/lifecycle/event_loop.py
+++ b/flintshift/lifecycle/event_loop.py
@@ -66,7 +66,7 @@
             del loop
             gc.collect()  # closes the loop's descriptors
             raise
-        # A main that has begun must not run again, and one that has ended has ended well.
+        # A main that has begun must not run again, and a failure after its end changes nothing.
         if not tasks[0].done():
             raise LoopError(f"the event loop failed: {error}") from error
     if not loop.is_running():
--- a/flintshift/lifecycle/exports.py
+++ b/flintshift/lifecycle/exports.py
@@ -26,13 +26,13 @@
 RESTART_DELAY_S = 30.0  # after an error that stopped the exporter: of the disk, or a damaged file
 
 
-def create_sinks(options: ExportOptions, files: Files, ledger: str = "") -> dict[str, Sink]:
-    """The configured sinks by name. ``ledger`` identifies a replicated ledger to an HTTP sink."""
+def create_sinks(options: ExportOptions, files: Files, ledger_id: str = "") -> dict[str, Sink]:
+    """Create the configured sinks, by name. ``ledger_id`` identifies a replicated ledger to an HTTP sink."""
     sinks: dict[str, Sink] = {}
     if options.folder is not None:
         sinks["folder"] = FolderSink(files, options.folder)
     if options.http is not None:
-        sinks["http"] = HttpSink(options.http.url, options.http.timeout_ms, ledger)
+        sinks["http"] = HttpSink(options.http.url, options.http.timeout_ms, ledger_id)
     return sinks
 
 
@@ -47,15 +47,17 @@
 ) -> ExportDriver:
     """Create an exporter of the documents in a folder.
 
-    ``replicated``: the state of the ledger if other members have replicas of it; its owner exports under its epoch.
+    ``until_done``: it ends once nothing is left to deliver; else it runs until cancelled. ``replicated``: the state of
+    the ledger if other members have replicas of it; its owner exports under its epoch. ``on_acknowledged`` is called
+    with the sink, the name and the digest of each acknowledged document.
     """
     files = files or DiskFiles()
     delivery_config = DeliveryConfig(options.backoff_ms, options.max_backoff_ms, options.attempts_per_hour)
-    ledger = f"{replicated.node}.{replicated.life.hex()}" if replicated is not None else ""
+    ledger_id = f"{replicated.node}.{replicated.life.hex()}" if replicated is not None else ""
     return ExportDriver(
         files,
         folder,
-        create_sinks(options, files, ledger),
+        create_sinks(options, files, ledger_id),
         delivery_config,
         random.SystemRandom().random,
         lambda: time.monotonic() * 1000,
@@ -67,9 +69,9 @@
 
 
 def create_export_actor(ledger: Ledger, usage: UsageOptions, log: Log) -> Callable[[], Coroutine[Any, Any, None]]:
-    """The exporter as an actor of the node. An error that stops it is logged, and it is restarted after a delay.
+    """Return the exporter as an actor of the node. An error that stops it is logged, and it is restarted after a delay.
 
-    No request fails through it."""
+    No request fails because of it."""
     options = usage.export
     assert options is not None
 
--- a/flintshift/lifecycle/fair_queueing.py
+++ b/flintshift/lifecycle/fair_queueing.py
@@ -33,7 +33,7 @@
 from flintshift.fair_queueing.reservations import CalendarBounds
 
 
-def weights_from(settings: api.Settings) -> QueueSettings:
+def queue_settings(settings: api.Settings) -> QueueSettings:
     """Return the weights of clubs, which are their quotas, and the initial cost of each class.
 
     A class costs at first what the decisions assume for a run of it."""
@@ -46,7 +46,7 @@
 
 
 class FairQueueing:
-    """Implements ``core.ports.FairRanking`` for the decision planner, and reports the surges of clubs."""
+    """Implements ``core.ports.FairRanking`` for the decision planner, and reports overloads by clubs."""
 
     def __init__(self, settings: api.Settings, limits: Limits, counters: Counters, now_ms: Callable[[], float]) -> None:
         self.counters, self.now_ms, self.random_float = counters, now_ms, random.random
@@ -57,9 +57,9 @@
             limits.bucket_rekey_interval_ms,
             CalendarBounds(limits.reservation_slot_ms, limits.reservation_slots, limits.reservations_per_slot),
         )
-        self.shares = FairQueue(weights_from(settings), os.urandom(16), bounds)
+        self.shares = FairQueue(queue_settings(settings), os.urandom(16), bounds)
         self.rank_ms = self.shares.rank_ms  # called for every queued request at each choice, so without a wrapper
-        self.surges = OverloadDetector(self.shares.weights, now_ms())
+        self.overload_detector = OverloadDetector(self.shares.weights, now_ms())
         self.log: Log = log_nothing
 
     def status(self) -> dict[str, Any]:
@@ -71,21 +71,23 @@
             "bytes_at_most": self.shares.entries * MAX_ENTRY_BYTES,
         }
 
-    def refuses(self, settings: api.Settings) -> str | None:
+    def rejection_reason(self, settings: api.Settings) -> str | None:
         """Return None: the fair queues can work by any settings that the decisions accept."""
         return None
 
     def change(self, settings: api.Settings) -> None:
         """Work by these settings from now on."""
-        self.shares.handle(self.now_ms(), weights_from(settings))
-        self._report_surges(self.surges.set_weights(self.now_ms(), self.shares.weights))
+        self.shares.handle(self.now_ms(), queue_settings(settings))
+        self._report_overloads(self.overload_detector.set_weights(self.now_ms(), self.shares.weights))
 
     def on_arrival(self, attempt: Attempt) -> None:
         self.shares.handle(
             self.now_ms(),
             RequestArrived(attempt.id, attempt.tenant, attempt.caller, attempt.class_name, attempt.marked_repeat),
         )
-        self.surges.record_arrival(attempt.tenant, self.shares.class_cost_ms.get(attempt.class_name, DEFAULT_COST_MS))
+        self.overload_detector.record_arrival(
+            attempt.tenant, self.shares.class_cost_ms.get(attempt.class_name, DEFAULT_COST_MS)
+        )
 
     def on_start(self, request: str) -> None:
         self.shares.handle(self.now_ms(), RunStarted(request))
@@ -94,7 +96,7 @@
         self.shares.handle(self.now_ms(), RequestWithdrawn(request))
 
     def retry_after_ms(self, attempt: Attempt, min_ms: float, max_ms: float) -> float:
-        self.surges.record_rejection(attempt.tenant)
+        self.overload_detector.record_rejection(attempt.tenant)
         (reservation,) = self.shares.handle(
             self.now_ms(), RequestRejected(attempt.id, min_ms, max_ms, self.random_float())
         )
@@ -105,35 +107,35 @@
         self.shares.handle(self.now_ms(), RunEnded(request, took_ms))
 
     def tick(self) -> None:
-        self._report_surges(self.surges.tick(self.now_ms()))
+        self._report_overloads(self.overload_detector.tick(self.now_ms()))
 
-    def _report_surges(self, reports: list[OverloadEvent]) -> None:
+    def _report_overloads(self, reports: list[OverloadEvent]) -> None:
         for report in reports:
             match report:
-                case OverloadStarted(club, times_share, turned_away):
+                case OverloadStarted(club, times_share, rejected):
                     self.counters.add("door.surges")
                     self.log(
                         "warning",
                         "door.surge_began",
                         club=club,
                         times_its_share=round(times_share, 1),
-                        turned_away=turned_away,
+                        turned_away=rejected,
                     )
-                case OverloadContinued(club, since_ms, times_share, turned_away):
+                case OverloadContinued(club, since_ms, times_share, rejected):
                     self.log(
                         "warning",
                         "door.surge_goes_on",
                         club=club,
                         since_s=round(since_ms / 1000),
                         times_its_share=round(times_share, 1),
-                        turned_away=turned_away,
+                        turned_away=rejected,
                     )
-                case OverloadEnded(club, lasted_ms, max_times_share, turned_away):
+                case OverloadEnded(club, lasted_ms, max_times_share, rejected):
                     self.log(
                         "info",
                         "door.surge_ended",
                         club=club,
                         lasted_s=round(lasted_ms / 1000, 1),
                         most_times_its_share=round(max_times_share, 1),
-                        turned_away=turned_away,
+                        turned_away=rejected,
                     )
--- a/flintshift/lifecycle/ledger_replicas.py
+++ b/flintshift/lifecycle/ledger_replicas.py
@@ -202,7 +202,7 @@
                     ledger=log[0],
                     folder=str(replica.folder),
                     cause=str(error),
-                    then="reading it is retried every 2 s; until then no member is told what it contains",
+                    then="reading it is retried every 2 s; until then its contents are reported to no member",
                 )
         return replica.writable
 
--- a/flintshift/lifecycle/ledger_replication.py
+++ b/flintshift/lifecycle/ledger_replication.py
@@ -77,7 +77,7 @@
         others = tuple(name for name in holders if name != self.name)
         return LogWriter(log, epoch, last, others, len(holders) // 2, MAX_ANSWER_WAIT_MS, elected_position)
 
-    # The port of the ledger.
+    # The methods of ``usage.ledger.Replication``, which the ledger calls.
 
     @property
     def replicated_through(self) -> float:
@@ -105,7 +105,7 @@
         for member in writer.replicas:
             self.send(member, logs.Exported(writer.log, sink, name, digest))
 
-    # Messages between members.
+    # Reachability of other members, and their messages.
 
     def set_reachable(self, member: str, reachable: bool) -> None:
         """Note that a member has become reachable or unreachable."""
@@ -295,6 +295,7 @@
             await self.ledger_replicas.run()
 
     def close(self) -> None:
+        """Close the replicas of other members' ledgers."""
         self.ledger_replicas.close()
 
     def status(self) -> list[dict[str, Any]]:
--- a/flintshift/lifecycle/logs.py
+++ b/flintshift/lifecycle/logs.py
@@ -34,15 +34,15 @@
         if not self.interval_ms:
             return event
         key = (str(event["event"]), str(event.get("request", "")), str(event.get("name", "")))
-        now, (written_ms, left_out) = self.now_ms(), self.last_written.pop(key, (-self.interval_ms, 0))
+        now, (written_ms, dropped) = self.now_ms(), self.last_written.pop(key, (-self.interval_ms, 0))
         if now - written_ms < self.interval_ms:
-            self.last_written[key] = written_ms, left_out + 1
+            self.last_written[key] = written_ms, dropped + 1
             raise structlog.DropEvent
         if len(self.last_written) >= MAX_KNOWN_EVENTS:  # removes the one that occurred longest ago
             del self.last_written[next(iter(self.last_written))]
         self.last_written[key] = now, 0
-        if left_out:
-            event["left_out"] = left_out
+        if dropped:
+            event["left_out"] = dropped
         return event
 
 
--- a/flintshift/lifecycle/reconfiguration.py
+++ b/flintshift/lifecycle/reconfiguration.py
@@ -25,7 +25,7 @@
 class SettingsFollower(Protocol):
     """A part that works by the settings, besides the decisions."""
 
-    def refuses(self, settings: Settings) -> str | None:
+    def rejection_reason(self, settings: Settings) -> str | None:
         """Return why the part can't work by these settings; None: it can."""
 
     def change(self, settings: Settings) -> None:
@@ -88,11 +88,11 @@
         Raises:
             ConfigError: they can't be applied, and nothing of them was.
         """
-        missing = missing_key(config.told, before.told)
+        missing = missing_key(config.document, before.document)
         if missing is not None:
             raise ConfigError(missing)
         for follower in self.followers:
-            problem = follower.refuses(config.settings)
+            problem = follower.rejection_reason(config.settings)
             if problem is not None:
                 raise ConfigError(problem)
         problem = self.decisions.change(config.settings)
--- a/flintshift/lifecycle/replicated_claims.py
+++ b/flintshift/lifecycle/replicated_claims.py
@@ -36,8 +36,8 @@
 class ReplicatedClaims:
     """Implements ``core.ports.Claims``.
 
-    ``wall_ms`` is the node's clock, ``now_ms`` that of the proposals. ``send_event`` passes an event to the proposals,
-    in a turn of the planner."""
+    ``node_now_ms`` is the node's clock, ``now_ms`` that of the proposals. ``send_event`` passes an event to the
+    proposals, in a turn of the planner."""
 
     required = True
 
@@ -45,13 +45,13 @@
         self,
         decisions: Decisions,
         limits: Limits,
-        wall_ms: Callable[[], float],
+        node_now_ms: Callable[[], float],
         now_ms: Callable[[], float],
         send_event: Callable[[Event], None],
         counters: Counters,
         log: Log,
     ) -> None:
-        self.decisions, self.limits, self.wall_ms, self.now_ms = decisions, limits, wall_ms, now_ms
+        self.decisions, self.limits, self.node_now_ms, self.now_ms = decisions, limits, node_now_ms, now_ms
         self.send_event, self.counters, self.log = send_event, counters, log
         self.pending_keys: dict[str, Key] = {}  # by request id, of tries that wait for an answer of the holders
 
@@ -59,7 +59,7 @@
         return False
 
     def request_claim(self, attempt: Attempt) -> None:
-        available_ms = attempt.deadline_at_ms - self.limits.claim_reserve_ms - self.wall_ms()
+        available_ms = attempt.deadline_at_ms - self.limits.claim_reserve_ms - self.node_now_ms()
         key = key_of(attempt)
         self.pending_keys[attempt.id] = key
         self.send_event(
@@ -87,7 +87,7 @@
         )
 
     def max_retention_ms(self) -> float:
-        """The longest such time of all classes, with a reserve as the clocks of members may differ."""
+        """The longest time, of all classes, for which a key must be remembered, with a reserve as clocks may differ."""
         retention_times = (
             self._class_retention_ms(request_class)
             for request_class in self.decisions.catalogue.effective_settings.classes
@@ -104,7 +104,7 @@
         """Nothing to do: the key table has the entry, and the holders have the claim."""
 
     def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
-        available_ms = attempt.deadline_at_ms - self.limits.claim_reserve_ms - self.wall_ms()
+        available_ms = attempt.deadline_at_ms - self.limits.claim_reserve_ms - self.node_now_ms()
         self.send_event(
             Finish(
                 key_of(attempt),
@@ -135,7 +135,7 @@
                 self.pending_keys.pop(owner, None)
                 pending.append(at.ClaimAnswered(owner, True))
             case ClaimedByOther(waiting, key, value):
-                live_until_ms = self.wall_ms() + self.limits.clock_skew_ms + self.limits.claim_timeout_ms
+                live_until_ms = self.node_now_ms() + self.limits.clock_skew_ms + self.limits.claim_timeout_ms
                 adopted_entry = TableEntry(
                     value.owner, live_until_ms, value.fingerprint, value.outcome, value.result, foreign=True
                 )
--- a/flintshift/lifecycle/replication.py
+++ b/flintshift/lifecycle/replication.py
@@ -61,7 +61,7 @@
     from flintshift.lifecycle.start_permits import StartPermits
     from flintshift.usage.ledger import Ledger
 
-TIMER_TOLERANCE_MS = 5.0  # a tick of the proposals may be so late
+TIMER_TOLERANCE_MS = 5.0  # by which a tick of the proposals may be late
 TICK_INTERVAL_MS = 50.0  # of membership, takeovers and refills
 TAKEOVER_STAGGER_MS = 400.0  # between the takeovers of one claim by two holders
 
@@ -110,14 +110,14 @@
             self.identity, halls, membership.HeartbeatTiming(peers.heartbeat_ms, peers.lease_ms), self.now_ms()
         )
         self.proposals = Proposals(self.identity, self.placement, self._is_alive, self.rng)
-        greeting = self.greeting = Handshake(name, self.identity, peers.epoch, members_digest(peers))
+        handshake = self.handshake = Handshake(name, self.identity, peers.epoch, members_digest(peers))
         self.links = {
             member: OutgoingLink(
                 member,
                 address,
                 limits,
                 counters,
-                greeting,
+                handshake,
                 self.store.known_stores,
                 self._on_answers,
                 self._on_link_up,
@@ -126,15 +126,15 @@
             )
             for member, (_, address) in {**peers.members, name: (halls[name], peers.listen)}.items()
         }
-        self.front = PeerListener(
+        self.peer_listener = PeerListener(
             limits,
             counters,
-            greeting,
+            handshake,
             list(halls),
             self.store.known_stores,
             self._on_requests,
             self._on_hello,
-            self._on_link_refused,
+            self._on_link_rejected,
         )
         self.listen = peers.listen
         self.proposal_timer: asyncio.TimerHandle | None = None
@@ -179,7 +179,7 @@
             self._is_alive,
             self.now_ms,
             lambda member, message: self.links[member].send(message, self.now_ms(), False),
-            self.front.send,
+            self.peer_listener.send,
             self.counters,
             self.log,
         )
@@ -187,7 +187,9 @@
         ledger_replicas.restore()
         self.ledger_replication.replicate(ledger)
 
-    def create_start_permits(self, at_once: int, uniform: Uniform, on_proceed: Callable[[], None]) -> StartPermits:
+    def create_start_permits(
+        self, max_concurrent_starts: int, uniform: Uniform, on_proceed: Callable[[], None]
+    ) -> StartPermits:
         """Create the permits that let only so many members of the fleet start at a time."""
         from flintshift.lifecycle.start_permits import StartPermits
 
@@ -195,12 +197,12 @@
             self.name,
             self.identity,
             tuple(self.placement.halls),
-            at_once,
+            max_concurrent_starts,
             uniform,
             self._is_alive,
             self.reached,
             lambda member, message: self.links[member].send(message, self.now_ms(), False),
-            self.front.send,
+            self.peer_listener.send,
             on_proceed,
             self.counters,
             self.log,
@@ -214,7 +216,7 @@
     def _is_alive(self, runner: str) -> bool:
         return self.members.is_alive(runner, self.now_ms())
 
-    # The host of the store.
+    # The methods of `replica_store.Host`, which the store calls.
 
     def notify_proposals(self, event: Event) -> None:
         """Handle an event in the proposals of this process."""
@@ -222,7 +224,7 @@
 
     def send(self, identity: str, message: Vote | Ended) -> None:
         """Send a message to another process, which asked for a vote."""
-        self.front.send(identity, message)
+        self.peer_listener.send(identity, message)
 
     def max_retention_ms(self) -> float:
         """The longest time, of all classes, from the arrival of a try until its key need not be remembered any more."""
@@ -317,7 +319,7 @@
         self._handle_membership_event(membership.MessageReceived(hello.identity))
         self.links[member].retry_now()
 
-    def _on_link_refused(self, cause: str) -> None:
+    def _on_link_rejected(self, cause: str) -> None:
         self.log("warning", "peers.link_refused", cause=cause)
 
     def _on_requests(self, member: str, identity: str, messages: list[Any]) -> None:
@@ -328,13 +330,13 @@
                 case Ask():
                     self.store.vote(identity, message)
                 case FillAsk():
-                    self.front.send(identity, self.store.make_page(member, message))
+                    self.peer_listener.send(identity, self.store.make_page(member, message))
                 case membership.Accused():
                     self._handle_membership_event(message)
                 case PermitRequest() if self.permits is not None:
                     self.permits.on_request(identity, message)
-                case PermitRequest():  # this member's settings have no startup.at-once: it delays nobody
-                    self.front.send(identity, Permit(message.number, True))
+                case PermitRequest():  # this member's settings have no startup.at-once: it delays no start
+                    self.peer_listener.send(identity, Permit(message.number, True))
                 case _ if self.ledger_replication is not None:
                     self.ledger_replication.on_message(identity, message)
 
@@ -420,7 +422,7 @@
                 if not (is_transient(error) if self.may_have_predecessor else self.may_retry(error)):
                     raise
             await anyio.sleep(self.limits.start_retry_delay_ms / 1000)
-        await self.front.serve(raw)
+        await self.peer_listener.serve(raw)
 
     async def _wait_for_predecessor(self) -> None:
         """Link to the predecessor, which owns the store, until it has ended; then open the store."""
--- a/flintshift/lifecycle/replication_status.py
+++ b/flintshift/lifecycle/replication_status.py
@@ -25,7 +25,7 @@
     return {
         "member": replication.name,
         "identity": replication.identity,
-        "epoch": replication.greeting.epoch,
+        "epoch": replication.handshake.epoch,
         "holds": replication.store.folder is not None,
         "store": registers.store,
         "votes": registers.votes_on_all_keys,
--- a/flintshift/lifecycle/start_monitor.py
+++ b/flintshift/lifecycle/start_monitor.py
@@ -47,7 +47,7 @@
         self.files = files or DiskFiles()
         self.phases = Phases(self._now_ms(), cold_ms)
         self.entered_phases: list[dict[str, Any]] = []
-        self.start_wall_ms: float | None = None  # of this start, while the history has it without a success
+        self.start_wall_ms: float | None = None  # when this start began; None: not recorded, or recorded as a success
         self.crash_loop_wait_ms, self.failures = 0.0, 0
 
     @staticmethod
--- a/flintshift/lifecycle/start_permits.py
+++ b/flintshift/lifecycle/start_permits.py
@@ -34,7 +34,7 @@
         name: str,
         identity: str,
         members: tuple[str, ...],
-        at_once: int,
+        max_concurrent_starts: int,
         uniform: Uniform,
         is_alive: Callable[[str], bool],
         reached: set[str],
@@ -47,7 +47,7 @@
         self.name, self.identity, self.reached = name, identity, reached
         self.send, self.answer, self.on_proceed, self.counters, self.log = send, answer, on_proceed, counters, log
         self.requester = PermitRequester(name, members, uniform)
-        self.granter = PermitGranter(at_once, is_alive)
+        self.granter = PermitGranter(max_concurrent_starts, is_alive)
 
     @staticmethod
     def _now_ms() -> float:
--- a/flintshift/lifecycle/upgrade.py
+++ b/flintshift/lifecycle/upgrade.py
@@ -89,7 +89,7 @@
     def __init__(self, node: UpgradedNode) -> None:
         self.node, self.limits, self.log = node, node.limits, node.log
         self.decisions, self.now_ms = node.decisions, node.now_ms
-        self.shared = SharedKeys(node.decisions.keys, node.limits)
+        self.shared_keys = SharedKeys(node.decisions.keys, node.limits)
         self.path = handover_socket_path(node.config.name, node.config.listen)
         self.link: HandoverLink | None = None
         self.phases = PhaseMachine(False, 0.0, 0.0)
@@ -212,7 +212,7 @@
         with anyio.CancelScope() as self.link_scope:
             await link.run(on_link_message, on_exit, on_link_end)
 
-    # The port of the decision planner, which calls all of it within its own turns.
+    # The methods of ``core.ports.Claims``, which the decision planner calls in its own turns.
 
     def on_message(self, report: tuple[HandoverLink | None, Event]) -> None:
         """Handle a message of the other process, or an event of the link on which it arrives."""
@@ -220,7 +220,7 @@
         if link is not None and link is not self.link:
             return  # from a link that was replaced
         if isinstance(event, Claimed | Answered | Known | Over | Freed):
-            self._perform_steps(self.shared.on_message(self.now_ms(), event, self.phases.senior))
+            self._perform_steps(self.shared_keys.on_message(self.now_ms(), event, self.phases.senior))
         else:
             self._handle_event(event)
 
@@ -235,24 +235,24 @@
         return self.phases.claims_required
 
     def in_doubt(self, attempt: Attempt) -> bool:
-        return self.shared.in_doubt(self.now_ms(), attempt)
+        return self.shared_keys.in_doubt(self.now_ms(), attempt)
 
     def request_claim(self, attempt: Attempt) -> None:
-        self._perform_steps(self.shared.request_claim(self.now_ms(), attempt))
+        self._perform_steps(self.shared_keys.request_claim(self.now_ms(), attempt))
 
     def cancel_claim(self, request: str) -> None:
-        self.shared.agreement.cancel_wait(request)
+        self.shared_keys.agreement.cancel_wait(request)
 
     def on_key_claimed(self, attempt: Attempt) -> None:
         if self.phases.reports_entries:
-            self._perform_steps(self.shared.report_entry(attempt))
+            self._perform_steps(self.shared_keys.report_entry(attempt))
 
     def record_outcome(self, attempt: Attempt, outcome: Outcome, result: bytes) -> bool:
         return False  # the other process receives the outcome when the caller is answered
 
     def on_run_ended(self, attempt: Attempt) -> None:
         if self.phases.reports_ends:
-            self._perform_steps(self.shared.report_end(attempt))
+            self._perform_steps(self.shared_keys.report_end(attempt))
 
     def on_key_freed(self, attempt: Attempt) -> None:
         if self.phases.reports_ends:
@@ -260,7 +260,7 @@
 
     def tick(self) -> None:
         now = self.now_ms()
-        self._perform_steps(self.shared.expire(now))
+        self._perform_steps(self.shared_keys.expire(now))
         if now >= self.load_reported_ms + self.limits.load_report_interval_ms:
             self.load_reported_ms = now
             used = self.decisions.used_share()
@@ -308,7 +308,7 @@
                 self._send(message)
             case SendEntries():
                 if self.link is not None:
-                    self.link.send_entries(iter(()) if self.keys_replicated else self.shared.owned_entries())
+                    self.link.send_entries(iter(()) if self.keys_replicated else self.shared_keys.owned_entries())
             case StartAccepting():
                 self.node.start_accepting()
             case StopAccepting():
@@ -339,7 +339,9 @@
         for front, _ in self.node.fronts:
             front.other_process_open_count = 0
         if not self.keys_replicated:
-            self._perform_steps(self.shared.on_peer_exit(self.now_ms(), partial, max_window_ms, settings.marks_repeats))
+            self._perform_steps(
+                self.shared_keys.on_peer_exit(self.now_ms(), partial, max_window_ms, settings.marks_repeats)
+            )
 
     def _perform_steps(self, steps: list[Step]) -> None:
         for step in steps:
--- a/flintshift/lifecycle/usage_recording.py
+++ b/flintshift/lifecycle/usage_recording.py
@@ -76,8 +76,8 @@
             [*classes, *(kind.name for kind in settings.classes if kind.name not in classes)],
         )
 
-    def refuses(self, settings: api.Settings) -> str | None:
-        """Why the use under these settings can't be recorded by this process; None: it can."""
+    def rejection_reason(self, settings: api.Settings) -> str | None:
+        """Return why the use under these settings can't be recorded by this process; None: it can."""
         clubs, classes = self._extended_lists(settings)
         rows = (len(clubs) + 1) * len(classes)
         return (
@@ -103,8 +103,8 @@
         return self.ledger.rejects_work
 
     def _row(self, attempt: Attempt, front: str) -> int:
-        base = self.first_rows.get((attempt.tenant, attempt.class_name, front))
-        return self.first_rows[None, attempt.class_name, front] if base is None else base
+        first_row = self.first_rows.get((attempt.tenant, attempt.class_name, front))
+        return self.first_rows[None, attempt.class_name, front] if first_row is None else first_row
 
     def track(self, attempt: Attempt, front: str) -> None:
         """Record the use of this attempt when it is answered."""
--- a/flintshift/wire/__init__.py
+++ b/flintshift/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Spoken on the wire: the forwarders. They parse, hand over and write; they never decide."""
+"""Network protocols: servers, clients and codecs. They parse, forward and write; decisions are made in `core`."""
--- a/flintshift/wire/acceptor.py
+++ b/flintshift/wire/acceptor.py
@@ -148,6 +148,7 @@
             self.open_count -= 1
 
     def close(self) -> None:
+        """Close the listening socket; accepted connections stay open."""
         self.raw.close()
         self.closed = True
 
--- a/flintshift/wire/connection.py
+++ b/flintshift/wire/connection.py
@@ -6,7 +6,7 @@
   read and discarded for a bounded time, and only then is the socket closed. Closing a socket with unread bytes resets
   the connection, and a reset can destroy the last answer on its way.
 - While it is idle (`half_close`, in the event loop turn in which no unread bytes were found, then `await_peer_close`):
-  no answer is owed on it, and nothing is read any more. A request that crosses the half-close stays unread in the
+  no answer is pending on it, and nothing is read any more. A request that crosses the half-close stays unread in the
   system. Its caller sees the close and sends the request again on a new connection, as the protocol requires.
 """
 
--- a/flintshift/wire/dnssd.py
+++ b/flintshift/wire/dnssd.py
@@ -89,7 +89,7 @@
         self.rotation = itertools.count()
 
     def servers(self, class_name: str) -> list[tuple[str, int]]:
-        """The addresses for a run of this class, by priority, and in rotation among those of equal priority."""
+        """Return the addresses for a run of this class, by priority, and in rotation among those of equal priority."""
         eligible = [server for server in self.known.servers if not server.classes or class_name in server.classes]
         offset = next(self.rotation) % len(eligible) if eligible else 0
         return [
@@ -163,7 +163,7 @@
         self.instance = dns.name.Name((name.encode(), *self.service.labels))
         self.host = dns.name.Name((name.encode(), *self.zone.labels))
         self.refresh_due_ms = 0.0
-        self.withdrawn = False  # as far as the replies to this node say
+        self.withdrawn = False  # the last successful update withdrew the record
 
     async def report(self, serving: bool) -> bool:
         """Publish or withdraw the record if that is due. False if the update failed."""
--- a/flintshift/wire/front.py
+++ b/flintshift/wire/front.py
@@ -31,6 +31,7 @@
         self.wait_scope: anyio.CancelScope | None = None  # set while the front waits
 
     def resolve(self, answer: Answer) -> None:
+        """Set the answer, and end the wait if the front waits."""
         self.answer = answer
         if self.wait_scope is not None:
             self.wait_scope.cancel()
@@ -119,6 +120,7 @@
         self.accept_scope.cancel()
 
     def resume_accepting(self) -> None:
+        """Accept connections again, and keep them open after their answers."""
         self.closes_until_resumed = False
         if self.resumed is not None:
             self.resumed.set()
--- a/flintshift/wire/handover.py
+++ b/flintshift/wire/handover.py
@@ -22,8 +22,8 @@
 from flintshift.wire.link import CONNECTION_ERRORS
 from flintshift.wire.unix import short_socket_path
 
-CREDENTIALS = struct.Struct("3i")
-MAX_SOCKETS = 4
+CREDENTIALS = struct.Struct("3i")  # of the process at the other end: its pid, user id and group id
+MAX_SOCKETS = 4  # listening sockets that a welcome may carry
 
 
 class UpgradeError(OSError):
--- a/flintshift/wire/peer_link.py
+++ b/flintshift/wire/peer_link.py
@@ -72,7 +72,7 @@
             return f"{hello.member or 'a member without a name'} is not in this member's list"
         if (hello.epoch, hello.members) != (self.epoch, self.members):
             return (
-                f"it uses the list of epoch {hello.epoch} ({hello.members.hex()}), this member by epoch "
+                f"it uses the list of epoch {hello.epoch} ({hello.members.hex()}), this member that of epoch "
                 f"{self.epoch} ({self.members.hex()})"
             )
         return ""
@@ -177,7 +177,7 @@
 
 class OutgoingLink:
     """The link to one member, which this process opens and reopens. ``on_up`` and ``on_down`` are called as it opens
-    and closes."""
+    and closes; ``stores`` returns the incarnations of this member's store and of a peer's store."""
 
     def __init__(
         self,
@@ -211,6 +211,7 @@
             self.retry_requested.set()
 
     def send(self, message: OutgoingMessage, now_ms: float, expects_reply: bool) -> None:
+        """Queue a message for the member; without a link it is dropped."""
         if self.connection is not None:
             self.connection.enqueue(message)
             if expects_reply:
@@ -275,7 +276,9 @@
 
 
 class PeerListener:
-    """Accepts the links of other members, on which they send requests. A link is identified by its peer's identity."""
+    """Accepts the links of other members, on which they send requests. A link is identified by its peer's identity.
+
+    ``stores`` returns the incarnations of this member's store and of a peer's store."""
 
     def __init__(
         self,
@@ -294,6 +297,7 @@
         self.accepted_s: dict[PeerConnection, float] = {}  # when each was accepted
 
     def send(self, identity: str, message: OutgoingMessage) -> None:
+        """Queue a message for the process that opened a link; without that link it is dropped."""
         connection = self.connections.get(identity)
         if connection is not None:
             connection.enqueue(message)
--- a/flintshift/wire/pool_recovery.py
+++ b/flintshift/wire/pool_recovery.py
@@ -31,9 +31,11 @@
         self.silent_checks = 0
 
     def on_query_sent(self) -> None:
+        """Record that the reply to a query is pending."""
         self.reply_pending = True
 
     def on_received(self) -> None:
+        """Record that something was received on the link."""
         self.reply_pending, self.silent_checks = False, 0
 
     def check(self) -> bool:
@@ -102,12 +104,14 @@
                 del self.resumed[request]
 
     def on_written(self, command: Command, now_ms: float) -> None:
+        """Record when a tracked command was written to the link."""
         commands = self.spawns if command.kind is CommandKind.SPAWN else self.resumed
         tracked = commands.get(command.request)
         if tracked is not None and tracked.command is command:
             tracked.written_ms = now_ms
 
     def on_response(self, request: str) -> None:
+        """Record that a notice about a request was received: its commands have arrived."""
         self.spawns.pop(request, None)
         self.resumed.pop(request, None)
 
--- a/flintshift/wire/uwsgi_apps.py
+++ b/flintshift/wire/uwsgi_apps.py
@@ -45,6 +45,7 @@
         return True
 
     async def run(self) -> None:
+        """Run the queued requests until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 attempt = await self.outbox.take()
@@ -54,7 +55,7 @@
     async def _run(self, attempt: Attempt) -> None:
         started_ms = self.now_ms()
         try:
-            outcome, result = await self._on_some_server(attempt)
+            outcome, result = await self._run_on_first_reachable(attempt)
         except Exception as error:  # any other error of the event loop fails this run, not the node
             faults.record(self.counters, "apps", error)
             outcome, result = OUTCOMES["link", "broken"], b""
@@ -63,7 +64,7 @@
         self.counters.add(f"apps.{outcome.value}")
         await self.report(RunFinished(attempt.id, outcome, self.now_ms() - started_ms, result))
 
-    async def _on_some_server(self, attempt: Attempt) -> tuple[Outcome, bytes]:
+    async def _run_on_first_reachable(self, attempt: Attempt) -> tuple[Outcome, bytes]:
         for address in self.browser.servers(attempt.class_name):
             try:
                 stream = await connect(address, self.limits)
--- a/flintshift/wire/vault.py
+++ b/flintshift/wire/vault.py
@@ -29,7 +29,7 @@
 
     request: str
     requested_ms: float
-    limit_ms: float
+    limit_ms: float  # from the request to the reply
     payload: bytes
     once: bool  # it must neither be made twice nor fail because a reused connection broke
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
@@ -94,6 +94,7 @@
         self.address = address
 
     async def run(self) -> None:
+        """Make the queued calls until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._close_idle_connections)
             while True:
--- a/tests/handover/site.py
+++ b/tests/handover/site.py
@@ -46,23 +46,27 @@
         return self
 
     async def until_ready(self, timeout_s=10):
+        """Wait until the control endpoint reports that this process serves clients."""
         async with asyncio.timeout(timeout_s):
             while (await self.call())[0] != 200:
                 await asyncio.sleep(0.01)
 
     async def call(self, method="GET", path="/control/ready"):
+        """Call the control endpoint; returns its status and text, or 0 if it is not reachable."""
         try:
             return await control_call(self.control, method, path)
         except ConnectionRefusedError:
             return 0, "refused"
 
     async def counters(self):
+        """Let the process print its counters, and return them."""
         self.process.send_signal(signal.SIGUSR1)
         while (line := await asyncio.wait_for(self.process.stderr.readline(), 10))[:1] != b"{":
             pass
         return Counter(json.loads(line)["counters"])
 
     async def until(self, name, min_count=1):
+        """Wait until a counter has at least this value."""
         while (await self.counters())[name] < min_count:
             pass
 
@@ -118,15 +122,18 @@
         return await ask(await self.connect(), key, **options)
 
     def runs(self):
+        """The request ids of all runs that the pools were asked to start."""
         return [run["rid"] for process in self.processes for run in process.pool.spawn_commands()]
 
 
 def submit(caller, key, body=b"12:01.5", class_name="submit-time", **changed_fields):
+    """Send a request with this key on a caller's connection; returns its id."""
     fields = request_fields(class_name, **({"X-Unique": key} if key else {}), **changed_fields)
     caller.send(REQUEST_BYTES["http"](class_name, body, fields))
     return fields["X-Job-Id"]
 
 
 async def ask(caller, key, **options):
+    """Send a request with this key on a caller's connection; returns the reply."""
     submit(caller, key, **options)
     return await caller.reply()
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -30,8 +30,8 @@
 
 async def test_the_successor_accepts_the_clients_and_the_predecessor_ends_without_cutting_off_any(site):
     allow_slow_start(site)
-    # 500 ms of the grace period allow for a signal that is handled late: with the 300 of other tests nothing would run
-    # after it.
+    # 500 ms of the grace period allow for a signal that is handled late. With the 300 ms of other tests, no request
+    # would be run after the signal.
     site.settings["rules"] = {**site.settings["rules"], "drainGraceMs": 1500.0}
     predecessor = await site.start()
     idle = [await site.connect() for _ in range(3)]
@@ -251,7 +251,7 @@
     assert result["served"] > 400 and result["writes_served"] == result["results_of_writes"] <= result["writes_run"]
 
 
-STEPS = ["the successor copies keys", "the successor accepts clients", "the predecessor was told to terminate"]
+STEPS = ["the successor copies keys", "the successor accepts clients", "the predecessor received SIGTERM"]
 
 
 @pytest.mark.parametrize("signals", [(signal.SIGHUP,), (signal.SIGUSR1, signal.SIGHUP, signal.SIGHUP)])
--- a/tests/lifecycle/test_clock.py
+++ b/tests/lifecycle/test_clock.py
@@ -1,5 +1,5 @@
 """The node's clock when the system's wall clock is stepped: it keeps the rate of real time, and ages of requests stay
-right."""
+correct."""
 
 from __future__ import annotations
 
--- a/tests/lifecycle/test_descriptors.py
+++ b/tests/lifecycle/test_descriptors.py
@@ -21,7 +21,7 @@
 from flintshift.settings.embedded import configuration
 
 pytestmark = pytest.mark.anyio
-DESCRIPTORS = 96
+DESCRIPTORS = 96  # the system's limit for the node under test
 REFUSED_STATUSES = (429, 503)
 RESERVED_DESCRIPTORS = 6  # epoll, its wake-up pair, standard streams
 
--- a/tests/lifecycle/test_drains.py
+++ b/tests/lifecycle/test_drains.py
@@ -184,9 +184,10 @@
     assert balanced(counters) and counters["answered.refused"] > 800
 
 
-# The grace period of the settings, and the maximum notice delay, by which the decisions get it shortened.
+# The grace period of the settings, and the longest delay of a notice that the decisions allow for: they reject new work
+# so much earlier.
 GRACE_S, MAX_NOTICE_DELAY_S = 2.0, 0.5
-LOOP_BLOCKED_S = 0.4  # by which the event loop receives the notice late
+LOOP_BLOCKED_S = 0.4  # for which the event loop is blocked when the notice arrives
 
 
 @pytest.mark.parametrize(
--- a/tests/lifecycle/test_failing_system_calls.py
+++ b/tests/lifecycle/test_failing_system_calls.py
@@ -122,9 +122,9 @@
 
 async def main():
     raw = open_listener(("127.0.0.1", 0), 16)
-    front = PeerListener(Limits(), Counters(), None, ["n1"], nothing, nothing, nothing, nothing)
+    listener = PeerListener(Limits(), Counters(), None, ["n1"], nothing, nothing, nothing, nothing)
     print(raw.getsockname()[1], flush=True)
-    await front.serve(raw)
+    await listener.serve(raw)
 
 uvloop.run(main())
 """
--- a/tests/lifecycle/test_reconfiguration.py
+++ b/tests/lifecycle/test_reconfiguration.py
@@ -22,7 +22,7 @@
     def __init__(self, refusal_cause=None):
         self.refusal_cause, self.applied = refusal_cause, []
 
-    def refuses(self, settings):
+    def rejection_reason(self, settings):
         return self.refusal_cause
 
     def change(self, settings):
@@ -74,7 +74,7 @@
 REFUSALS = {
     "the file can't be read": (unreadable, None, None, "FILE: cut short"),
     "it lacks a field of the configuration in use": (
-        lambda: replace(MOVED, told={}),
+        lambda: replace(MOVED, document={}),
         None,
         None,
         "name is missing; the configuration in use has it",
--- a/tests/wire/test_control_front.py
+++ b/tests/wire/test_control_front.py
@@ -68,7 +68,7 @@
 
 
 async def test_an_idle_node_out_of_service_goes_on_reporting_and_is_back_within_two_seconds(rig):
-    """Waits for FLINTSHIFT_IDLE_REPORTS reports, one a second: 60 are the minute that was tried by hand."""
+    """Waits for FLINTSHIFT_IDLE_REPORTS reports, one a second: with 60 the test covers a minute."""
     await rig.call(*TAKE_OUT)
     reports, serving_report = int(os.environ.get("FLINTSHIFT_IDLE_REPORTS", "3")), ("/ns/hosts/n3", "yes")
     await rig.names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "no"), reports, within_s=10 + 2 * reports)
--- a/tests/wire/test_full_table.py
+++ b/tests/wire/test_full_table.py
@@ -1,11 +1,11 @@
 """A connection that arrives while the table of connections is full.
 
-Failure: the front accepted such a connection and closed it. A request on it was lost, since the system resets a
-connection that is closed over unread bytes. This was found by reading the code; no lost request of this kind is on
-record. Counter: ``http.connections_refused``.
+Guards against a front that accepts such a connection and closes it at once. A request on it would be lost, since the
+system resets a connection that is closed over unread bytes; no such loss is on record. The cause was a bound that was
+enforced after the accept, where only a reset can enforce it. Counter: ``http.connections_refused``.
 
 Sequence: all connections in the table are busy or were answered just now, one more is opened, and its caller writes a
-request at once. Cause: the bound was enforced after the accept, where only a reset can enforce it.
+request at once.
 """
 
 from __future__ import annotations
