--- a/flintshift/lifecycle/drain.py
+++ b/flintshift/lifecycle/drain.py
@@ -19,7 +19,7 @@
 from flintshift.wire.front import Front
 
 # The kill comes `stop_ms` after the shutdown notice. It may come sooner: after the longest deadline, of which at most
-# MAX_COUNTED_DEADLINE_MS count, plus KILL_AFTER_DEADLINE_MS (protocol page, and the operators' terms).
+# MAX_COUNTED_DEADLINE_MS count, plus KILL_AFTER_DEADLINE_MS (by the protocol and the operators' terms).
 MAX_COUNTED_DEADLINE_MS = 3000.0
 KILL_AFTER_DEADLINE_MS = 700.0
 
--- a/flintshift/wire/dnssd.py
+++ b/flintshift/wire/dnssd.py
@@ -178,6 +178,7 @@
             faults.record(self.counters, "dns", error)
             return False
         self.counters.add("dns.published" if serving else "dns.withdrawn")
+        # A record is refreshed after half of its time to live, in milliseconds.
         self.refresh_due_ms = self.now_ms() + self.limits.record_ttl_s * 500.0 if serving else 0.0
         self.withdrawn = not serving
         return True
