--- a/flintshift/cli/entry.py
+++ b/flintshift/cli/entry.py
@@ -1,4 +1,8 @@
-"""What the `flintshift` command begins with: the signals of a node are held before the command line is imported."""
+"""Entry point of the `flintshift` command.
+
+For `flintshift run` it blocks the signals that a node handles before it imports the command line, since the default
+action of a signal that arrives during the import would end the process.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +12,9 @@
 
 
 def main() -> None:
+    """Run the `flintshift` command."""
     if sys.argv[1:2] == ["run"]:
-        signals.hold_at_start()
-    from flintshift.cli.main import main as command
+        signals.block_at_start()
+    from flintshift.cli.main import main as run_command_line
 
-    command(prog_name="flintshift")
+    run_command_line(prog_name="flintshift")
--- a/flintshift/lab/history.py
+++ b/flintshift/lab/history.py
@@ -1,7 +1,7 @@
-"""What crossed the sockets, and the judge of it: which promises of a fleet were broken. Without I/O.
+"""Checks the history of a fleet for broken guarantees. It has no I/O.
 
-The judge knows callers' requests and answers, and what worker pools were told to run; nothing that a member says of
-itself. Times are Unix milliseconds of one clock, the rig's.
+The history has callers' requests and answers, and the runs that worker pools were commanded to start, but nothing that
+a member reports about itself. Times are Unix milliseconds of one clock, that of the test cluster.
 """
 
 from __future__ import annotations
@@ -10,20 +10,24 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-REFUSED = (429, 503)
+REJECTION_STATUSES = (429, 503)
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RequestSent:
+    """A caller sent a try of a request."""
+
     at_ms: float
-    rid: str  # of this try
+    rid: str  # id of this try
     key: str | None  # the same for all tries of one keyed request; None: a read
     body: bytes
     member: str
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class ResponseReceived:
+    """A caller received the answer to a try."""
+
     at_ms: float
     rid: str
     status: int
@@ -31,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broke:
+class ConnectionLost:
     """The caller's connection ended without an answer."""
 
     at_ms: float
@@ -39,8 +43,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
-    """A worker pool was told to run this try."""
+class RunStarted:
+    """A worker pool received the command to start the run of a try."""
 
     at_ms: float
     rid: str
@@ -48,116 +52,136 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Died:
-    """A member's process was killed, or its machine paused: answers owed then may not come."""
+class MemberInterrupted:
+    """A member's process was killed, paused or resumed: answers that were due then may be late or missing."""
 
     at_ms: float
     member: str
 
 
-Event = Asked | Answered | Broke | Ran | Died
+Event = RequestSent | ResponseReceived | ConnectionLost | RunStarted | MemberInterrupted
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """A promise that was not kept; ``what`` is a key of ``PROMISES``."""
+class Violation:
+    """A broken guarantee; ``guarantee`` is a key of ``GUARANTEES``."""
 
-    what: str
+    guarantee: str
     key: str
     text: str
 
 
-PROMISES = {
+GUARANTEES = {
     "second run": "a keyed request ran twice within its window",
-    "refused after a run": "a try was refused that was sent after its request had run",
-    "differing results": "a try was served with another result than that of the run in whose window it came",
+    "refused after a run": "a try was rejected that was sent after its request had run",
+    "differing results": "a try was served with another result than that of the run in whose window it was sent",
     "unknown result": "a try was served with a result that no run of its request made",
     "other body served": "a try with another body than the one that ran was not answered 409",
-    "late": "an answer came after its due time",
-    "missing": "no answer came, though the member lived",
-    "run of nothing": "a pool ran what no caller asked for",
-    "use lost": "an answer that its caller read is in no document, and not in doubt",
-    "use doubled": "more is billed than was asked",
+    "late": "an answer came after its deadline",
+    "missing": "no answer came, although the member was up",
+    "run of nothing": "a pool ran what no caller requested",
+    "use lost": "an answered try is in no document, and not listed as in doubt",
+    "use doubled": "more requests are billed than were sent",
 }
 
 
 @dataclass(slots=True)
-class Result:
-    broken: list[Broken]
-    answers: Counter[str] = field(default_factory=Counter)  # served, refused, failed, conflict, none
+class CheckResult:
+    """The violations in a history, and its figures."""
+
+    violations: list[Violation]
+    answers: Counter[str] = field(default_factory=Counter)  # by outcome: served, refused, failed, conflict, none
     runs: int = 0
-    delays_ms: list[float] = field(default_factory=list)  # of keyed tries that were served
+    latencies_ms: list[float] = field(default_factory=list)  # of served keyed tries
 
-    def by_promise(self) -> dict[str, int]:
-        counted = Counter(one.what for one in self.broken)
-        return {what: counted[what] for what in PROMISES if counted[what]}
+    def count_by_guarantee(self) -> dict[str, int]:
+        """Return the number of violations of each broken guarantee."""
+        counts = Counter(violation.guarantee for violation in self.violations)
+        return {guarantee: counts[guarantee] for guarantee in GUARANTEES if counts[guarantee]}
 
 
-def result_of(rid: str) -> bytes:
-    """What the lab's worker pool makes of a run."""
+def run_result(rid: str) -> bytes:
+    """Return the result that the lab's worker pool gives for a run."""
     return f"result of {rid}\n".encode()
 
 
-def word(status: int) -> str:
-    return {200: "served", 409: "conflict"}.get(status, "refused" if status in REFUSED else "failed")
+def outcome_name(status: int) -> str:
+    """Return the name under which an answer with this status is counted."""
+    return {200: "served", 409: "conflict"}.get(status, "refused" if status in REJECTION_STATUSES else "failed")
+
 
+def check_history(events: list[Event], window_ms: float, deadline_ms: float, slack_ms: float = 80.0) -> CheckResult:
+    """Check a history for violations.
 
-def judge(events: list[Event], window_ms: float, due_ms: float, slack_ms: float = 80.0) -> Result:
-    """``due_ms``: within which an answer is due; ``window_ms``: within which no second try of a key may run, counted
-    from when the first of them was asked."""
-    asked: dict[str, Asked] = {}
-    answers: dict[str, Answered] = {}
-    died: dict[str, list[float]] = defaultdict(list)
-    runs: dict[str, list[tuple[Ran, Asked]]] = defaultdict(list)
-    tries: dict[str, list[Asked]] = defaultdict(list)
-    told = Result([])
+    Args:
+        events: the history, in order.
+        window_ms: the time after the first try of a key was sent within which no second one may run.
+        deadline_ms: the time within which each try is answered.
+        slack_ms: the extra time that an answer may take before it counts as late.
+    """
+    requests: dict[str, RequestSent] = {}
+    answers: dict[str, ResponseReceived] = {}
+    interruptions_ms: dict[str, list[float]] = defaultdict(list)
+    runs: dict[str, list[tuple[RunStarted, RequestSent]]] = defaultdict(list)
+    tries: dict[str, list[RequestSent]] = defaultdict(list)
+    result = CheckResult([])
     for event in events:
         match event:
-            case Asked(rid=rid, key=key):
-                asked[rid] = event
+            case RequestSent(rid=rid, key=key):
+                requests[rid] = event
                 if key is not None:
                     tries[key].append(event)
-            case Answered(rid=rid):
+            case ResponseReceived(rid=rid):
                 answers[rid] = event
-            case Ran(rid=rid):
-                told.runs += 1
-                known = asked.get(rid)
-                if known is None:
-                    told.broken.append(Broken("run of nothing", "", f"{event.member} ran {rid}"))
-                elif known.key is not None:
-                    runs[known.key].append((event, known))
-            case Died(at_ms, member):
-                died[member].append(at_ms)
-    for rid, one in asked.items():
+            case RunStarted(rid=rid):
+                result.runs += 1
+                request = requests.get(rid)
+                if request is None:
+                    result.violations.append(Violation("run of nothing", "", f"{event.member} ran {rid}"))
+                elif request.key is not None:
+                    runs[request.key].append((event, request))
+            case MemberInterrupted(at_ms, member):
+                interruptions_ms[member].append(at_ms)
+    for rid, sent in requests.items():
         answer = answers.get(rid)
-        excused = any(one.at_ms - due_ms <= at <= one.at_ms + due_ms + slack_ms for at in died[one.member])
+        excused = any(
+            sent.at_ms - deadline_ms <= at <= sent.at_ms + deadline_ms + slack_ms
+            for at in interruptions_ms[sent.member]
+        )
         if answer is None:
-            told.answers["none"] += 1
+            result.answers["none"] += 1
             if not excused:
-                told.broken.append(Broken("missing", one.key or "", f"{rid} at {one.member}"))
+                result.violations.append(Violation("missing", sent.key or "", f"{rid} at {sent.member}"))
             continue
-        told.answers[word(answer.status)] += 1
-        took = answer.at_ms - one.at_ms
-        if took > due_ms + slack_ms and not excused:
-            told.broken.append(Broken("late", one.key or "", f"{rid} at {one.member} after {took:.0f} ms"))
-        if answer.status == 200 and one.key is not None:
-            told.delays_ms.append(took)
+        result.answers[outcome_name(answer.status)] += 1
+        latency_ms = answer.at_ms - sent.at_ms
+        if latency_ms > deadline_ms + slack_ms and not excused:
+            result.violations.append(
+                Violation("late", sent.key or "", f"{rid} at {sent.member} after {latency_ms:.0f} ms")
+            )
+        if answer.status == 200 and sent.key is not None:
+            result.latencies_ms.append(latency_ms)
     for key, all_tries in tries.items():
-        told.broken += _of_key(key, all_tries, runs[key], answers, window_ms)
-    return told
-
-
-def _of_key(
-    key: str, tries: list[Asked], ran: list[tuple[Ran, Asked]], answers: dict[str, Answered], window_ms: float
-) -> list[Broken]:
-    broken = []
-    ran = sorted(ran, key=lambda one: one[0].at_ms)
-    for (first, asked_first), (second, asked_second) in pairwise(ran):
+        result.violations += _check_key(key, all_tries, runs[key], answers, window_ms)
+    return result
+
+
+def _check_key(
+    key: str,
+    tries: list[RequestSent],
+    runs: list[tuple[RunStarted, RequestSent]],
+    answers: dict[str, ResponseReceived],
+    window_ms: float,
+) -> list[Violation]:
+    """Check the tries and the runs of one key."""
+    violations = []
+    runs = sorted(runs, key=lambda pair: pair[0].at_ms)
+    for (first, first_request), (second, second_request) in pairwise(runs):
         if first.rid == second.rid and first.member == second.member:
-            continue  # the pool was told again, over a link that broke: it begins nothing
-        if asked_second.at_ms <= asked_first.at_ms + window_ms:
-            broken.append(
-                Broken(
+            continue  # the command was sent again after the pool's link broke; the pool starts no second run
+        if second_request.at_ms <= first_request.at_ms + window_ms:
+            violations.append(
+                Violation(
                     "second run",
                     key,
                     f"{first.rid} at {first.member}, then {second.rid} at "
@@ -165,74 +189,94 @@
                 )
             )
     differing: set[bytes] = set()
-    made = {result_of(one.rid) for one, _ in ran}
-    for one in tries:
-        answer = answers.get(one.rid)
-        before = [run for run, asked in ran if run.at_ms < one.at_ms and one.at_ms <= asked.at_ms + window_ms]
+    known_results = {run_result(run.rid) for run, _ in runs}
+    for attempt in tries:
+        answer = answers.get(attempt.rid)
+        before = [
+            run for run, request in runs if run.at_ms < attempt.at_ms and attempt.at_ms <= request.at_ms + window_ms
+        ]
         if answer is None:
             continue
-        if answer.status in REFUSED and before:
-            broken.append(
-                Broken(
+        if answer.status in REJECTION_STATUSES and before:
+            violations.append(
+                Violation(
                     "refused after a run",
                     key,
-                    f"{one.rid} at {one.member}: {answer.status}, "
-                    f"{one.at_ms - before[0].at_ms:.0f} ms after {before[0].rid} ran",
+                    f"{attempt.rid} at {attempt.member}: {answer.status}, "
+                    f"{attempt.at_ms - before[0].at_ms:.0f} ms after {before[0].rid} ran",
                 )
             )
         if answer.status == 200:
-            if answer.body not in made:
-                broken.append(Broken("unknown result", key, f"{one.rid} at {one.member}: {answer.body!r}"))
-            elif (expected := _due_result(one, ran, window_ms)) not in (None, answer.body):
+            if answer.body not in known_results:
+                violations.append(
+                    Violation("unknown result", key, f"{attempt.rid} at {attempt.member}: {answer.body!r}")
+                )
+            elif (expected := _expected_result(attempt, runs, window_ms)) not in (None, answer.body):
                 differing |= {answer.body, expected}
-            bodies = {asked.body for _, asked in ran if result_of(asked.rid) == answer.body}
-            if bodies and one.body not in bodies:
-                broken.append(Broken("other body served", key, f"{one.rid} at {one.member}"))
+            bodies = {request.body for _, request in runs if run_result(request.rid) == answer.body}
+            if bodies and attempt.body not in bodies:
+                violations.append(Violation("other body served", key, f"{attempt.rid} at {attempt.member}"))
     if differing:
-        broken.append(Broken("differing results", key, f"{sorted(differing)!r}"))
-    return broken
+        violations.append(Violation("differing results", key, f"{sorted(differing)!r}"))
+    return violations
 
 
-def _due_result(one: Asked, ran: list[tuple[Ran, Asked]], window_ms: float) -> bytes | None:
-    """What a try is due: the result of the first run whose window, from when that was asked, had not passed when the
-    try was asked. None: all had, and nothing ran for it."""
-    within = [run.rid for run, asked in ran if one.at_ms <= asked.at_ms + window_ms]
-    return result_of(within[0]) if within else None
+def _expected_result(
+    attempt: RequestSent, runs: list[tuple[RunStarted, RequestSent]], window_ms: float
+) -> bytes | None:
+    """Return the result that a try must get: that of the first run within whose window it was sent.
 
+    The window of a run begins when the run's own try was sent. None: all windows had passed, and no run was started for
+    the try.
+    """
+    within = [run.rid for run, request in runs if attempt.at_ms <= request.at_ms + window_ms]
+    return run_result(within[0]) if within else None
 
-@dataclass(slots=True)
-class Use:
-    """Of one member, as its callers saw it."""
-
-    read: set[str] = field(default_factory=set)  # tries that were answered
-    unread: set[str] = field(default_factory=set)  # that broke off: the member may have booked them all the same
-
-
-def used(events: list[Event]) -> dict[str, Use]:
-    """By member."""
-    asked = {event.rid: event.member for event in events if isinstance(event, Asked)}
-    answered = {event.rid for event in events if isinstance(event, Answered)}
-    found: dict[str, Use] = defaultdict(Use)
-    for rid, member in asked.items():
-        (found[member].read if rid in answered else found[member].unread).add(rid)
-    return found
 
-
-def judge_use(members: dict[str, Use], booked: dict[str, int], doubted: dict[str, list[str]]) -> list[Broken]:
-    """``booked``: requests by member in all documents; ``doubted``: ids by member that they list as in doubt."""
-    broken = []
-    for member, use in sorted(members.items()):
-        told = doubted.get(member, [])
-        certain, count = len(use.read - set(told)), booked.get(member, 0)
+@dataclass(slots=True)
+class MemberUsage:
+    """The use of one member, as its callers saw it."""
+
+    answered: set[str] = field(default_factory=set)  # ids of tries
+    # Ids of tries whose connection ended. The member may have recorded them nevertheless.
+    unanswered: set[str] = field(default_factory=set)
+
+
+def collect_usage(events: list[Event]) -> dict[str, MemberUsage]:
+    """Return the use of each member."""
+    members_by_rid = {event.rid: event.member for event in events if isinstance(event, RequestSent)}
+    answered_rids = {event.rid for event in events if isinstance(event, ResponseReceived)}
+    usage: dict[str, MemberUsage] = defaultdict(MemberUsage)
+    for rid, member in members_by_rid.items():
+        (usage[member].answered if rid in answered_rids else usage[member].unanswered).add(rid)
+    return usage
+
+
+def check_usage(
+    members: dict[str, MemberUsage], billed: dict[str, int], in_doubt: dict[str, list[str]]
+) -> list[Violation]:
+    """Check that each member's use is billed once.
+
+    Args:
+        members: the use by member.
+        billed: the requests by member in all documents.
+        in_doubt: the ids by member that the documents list as in doubt.
+    """
+    violations = []
+    for member, usage in sorted(members.items()):
+        doubtful = in_doubt.get(member, [])
+        certain, count = len(usage.answered - set(doubtful)), billed.get(member, 0)
         if count < certain:
-            broken.append(Broken("use lost", "", f"{member}: {certain} answered and not in doubt, {count} billed"))
-        if count > certain + len(use.unread - set(told)) or len(told) > len(set(told)):
-            broken.append(
-                Broken(
+            violations.append(
+                Violation("use lost", "", f"{member}: {certain} answered and not in doubt, {count} billed")
+            )
+        if count > certain + len(usage.unanswered - set(doubtful)) or len(doubtful) > len(set(doubtful)):
+            violations.append(
+                Violation(
                     "use doubled",
                     "",
-                    f"{member}: {certain} answered and {len(use.unread)} broken off, "
-                    f"{count} billed, {len(told)} in doubt",
+                    f"{member}: {certain} answered and {len(usage.unanswered)} broken off, "
+                    f"{count} billed, {len(doubtful)} in doubt",
                 )
             )
-    return broken
+    return violations
--- a/flintshift/lifecycle/exports.py
+++ b/flintshift/lifecycle/exports.py
@@ -1,4 +1,7 @@
-"""The wiring of the exporter, in the node and on its own; imported only where there is something to export to."""
+"""Creates the exporter of usage documents, for the node and for the command line.
+
+Imported only if a sink is configured.
+"""
 
 from __future__ import annotations
 
@@ -14,75 +17,83 @@
 from flintshift.settings.options import ExportOptions, UsageOptions
 from flintshift.storage.files import DiskFiles, Files
 from flintshift.storage.snapshot import DamagedError
-from flintshift.usage.book import State
-from flintshift.usage.export import Pace
-from flintshift.usage.exporting import ExportRun
+from flintshift.usage.accounts import AccountsState
+from flintshift.usage.export_driver import ExportDriver
+from flintshift.usage.exporter import DeliveryConfig
 from flintshift.usage.ledger import Ledger
 from flintshift.usage.sinks import FolderSink, HttpSink, Sink
 
-AGAIN_S = 30.0  # after what stopped an exporter: a disk that refuses, or a file that was damaged
+RESTART_DELAY_S = 30.0  # after an error that stopped the exporter: of the disk, or a damaged file
 
 
-def sinks_of(options: ExportOptions, files: Files, ledger: str = "") -> dict[str, Sink]:
+def create_sinks(options: ExportOptions, files: Files, ledger_id: str = "") -> dict[str, Sink]:
+    """Create the configured sinks, by name. ``ledger_id`` identifies a replicated ledger to an HTTP sink."""
     sinks: dict[str, Sink] = {}
     if options.folder is not None:
         sinks["folder"] = FolderSink(files, options.folder)
     if options.http is not None:
-        sinks["http"] = HttpSink(options.http.url, options.http.timeout_ms, ledger)
+        sinks["http"] = HttpSink(options.http.url, options.http.timeout_ms, ledger_id)
     return sinks
 
 
-def export_run(
+def create_export(
     folder: Path,
     options: ExportOptions,
     log: Log,
     until_done: bool,
     files: Files | None = None,
-    copied: State | None = None,
-    noted: Callable[[str, str, bytes], object] = lambda sink, name, digest: None,
-) -> ExportRun:
-    """``copied``: the ledger's state, where further members hold it: whoever writes it exports under its epoch."""
+    replicated: AccountsState | None = None,
+    on_acknowledged: Callable[[str, str, bytes], object] = lambda sink, name, digest: None,
+) -> ExportDriver:
+    """Create an exporter of the documents in a folder.
+
+    ``until_done``: it ends once nothing is left to deliver; else it runs until cancelled. ``replicated``: the state of
+    the ledger if other members have replicas of it; its owner exports under its epoch. ``on_acknowledged`` is called
+    with the sink, the name and the digest of each acknowledged document.
+    """
     files = files or DiskFiles()
-    pace = Pace(options.backoff_ms, options.backoff_most_ms, options.attempts_per_hour)
-    ledger = f"{copied.node}.{copied.life.hex()}" if copied is not None else ""
-    return ExportRun(
+    delivery_config = DeliveryConfig(options.backoff_ms, options.max_backoff_ms, options.attempts_per_hour)
+    ledger_id = f"{replicated.node}.{replicated.life.hex()}" if replicated is not None else ""
+    return ExportDriver(
         files,
         folder,
-        sinks_of(options, files, ledger),
-        pace,
+        create_sinks(options, files, ledger_id),
+        delivery_config,
         random.SystemRandom().random,
         lambda: time.monotonic() * 1000,
         log,
         until_done,
-        copied.epoch if copied is not None else None,
-        noted,
+        replicated.epoch if replicated is not None else None,
+        on_acknowledged,
     )
 
 
-def open_export(ledger: Ledger, usage: UsageOptions, log: Log) -> Callable[[], Coroutine[Any, Any, None]]:
-    """The exporter as an actor of the node. What stops it stops no request: it is told, and begun again later."""
+def create_export_actor(ledger: Ledger, usage: UsageOptions, log: Log) -> Callable[[], Coroutine[Any, Any, None]]:
+    """Return the exporter as an actor of the node. An error that stops it is logged, and it is restarted after a delay.
+
+    No request fails because of it."""
     options = usage.export
     assert options is not None
 
     async def run() -> None:
         while True:
-            copies = ledger.copies
-            export = export_run(
+            replication = ledger.replication
+            export = create_export(
                 usage.folder,
                 options,
                 log,
                 False,
                 ledger.folder.files,
-                ledger.book.state if copies is not None else None,
-                copies.exported if copies is not None else lambda sink, name, digest: None,
+                ledger.accounts.state if replication is not None else None,
+                replication.on_exported if replication is not None else lambda sink, name, digest: None,
             )
-            ledger.changed = export.look
-            with anyio.CancelScope() as turn:
-                ledger.began_anew = turn.cancel
+            ledger.on_documents_published = export.request_check
+            with anyio.CancelScope() as scope:
+                ledger.on_folder_switched = scope.cancel
                 try:
                     await export.run()
                 except* (OSError, DamagedError) as errors:
                     log("error", "export.stopped", cause="; ".join(map(str, errors.exceptions)))
-                await anyio.sleep(AGAIN_S)
+                await anyio.sleep(RESTART_DELAY_S)
 
     return run
