--- a/flintshift/storage/log.py
+++ b/flintshift/storage/log.py
@@ -246,7 +246,7 @@
         if not self.broken:
             return
         if not self.append_failed or self.file is None:
-            raise BrokenLogError(f"{self.folder}: a sync or beginning a segment failed before")
+            raise BrokenLogError(f"{self.folder}: a sync or the begin of a segment failed before")
         self.file.truncate(self.size)
         self.broken = self.append_failed = False
 
--- a/flintshift/usage/corrections.py
+++ b/flintshift/usage/corrections.py
@@ -31,10 +31,10 @@
     """
     values = json.loads(data)
     if not isinstance(values, dict):
-        raise ValueError("a correction is a JSON object")
+        raise ValueError("a correction is an object")
     for name in TEXT_FIELDS:
         if not isinstance(values.get(name), str):
-            raise ValueError(f"{name} is no string")
+            raise ValueError(f"{name} is no text")
     amounts = values.get("amounts")
     if (
         not isinstance(amounts, list)
--- a/flintshift/usage/ledger.py
+++ b/flintshift/usage/ledger.py
@@ -416,7 +416,7 @@
         await anyio.to_thread.run_sync(self.folder.write_snapshot, sequence, data)
         await anyio.to_thread.run_sync(log.begin_segment, sequence + 1)
         if self.backlog is None:
-            raise TimeoutError(f"over {MAX_BACKLOG_RECORDS:,} records arrived during the attempt")
+            raise TimeoutError(f"over {MAX_BACKLOG_RECORDS:,} records came while it was tried")
         following, log.next_sequence = log.next_sequence, sequence + 1
         try:
             if self.backlog:
--- a/flintshift/usage/policy.py
+++ b/flintshift/usage/policy.py
@@ -151,10 +151,10 @@
         if len(request.amounts) != len(AMOUNTS) or not any(request.amounts):
             return "nothing is corrected: all amounts are 0"
         if len(state.corrections) >= self.accounts.bounds.corrections:
-            return f"{len(state.corrections):,} corrections are known, which is the maximum"
+            return f"{len(state.corrections):,} corrections are known, the most that there may be"
         period = state.periods.get(request.period)
         if period is None and len(state.documents) >= self.accounts.bounds.documents:
-            return f"{len(state.documents)} documents wait to be written: check the disk, then submit it again"
+            return f"{len(state.documents)} documents wait to be written: look at the disk, and hand it in again"
         if period is not None:
             key = request.club, request.class_name, request.front, request.outcome
             recorded = tuple(self.accounts.settled_amounts(request.period, key))
--- a/flintshift/wire/control_front.py
+++ b/flintshift/wire/control_front.py
@@ -143,10 +143,10 @@
         except RequestError as error:
             return error.status, error.text
         except h11.RemoteProtocolError as error:
-            return 400, f"not an HTTP/1.1 request: {error}"
+            return 400, f"this is no HTTP/1.1 call: {error}"
         path = request.target.decode("latin-1").partition("?")[0]
         if path not in self.handlers:
-            return 404, f"no such call; the calls are {', '.join(self.handlers)}"
+            return 404, f"there is no such call; there are {', '.join(self.handlers)}"
         method, handler = self.handlers[path]
         if request.method.decode() != method:
             return 405, f"{path} takes {method}"
@@ -166,8 +166,8 @@
             elif isinstance(event, h11.Data):
                 body_bytes += len(event.data)
                 if body_bytes > self.limits.max_control_head_bytes:
-                    raise RequestError(400, "the request is too large")
+                    raise RequestError(400, "the call is too large")
             elif isinstance(event, h11.EndOfMessage) and request is not None:
                 return request
             else:
-                raise RequestError(400, "the request is truncated")
+                raise RequestError(400, "the call is cut off")
--- a/flintshift/wire/fields.py
+++ b/flintshift/wire/fields.py
@@ -55,7 +55,7 @@
         if self.catalogue.find_class(name) is None:
             raise RequestError(404, "no such class")
         if method != "POST":
-            raise RequestError(405, "only POST is allowed here")
+            raise RequestError(405, "only POST is taken here")
         return name
 
     def build(
@@ -70,7 +70,7 @@
         def text(name: str, pattern: re.Pattern[str]) -> str:
             value = get(name)
             if value is None or not pattern.fullmatch(value):
-                raise RequestError(400, f"{name} is missing" if value is None else f"{name} is invalid")
+                raise RequestError(400, f"{name} is missing" if value is None else f"{name} is impossible")
             return value
 
         def number(name: str, minimum: float, upper_bound: float, integer: bool = False) -> float:
@@ -80,7 +80,7 @@
             except (ValueError, OverflowError):
                 parsed = math.nan
             if not minimum <= parsed < upper_bound or "_" in value:
-                raise RequestError(400, f"{name} is invalid")
+                raise RequestError(400, f"{name} is impossible")
             return parsed
 
         if len(body) > self.limits.max_body_bytes:
@@ -112,14 +112,14 @@
         says."""
         age_ms = self.age_ms(unix_ms)
         if not -self.limits.clock_skew_ms < age_ms <= self.limits.max_request_age_ms:
-            raise RequestError(400, "X-Door-Time is invalid")
+            raise RequestError(400, "X-Door-Time is impossible")
         return self.now_ms() - max(0.0, age_ms)
 
     def _tenant(self, team: str | None) -> str | None:
         if team is not None and not self.catalogue.knows_club(team):
             team = _reread_as_utf8(team)
         if not self.catalogue.knows_club(team):
-            raise RequestError(400, "X-Team is missing" if team is None else "X-Team is invalid")
+            raise RequestError(400, "X-Team is missing" if team is None else "X-Team is impossible")
         return team
 
 
--- a/flintshift/wire/front.py
+++ b/flintshift/wire/front.py
@@ -237,7 +237,7 @@
             RequestError: the check uses another method than GET or HEAD.
         """
         if method not in ("GET", "HEAD"):
-            raise RequestError(405, "only GET is allowed here")
+            raise RequestError(405, "only GET is taken here")
         self.counters.add(f"{self.name}.checks")
         healthy = (
             self.serving_status.workers_up and self.serving_status.healthy and not self.serving_status.out_of_service
--- a/flintshift/wire/http_front.py
+++ b/flintshift/wire/http_front.py
@@ -109,7 +109,7 @@
         headers: dict[bytes, bytes] = {}
         for name, value in request.headers:
             if name in headers and name.startswith(b"x-"):
-                raise RequestError(400, f"{name.decode().title()} is invalid")  # ambiguous: it occurs more than once
+                raise RequestError(400, f"{name.decode().title()} is impossible")  # ambiguous: it occurs more than once
             headers[name] = value
 
         def get(name: str) -> str | None:
--- a/flintshift/wire/peer_link.py
+++ b/flintshift/wire/peer_link.py
@@ -65,14 +65,14 @@
     def rejection_reason(self, hello: pb.Hello, member_names: Sequence[str]) -> str:
         """Why a process with this hello is not accepted as a member of the fleet; empty if it is."""
         if hello.refused:
-            return f"it rejects this member: {hello.refused}"
+            return f"it refuses this member: {hello.refused}"
         if abs(hello.schema - SCHEMA) > 1:
-            return f"it uses schema {hello.schema}, this process schema {SCHEMA}: they may differ by one release only"
+            return f"it speaks schema {hello.schema}, this process schema {SCHEMA}: one release of difference is spoken"
         if hello.member not in member_names:
-            return f"{hello.member or 'a member without a name'} is not in this member's list"
+            return f"{hello.member or 'a nameless member'} is not in this member's list"
         if (hello.epoch, hello.members) != (self.epoch, self.members):
             return (
-                f"it uses the list of epoch {hello.epoch} ({hello.members.hex()}), this member that of epoch "
+                f"it goes by the list of epoch {hello.epoch} ({hello.members.hex()}), this member by epoch "
                 f"{self.epoch} ({self.members.hex()})"
             )
         return ""
--- a/flintshift/wire/uwsgi.py
+++ b/flintshift/wire/uwsgi.py
@@ -43,17 +43,17 @@
     while position < len(block):
         start = position + LENGTH.size
         if start > len(block):
-            raise RequestError(400, "the block of variables is truncated")
+            raise RequestError(400, "the block of variables is cut off")
         position = start + LENGTH.unpack_from(block, position)[0]
         if position > len(block):  # guards against a length that points past the block
-            raise RequestError(400, "the block of variables is truncated")
+            raise RequestError(400, "the block of variables is cut off")
         texts.append(block[start:position].decode("latin-1"))
     if len(texts) % 2:
         raise RequestError(400, "a variable has no value")
     names, values = texts[::2], texts[1::2]
     for name in names:
         if names.count(name) > 1 and name.startswith(("HTTP_X_", "CONTENT_LENGTH")):
-            raise RequestError(400, f"{name} is invalid")  # ambiguous: it occurs more than once
+            raise RequestError(400, f"{name} is impossible")  # ambiguous: it occurs more than once
     return dict(zip(names, values, strict=True))
 
 
@@ -65,7 +65,7 @@
     """
     text = variables.get("CONTENT_LENGTH") or "0"
     if not (text.isascii() and text.isdecimal()):
-        raise RequestError(400, "CONTENT_LENGTH is invalid")
+        raise RequestError(400, "CONTENT_LENGTH is impossible")
     if len(text) > 9 or int(text) > max_bytes:
         raise RequestError(413, "the body is too large")
     return int(text)
--- a/flintshift/wire/uwsgi_front.py
+++ b/flintshift/wire/uwsgi_front.py
@@ -32,7 +32,7 @@
                 if data is None:
                     raise ReadStoppedError
                 if not data:
-                    raise RequestError(400, "the request is truncated")
+                    raise RequestError(400, "the request is cut off")
                 buffer.extend(data)
             part = bytes(buffer[:size])
             del buffer[:size]
