--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from handover.site import Site, ask, submit
+from handover.upgrade_harness import Site, ask, submit
 from standins import REQUEST_BYTES
 
 from benchmarks.upgrade import measure_upgrades
