--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from standins import Rig
+from standins import NodeHarness
 
 from flintshift import interface as api
 from flintshift.control import Controller
@@ -142,6 +142,6 @@
 
 
 @pytest.fixture
-async def rig(tmp_path):
-    async with Rig(tmp_path) as rig:
-        yield rig
+async def harness(tmp_path):
+    async with NodeHarness(tmp_path) as harness:
+        yield harness
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -115,12 +115,12 @@
     await assert_all_ended([member.process for member in fleet.members.values()], [fleet.vault, fleet.names])
 
 
-async def test_rig_of_the_tests_leaves_no_process_if_its_start_fails(tmp_path):
-    rig = standins.Rig(tmp_path, extra_settings="unknown: 1")
-    rig.start_timeout_s = 1.0
+async def test_node_harness_leaves_no_process_if_its_start_fails(tmp_path):
+    harness = standins.NodeHarness(tmp_path, extra_settings="unknown: 1")
+    harness.start_timeout_s = 1.0
     with pytest.raises(TimeoutError):
-        await rig.__aenter__()
-    await assert_all_ended([rig.process], (rig.pool, rig.vault, rig.names, rig.apps))
+        await harness.__aenter__()
+    await assert_all_ended([harness.process], (harness.pool, harness.vault, harness.names, harness.apps))
 
 
 async def assert_all_ended(processes, stand_ins):
--- a/tests/lifecycle/test_configuration.py
+++ b/tests/lifecycle/test_configuration.py
@@ -19,38 +19,38 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_new_configuration_under_load_moves_the_links_and_runs_continue(rig):
+async def test_a_new_configuration_under_load_moves_the_links_and_runs_continue(harness):
     before, after = request_fields("race-results"), request_fields("race-results")
-    callers = [await rig.connect("http"), await rig.connect("http")]
+    callers = [await harness.connect("http"), await harness.connect("http")]
     callers[0].send(REQUEST_BYTES["http"]("race-results", b"", before))
-    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
-    rig.config.write_text("{")
-    rig.process.send_signal(signal.SIGHUP)
-    assert b"configuration stays" in await asyncio.wait_for(rig.process.stderr.readline(), 10)
-    for peer in (rig.pool, rig.vault, rig.names):
+    await harness.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
+    harness.config.write_text("{")
+    harness.process.send_signal(signal.SIGHUP)
+    assert b"configuration stays" in await asyncio.wait_for(harness.process.stderr.readline(), 10)
+    for peer in (harness.pool, harness.vault, harness.names):
         await peer.change_port()
-    rig.configure()
-    old_links = list(rig.pool.links)
-    rig.process.send_signal(signal.SIGHUP)
-    binds = await rig.pool.log.wait_for(lambda entry: entry["t"] == "bind", 2)
+    harness.configure()
+    old_links = list(harness.pool.links)
+    harness.process.send_signal(signal.SIGHUP)
+    binds = await harness.pool.log.wait_for(lambda entry: entry["t"] == "bind", 2)
     callers[1].send(REQUEST_BYTES["http"]("race-results", b"", after))
-    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn", 2)
-    rig.pool.send_notice(before["X-Job-Id"], "blocked", {"b64": ""})  # sent on both links, handled once
-    await rig.vault.log.wait_for(lambda entry: entry[0] == "ask")
-    rig.pool.finish(after["X-Job-Id"])
+    await harness.pool.log.wait_for(lambda entry: entry["t"] == "spawn", 2)
+    harness.pool.send_notice(before["X-Job-Id"], "blocked", {"b64": ""})  # sent on both links, handled once
+    await harness.vault.log.wait_for(lambda entry: entry[0] == "ask")
+    harness.pool.finish(after["X-Job-Id"])
     for writer in old_links:
         writer.transport.abort()
     for caller, fields in zip(callers, (before, after), strict=True):
         assert (await caller.reply()).body == f"result of {fields['X-Job-Id']}\n".encode()
     assert [bind["no"] for bind in binds] == [0, 0]
-    assert len({run["rid"] for run in rig.runs()}) == 2
-    assert len([entry for entry in rig.vault.log.entries if entry[0] == "ask"]) == 1
-    assert (await rig.ask("http", path="/ping", method="GET")).status == 200
-    rig.pool.plan = {}
-    (await rig.connect("http")).send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
-    await rig.leave()
-    rig.process.send_signal(signal.SIGHUP)  # handled during a drain too
-    assert await asyncio.wait_for(rig.process.wait(), 10) == 0
+    assert len({run["rid"] for run in harness.runs()}) == 2
+    assert len([entry for entry in harness.vault.log.entries if entry[0] == "ask"]) == 1
+    assert (await harness.ask("http", path="/ping", method="GET")).status == 200
+    harness.pool.plan = {}
+    (await harness.connect("http")).send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
+    await harness.leave()
+    harness.process.send_signal(signal.SIGHUP)  # handled during a drain too
+    assert await asyncio.wait_for(harness.process.wait(), 10) == 0
 
 
 @pytest.mark.parametrize(
@@ -95,16 +95,16 @@
     assert blocked[0] >= {signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1}
 
 
-async def test_a_half_written_configuration_is_applied_once_it_is_complete(rig):
+async def test_a_half_written_configuration_is_applied_once_it_is_complete(harness):
     """The signal may arrive while the file is written or can't be read, and it is not sent again."""
-    await rig.names.change_port()
-    rig.configure()
-    complete_text = rig.config.read_text()
-    rig.config.write_text(complete_text[: len(complete_text) // 2])
-    count = len(rig.names.log.entries)
-    rig.process.send_signal(signal.SIGHUP)
-    assert b"configuration stays" in await asyncio.wait_for(rig.process.stderr.readline(), 10)
-    rig.config.write_text(complete_text)
-    await asyncio.wait_for(rig.names.log.wait_for(lambda entry: True, count + 1), 10)
-    await rig.leave()
-    assert await asyncio.wait_for(rig.process.wait(), 10) == 0
+    await harness.names.change_port()
+    harness.configure()
+    complete_text = harness.config.read_text()
+    harness.config.write_text(complete_text[: len(complete_text) // 2])
+    count = len(harness.names.log.entries)
+    harness.process.send_signal(signal.SIGHUP)
+    assert b"configuration stays" in await asyncio.wait_for(harness.process.stderr.readline(), 10)
+    harness.config.write_text(complete_text)
+    await asyncio.wait_for(harness.names.log.wait_for(lambda entry: True, count + 1), 10)
+    await harness.leave()
+    assert await asyncio.wait_for(harness.process.wait(), 10) == 0
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,5 +1,7 @@
-"""Callers that send exactly the bytes that a test gives them, and the rig that starts the program among the project's
-stand-ins (`flintshift.lab.standins`), which keep a log of what they receive."""
+"""Callers that send exactly the bytes that a test gives them, and the harness that starts the program among stand-ins.
+
+The stand-ins (`flintshift.lab.standins`) keep a log of what they receive.
+"""
 
 from __future__ import annotations
 
@@ -166,7 +168,7 @@
 
 
 @dataclass
-class Rig:
+class NodeHarness:
     """The program, started as a process among its stand-ins."""
 
     folder: Path
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -18,9 +18,9 @@
 
 
 @pytest.fixture
-def rig(rig):
-    rig.pool.plan = dict.fromkeys(("race-results", "submit-time", "submit-time-next"), 0)
-    return rig
+def harness(harness):
+    harness.pool.plan = dict.fromkeys(("race-results", "submit-time", "submit-time-next"), 0)
+    return harness
 
 
 def settings_with(*names):
@@ -32,43 +32,43 @@
     return settings
 
 
-async def reload(rig, settings, accepted=True, twice=False):
+async def reload(harness, settings, accepted=True, twice=False):
     """Have the node read these settings; returns once it has counted that."""
-    rig.settings = settings
-    before = await rig.counters()
-    rig.configure()
+    harness.settings = settings
+    before = await harness.counters()
+    harness.configure()
     for _ in range(1 + twice):
-        rig.process.send_signal(signal.SIGHUP)
+        harness.process.send_signal(signal.SIGHUP)
     name = "reload.taken" if accepted else "reload.unreadable"
-    while (await rig.counters())[name] == before[name]:
+    while (await harness.counters())[name] == before[name]:
         pass
 
 
-async def test_an_added_class_is_accepted_and_a_dropped_one_ends_cleanly(rig):
-    assert (await rig.ask("http", "submit-time-next", fields=request_fields())).status == 404
-    rig.pool.plan.pop("submit-time")
-    open_caller, fields = await rig.connect("http"), request_fields(**{"X-Unique": "k1"})
+async def test_an_added_class_is_accepted_and_a_dropped_one_ends_cleanly(harness):
+    assert (await harness.ask("http", "submit-time-next", fields=request_fields())).status == 404
+    harness.pool.plan.pop("submit-time")
+    open_caller, fields = await harness.connect("http"), request_fields(**{"X-Unique": "k1"})
     open_caller.send(REQUEST_BYTES["http"]("submit-time", b"1", fields))
-    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
-    await reload(rig, settings_with("race-results", "submit-time-next"))
+    await harness.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
+    await reload(harness, settings_with("race-results", "submit-time-next"))
     for front in REQUEST_BYTES:
-        assert (await rig.ask(front, "submit-time-next", fields=request_fields())).status == 200
-    rig.pool.finish(fields["X-Job-Id"])  # the open request goes on
+        assert (await harness.ask(front, "submit-time-next", fields=request_fields())).status == 200
+    harness.pool.finish(fields["X-Job-Id"])  # the open request goes on
     first = await open_caller.reply()
     assert first.status == 200
-    rig.pool.plan["submit-time"] = 0
+    harness.pool.plan["submit-time"] = 0
     # A dropped class is still accepted for a while, as callers learn of it late.
-    assert (await rig.ask("http", fields=request_fields(**{"X-Unique": "k2"}))).status == 200
+    assert (await harness.ask("http", fields=request_fields(**{"X-Unique": "k2"}))).status == 200
     await asyncio.sleep(2.6)
-    refused = await rig.ask("http", fields=request_fields(**{"X-Unique": "k3"}))
+    refused = await harness.ask("http", fields=request_fields(**{"X-Unique": "k3"}))
     assert refused.status == 429 and int(refused.headers["x-wait-ms"]) > 0
-    repeat = await rig.ask("http", body=b"1", fields=request_fields(**{"X-Unique": "k1", "X-Again": "1"}))
+    repeat = await harness.ask("http", body=b"1", fields=request_fields(**{"X-Unique": "k1", "X-Again": "1"}))
     assert (repeat.status, repeat.body) == (200, first.body)  # its window has not passed
-    await reload(rig, settings_with("race-results", "submit-time"))  # and added again
-    assert (await rig.ask("http", fields=request_fields(**{"X-Unique": "k3"}))).status == 200
-    repeat = await rig.ask("http", body=b"1", fields=request_fields(**{"X-Unique": "k1", "X-Again": "1"}))
+    await reload(harness, settings_with("race-results", "submit-time"))  # and added again
+    assert (await harness.ask("http", fields=request_fields(**{"X-Unique": "k3"}))).status == 200
+    repeat = await harness.ask("http", body=b"1", fields=request_fields(**{"X-Unique": "k1", "X-Again": "1"}))
     assert (repeat.status, repeat.body) == (200, first.body)
-    assert len([run for run in rig.pool.spawn_commands() if run["route"] == "submit-time"]) == 3
+    assert len([run for run in harness.pool.spawn_commands() if run["route"] == "submit-time"]) == 3
 
 
 @pytest.mark.parametrize(
@@ -86,46 +86,46 @@
         lambda text: json.dumps({key: value for key, value in json.loads(text).items() if key != "settings"}),
     ],
 )
-async def test_an_invalid_file_changes_no_address_and_no_class(rig, corrupt):
-    rig.settings = settings_with("race-results", "submit-time-next")
-    rig.configure()
-    text = rig.config.read_text().replace(f":{rig.pool.port}", ":9").replace(f":{rig.vault.port}", ":9")
+async def test_an_invalid_file_changes_no_address_and_no_class(harness, corrupt):
+    harness.settings = settings_with("race-results", "submit-time-next")
+    harness.configure()
+    text = harness.config.read_text().replace(f":{harness.pool.port}", ":9").replace(f":{harness.vault.port}", ":9")
     assert corrupt(text) != text
-    rig.config.write_text(corrupt(text))
-    rig.process.send_signal(signal.SIGHUP)
-    line = await asyncio.wait_for(rig.process.stderr.readline(), 10)
+    harness.config.write_text(corrupt(text))
+    harness.process.send_signal(signal.SIGHUP)
+    line = await asyncio.wait_for(harness.process.stderr.readline(), 10)
     assert line.startswith(b"flintshift: the configuration stays: ")
     for front in REQUEST_BYTES:
-        assert (await rig.ask(front)).status == 200
-        assert (await rig.ask(front, "submit-time-next", fields=request_fields())).status == 404
-    counters = await rig.counters()
+        assert (await harness.ask(front)).status == 200
+        assert (await harness.ask(front, "submit-time-next", fields=request_fields())).status == 404
+    counters = await harness.counters()
     assert counters["reload.unreadable"] == 1 and counters["pool.links_lost"] == 0
 
 
-async def test_two_changes_at_once_and_one_during_a_drain_lose_no_request(rig):
-    rig.pool.plan = {}
-    callers = [await rig.connect("http") for _ in range(4)]
+async def test_two_changes_at_once_and_one_during_a_drain_lose_no_request(harness):
+    harness.pool.plan = {}
+    callers = [await harness.connect("http") for _ in range(4)]
     for caller in callers[:2]:
         caller.send(REQUEST_BYTES["http"]("race-results", b"", request_fields("race-results")))
-    await rig.pool.log.wait_for(lambda entry: entry["t"] == "spawn", 2)
-    await reload(rig, settings_with("race-results", "submit-time-next"), twice=True)
-    await rig.leave()
-    await reload(rig, settings_with("race-results"))
-    for run in rig.pool.spawn_commands():
-        rig.pool.finish(run["rid"])
+    await harness.pool.log.wait_for(lambda entry: entry["t"] == "spawn", 2)
+    await reload(harness, settings_with("race-results", "submit-time-next"), twice=True)
+    await harness.leave()
+    await reload(harness, settings_with("race-results"))
+    for run in harness.pool.spawn_commands():
+        harness.pool.finish(run["rid"])
     for caller in callers[:2]:
         assert (await caller.reply()).status == 200
-    assert await asyncio.wait_for(rig.process.wait(), 10) == 0
+    assert await asyncio.wait_for(harness.process.wait(), 10) == 0
 
 
-async def test_a_setting_that_cannot_change_is_reported_and_the_rest_is_applied(rig):
-    rig.settings = settings_with("race-results", "submit-time-next")
-    rig.configure()
-    rig.config.write_text(rig.config.read_text().replace('"memory_mb": 192', '"memory_mb": 64'))
-    rig.process.send_signal(signal.SIGHUP)
-    line = await asyncio.wait_for(rig.process.stderr.readline(), 10)
+async def test_a_setting_that_cannot_change_is_reported_and_the_rest_is_applied(harness):
+    harness.settings = settings_with("race-results", "submit-time-next")
+    harness.configure()
+    harness.config.write_text(harness.config.read_text().replace('"memory_mb": 192', '"memory_mb": 64'))
+    harness.process.send_signal(signal.SIGHUP)
+    line = await asyncio.wait_for(harness.process.stderr.readline(), 10)
     assert line.startswith(b"flintshift: limits stays as it was at the start")
-    assert (await rig.ask("http", "submit-time-next", fields=request_fields())).status == 200
+    assert (await harness.ask("http", "submit-time-next", fields=request_fields())).status == 200
 
 
 def test_new_settings_apply_to_new_requests_and_earlier_ones_to_open_requests(make_server):
--- a/tests/wire/test_bad_input.py
+++ b/tests/wire/test_bad_input.py
@@ -14,8 +14,8 @@
 FRONTS = list(REQUEST_BYTES)
 
 
-def finish_at_once(rig):
-    rig.pool.plan = dict.fromkeys(("race-results", "submit-time"), 0)
+def finish_at_once(harness):
+    harness.pool.plan = dict.fromkeys(("race-results", "submit-time"), 0)
 
 
 INVALID_REQUESTS = [  # class, body, changed fields, status, a word in the answer's error
@@ -65,14 +65,14 @@
 
 
 @pytest.mark.parametrize("front", FRONTS)
-async def test_each_value_of_a_callers_timeout_and_expected_work_has_its_status(rig, front):
-    finish_at_once(rig)
+async def test_each_value_of_a_callers_timeout_and_expected_work_has_its_status(harness, front):
+    finish_at_once(harness)
     for name, value, status in HINTS:
         fields = request_fields("race-results", **{name: value, "X-Door-Time": str(int(time.time() * 1000) - 60)})
-        reply = await rig.ask(front, "race-results", fields=fields)
+        reply = await harness.ask(front, "race-results", fields=fields)
         assert reply.status == status, (name, value, reply)
         assert status != 400 or name in json.loads(reply.body)["error"]
-    assert len(rig.runs()) == sum(status == 200 for _, _, status in HINTS)
+    assert len(harness.runs()) == sum(status == 200 for _, _, status in HINTS)
 
 
 MALFORMED_BYTES = {
@@ -100,15 +100,15 @@
 
 
 @pytest.mark.parametrize("front", FRONTS)
-async def test_malformed_input_gets_an_error_status_runs_nothing_and_leaves_the_node_up(rig, front):
-    finish_at_once(rig)
+async def test_malformed_input_gets_an_error_status_runs_nothing_and_leaves_the_node_up(harness, front):
+    finish_at_once(harness)
     for class_name, body, changes, status, word in INVALID_REQUESTS:
-        reply = await rig.ask(front, class_name, body, request_fields(class_name, **changes))
+        reply = await harness.ask(front, class_name, body, request_fields(class_name, **changes))
         assert reply.status == status and word in json.loads(reply.body)["error"], (changes, reply)
     for data, status in MALFORMED_BYTES[front]:
-        caller = await rig.connect(front)
+        caller = await harness.connect(front)
         caller.send(data)
         caller.writer.write_eof()
         assert (await caller.reply()).status == status, data
         assert await caller.is_closed()
-    assert not rig.runs() and (await rig.ask(front)).status == 200
+    assert not harness.runs() and (await harness.ask(front)).status == 200
--- a/tests/wire/test_vault.py
+++ b/tests/wire/test_vault.py
@@ -108,18 +108,18 @@
     ],
 )
 async def test_calls_are_transferred_unchanged_and_repeated_only_if_they_certainly_did_not_run(
-    rig, reply, status, call_count
+    harness, reply, status, call_count
 ):
-    rig.vault.reply, rig.pool.plan = reply, {"submit-time": ("blocked", {"b64": "AP8="})}
-    assert (await rig.ask("http")).status == status
-    calls = [entry for entry in rig.vault.log.entries if entry[0] == "ask"]
+    harness.vault.reply, harness.pool.plan = reply, {"submit-time": ("blocked", {"b64": "AP8="})}
+    assert (await harness.ask("http")).status == status
+    calls = [entry for entry in harness.vault.log.entries if entry[0] == "ask"]
     assert len(calls) == call_count and calls[0][2] == b"\x00\xff"
-    supplied = [base64.b64decode(entry["b64"]) for entry in rig.pool.log.entries if entry["t"] == "supply"]
+    supplied = [base64.b64decode(entry["b64"]) for entry in harness.pool.log.entries if entry["t"] == "supply"]
     assert supplied == ([b"\x00\r\n\xffx"] if status == 200 else [])
 
 
-async def test_a_refused_connection_proves_that_the_call_never_ran(rig):
-    await rig.vault.stop()
-    rig.pool.plan = {"submit-time": ("blocked", {"b64": ""})}
-    assert (await rig.ask("http")).status == 500
-    assert (await rig.counters())["vault.refused"] == 3
+async def test_a_refused_connection_proves_that_the_call_never_ran(harness):
+    await harness.vault.stop()
+    harness.pool.plan = {"submit-time": ("blocked", {"b64": ""})}
+    assert (await harness.ask("http")).status == 500
+    assert (await harness.counters())["vault.refused"] == 3
