--- a/benchmarks/control_latency.py
+++ b/benchmarks/control_latency.py
@@ -55,13 +55,13 @@
 async def measure(callers: int, calls: int, incomplete_calls: int) -> dict[str, float]:
     """Return the delays in ms of up to ``calls`` control calls under the load of the callers and incomplete calls."""
     with tempfile.TemporaryDirectory(prefix="flintshift-bench-") as name, ProcessPoolExecutor(WORKERS) as executor:
-        async with SingleNodeCluster(Path(name), pool=Pool(cores=64), platform=PLATFORM, control=True) as rig:
-            assert rig.process is not None
-            loop, stopped, port = asyncio.get_running_loop(), asyncio.Event(), rig.ports["control"]
-            cpu_before_s, began_s = cpu_s(rig.process.pid), time.perf_counter()
+        async with SingleNodeCluster(Path(name), pool=Pool(cores=64), platform=PLATFORM, control=True) as cluster:
+            assert cluster.process is not None
+            loop, stopped, port = asyncio.get_running_loop(), asyncio.Event(), cluster.ports["control"]
+            cpu_before_s, began_s = cpu_s(cluster.process.pid), time.perf_counter()
             caller_tasks = [
                 loop.run_in_executor(
-                    executor, run_callers, rig.ports["http"], "http", callers // WORKERS, 1 << 30, number
+                    executor, run_callers, cluster.ports["http"], "http", callers // WORKERS, 1 << 30, number
                 )
                 for number in range(WORKERS)
             ]
@@ -73,9 +73,9 @@
             while len(delays_ms) < calls and time.perf_counter() < deadline_s:
                 delays_ms.append(await call_control(port))
                 await asyncio.sleep(0.02)
-            core_busy = (cpu_s(rig.process.pid) - cpu_before_s) / (time.perf_counter() - began_s)
+            core_busy = (cpu_s(cluster.process.pid) - cpu_before_s) / (time.perf_counter() - began_s)
             stopped.set()
-            await rig.kill()
+            await cluster.kill()
             await asyncio.gather(*caller_tasks, *incomplete_call_tasks, return_exceptions=True)
         delays_ms.sort()
         return {
--- a/benchmarks/disk_faults.py
+++ b/benchmarks/disk_faults.py
@@ -40,14 +40,14 @@
     settings = SETTINGS.format(("process-death", "power-cut")[seed % 2])
     async with SingleNodeCluster(
         folder, settings, uwsgi=True, pool=pool, root=ROOT, environment=faults.environment
-    ) as rig:
-        await load_for(rig, tally, 0.3, seed * 10, kill=False)
+    ) as cluster:
+        await load_for(cluster, tally, 0.3, seed * 10, kill=False)
         faults.set_rates(DISK_FAULTS)
-        await load_for(rig, tally, 1.0 + rng.random(), seed * 10 + 1, kill=False)
+        await load_for(cluster, tally, 1.0 + rng.random(), seed * 10 + 1, kill=False)
         if seed % 4 < 2:
             faults.set_rates(NO_FAULTS)
             await anyio.sleep(RECOVERY_S)
-        code = await rig.terminate()
+        code = await cluster.terminate()
     violations, _ = find_violations(folder, tally, pool.spawned)
     return violations + ([f"exit code {code}"] if code else [])
 
--- a/benchmarks/door_surge.py
+++ b/benchmarks/door_surge.py
@@ -111,7 +111,7 @@
 
 
 async def load_in_turn(
-    rigs: dict[str, SingleNodeCluster],
+    clusters: dict[str, SingleNodeCluster],
     times: float,
     one_caller: bool,
     heed: bool,
@@ -121,9 +121,9 @@
 ) -> dict[str, RequestCounts]:
     """Load all nodes in turn; return their counts by name."""
     loop, counts = asyncio.get_running_loop(), {}
-    for name in sorted(rigs, reverse=seed % 2 == 1):
+    for name in sorted(clusters, reverse=seed % 2 == 1):
         counts[name] = await loop.run_in_executor(
-            executor, run_callers, rigs[name].ports, times, one_caller, heed, seconds, seed
+            executor, run_callers, clusters[name].ports, times, one_caller, heed, seconds, seed
         )
     return counts
 
@@ -135,9 +135,9 @@
     kept_shares: dict[str, dict[str, list[float]]] = {}
     with tempfile.TemporaryDirectory(prefix="flintshift-bench-") as name, ProcessPoolExecutor(1) as executor:
         async with AsyncExitStack() as stack:
-            rigs = {}
+            clusters = {}
             for variant in ("on", "off"):
-                rigs[variant] = await stack.enter_async_context(
+                clusters[variant] = await stack.enter_async_context(
                     SingleNodeCluster(
                         Path(name) / variant,
                         f"door: {{enabled: {str(variant == 'on').lower()}}}\n",
@@ -147,11 +147,11 @@
                         platform={"tenants": [{"name": club, "quotaPerS": 100.0} for club in CLUBS]},
                     )
                 )
-                rigs[variant].apps.pool, rigs[variant].apps.took_ms = rigs[variant].pool, RUN_MS
+                clusters[variant].apps.pool, clusters[variant].apps.took_ms = clusters[variant].pool, RUN_MS
             for round_ in range(rounds):
-                counts_before = await load_in_turn(rigs, 1.0, one_caller, False, seconds, 10 + round_, executor)
-                counts_in_surge = await load_in_turn(rigs, times, one_caller, heed, seconds, 20 + round_, executor)
-                for variant in rigs:
+                counts_before = await load_in_turn(clusters, 1.0, one_caller, False, seconds, 10 + round_, executor)
+                counts_in_surge = await load_in_turn(clusters, times, one_caller, heed, seconds, 20 + round_, executor)
+                for variant in clusters:
                     row = kept_shares.setdefault(variant, {})
                     for kind, (sent, served) in counts_in_surge[variant].items():
                         usual = counts_before[variant].get(kind, counts_before[variant]["usual"])
--- a/benchmarks/kill_node.py
+++ b/benchmarks/kill_node.py
@@ -48,18 +48,18 @@
 """
 
 
-async def load_for(rig: SingleNodeCluster, tally: Tally, seconds: float, seed: int, kill: bool) -> None:
+async def load_for(cluster: SingleNodeCluster, tally: Tally, seconds: float, seed: int, kill: bool) -> None:
     """Put the node under load from callers of both fronts for ``seconds``; then kill it if ``kill`` is set."""
     stop = asyncio.Event()
     callers = [
-        Caller(rig.ports[front], front, number, list(CLUBS), tally, seed * 100 + number, 0.001)
+        Caller(cluster.ports[front], front, number, list(CLUBS), tally, seed * 100 + number, 0.001)
         for number in range(8)
         for front in (("http",) if number % 4 else ("uwsgi",))
     ]
     tasks = [asyncio.create_task(caller.run(stop)) for caller in callers]
     await asyncio.sleep(seconds)
     if kill:
-        await rig.kill()
+        await cluster.kill()
     stop.set()
     await asyncio.gather(*tasks)
 
@@ -130,17 +130,17 @@
     """Do one run with two kills; return violations and counts."""
     rng, folder, tally = random.Random(seed), base / f"{seed}", Tally()
     pool = Pool(cores=4, took_ms={"race-results": 3.0}, calling_classes=frozenset({"race-results"}))
-    async with SingleNodeCluster(folder, SETTINGS.format(durability), uwsgi=True, pool=pool, root=ROOT) as rig:
+    async with SingleNodeCluster(folder, SETTINGS.format(durability), uwsgi=True, pool=pool, root=ROOT) as cluster:
         with (folder / "stderr").open("wb") as stderr:
             for start_number in range(3):
                 if start_number:
                     try:
-                        await rig.start(stderr)
+                        await cluster.start(stderr)
                     except RuntimeError as error:
                         raise RuntimeError(f"{error}: {(folder / 'stderr').read_text()[-2000:]}") from error
-                await load_for(rig, tally, 0.2 + rng.random() * 1.5, seed * 10 + start_number, start_number < 2)
+                await load_for(cluster, tally, 0.2 + rng.random() * 1.5, seed * 10 + start_number, start_number < 2)
             await asyncio.sleep(0.5)
-            code = await rig.terminate()
+            code = await cluster.terminate()
     violations, counts = find_violations(folder, tally, pool.spawned)
     output = (folder / "stderr").read_text()
     if "usage.disk_refused" in output:  # a node killed meanwhile loses the use recorded in memory, as documented
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -81,16 +81,16 @@
 
 
 async def measure_burst(
-    rig: SingleNodeCluster, front: str, requests: int, callers: int, executor: ProcessPoolExecutor, seed: int
+    cluster: SingleNodeCluster, front: str, requests: int, callers: int, executor: ProcessPoolExecutor, seed: int
 ) -> dict[str, float]:
     """Load one node while the others are idle; return its figures."""
-    assert rig.process is not None
-    loop, pid = asyncio.get_running_loop(), rig.process.pid
+    assert cluster.process is not None
+    loop, pid = asyncio.get_running_loop(), cluster.process.pid
     cpu_before_s, began_s = cpu_s(pid), loop.time()
     results = await asyncio.gather(
         *(
             loop.run_in_executor(
-                executor, run_callers, rig.ports[front], front, callers, requests // WORKERS, seed + worker
+                executor, run_callers, cluster.ports[front], front, callers, requests // WORKERS, seed + worker
             )
             for worker in range(WORKERS)
         )
@@ -114,9 +114,9 @@
     figures: dict[tuple[str, str], list[dict[str, float]]] = {run[:2]: [] for run in runs}
     async with AsyncExitStack() as stack:
         executor = stack.enter_context(ProcessPoolExecutor(WORKERS))
-        rigs: list[list[SingleNodeCluster]] = []
+        clusters: list[list[SingleNodeCluster]] = []
         for number, (front, variant, settings, root) in enumerate(runs):
-            rigs.append(
+            clusters.append(
                 [
                     await stack.enter_async_context(
                         SingleNodeCluster(
@@ -140,7 +140,7 @@
                     front = runs[index][0]
                     figures_by_run[index].append(
                         await measure_burst(
-                            rigs[index][node],
+                            clusters[index][node],
                             front,
                             requests // (1 if front == "http" else 3),
                             callers,
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -86,9 +86,9 @@
     with tempfile.TemporaryDirectory(prefix="flintshift-bench-") as name, ProcessPoolExecutor(WORKERS) as executor:
         async with SingleNodeCluster(
             Path(name), pool=Pool(cores=64), platform=PLATFORM, control=True, uwsgi=uwsgi
-        ) as rig:
+        ) as cluster:
             deadline_s = time.time() + 0.5 + upgrades * (steady_s + 0.8)
-            ports = {front: rig.ports[front] for front in (("http", "uwsgi") if uwsgi else ("http",))}
+            ports = {front: cluster.ports[front] for front in (("http", "uwsgi") if uwsgi else ("http",))}
             loop = asyncio.get_running_loop()
             caller_tasks = [
                 loop.run_in_executor(executor, run_callers, ports, callers // WORKERS, deadline_s, number)
@@ -98,13 +98,13 @@
             for _ in range(upgrades):
                 await asyncio.sleep(steady_s)
                 began_s = time.time()
-                predecessor = await rig.start_successor()
-                assert rig.process is not None
+                predecessor = await cluster.start_successor()
+                assert cluster.process is not None
                 row = {
                     "ready_ms": (time.time() - began_s) * 1000,
-                    "start_cpu_ms": cpu_s(rig.process.pid) * 1000,
+                    "start_cpu_ms": cpu_s(cluster.process.pid) * 1000,
                     "older_mb": resident_mb(predecessor.pid),
-                    "newer_mb": resident_mb(rig.process.pid),
+                    "newer_mb": resident_mb(cluster.process.pid),
                 }
                 signalled_s = time.time()
                 predecessor.send_signal(signal.SIGTERM)
@@ -113,7 +113,9 @@
                 windows.append((began_s, time.time()))
             answers = [answer for task_answers in await asyncio.gather(*caller_tasks) for answer in task_answers]
             spawned = {
-                request_id for pool in (rig.pool, rig.apps, *rig.predecessor_pools) for request_id in pool.spawned
+                request_id
+                for pool in (cluster.pool, cluster.apps, *cluster.predecessor_pools)
+                for request_id in pool.spawned
             }
     delays_during_ms = [ms for begin, end in windows for asked_s, ms, *_ in answers if begin <= asked_s < end]
     delays_steady_ms = [
--- a/flintshift/lab/demo.py
+++ b/flintshift/lab/demo.py
@@ -49,10 +49,12 @@
         Tally(),
         asyncio.Event(),
     )
-    async with SingleNodeCluster(folder, SETTINGS, pool=pool) as rig:
-        report(f"a node at 127.0.0.1:{rig.ports['http']}; {callers} callers for {seconds:g} s")
+    async with SingleNodeCluster(folder, SETTINGS, pool=pool) as cluster:
+        report(f"a node at 127.0.0.1:{cluster.ports['http']}; {callers} callers for {seconds:g} s")
         tasks = [
-            asyncio.create_task(Caller(rig.ports["http"], "http", number, list(CLUBS), tally, number, 0.02).run(stop))
+            asyncio.create_task(
+                Caller(cluster.ports["http"], "http", number, list(CLUBS), tally, number, 0.02).run(stop)
+            )
             for number in range(callers)
         ]
         elapsed_s = 0.0
@@ -62,7 +64,7 @@
             report(f"{elapsed_s:4.1f} s: {sum(tally.answers.values()):,} answers")
         stop.set()
         await asyncio.gather(*tasks)
-        exit_code = await rig.terminate()
+        exit_code = await cluster.terminate()
     recorded, in_doubt = recorded_requests(folder / "usage")
     counted: Counter[str] = Counter()
     outcomes: Counter[str] = Counter()
--- a/flintshift/lab/drain_soak.py
+++ b/flintshift/lab/drain_soak.py
@@ -192,8 +192,8 @@
 class Callers:
     """The callers of one drain, and all attempts of their requests."""
 
-    def __init__(self, plan: Plan, rig: SingleNodeCluster, pool: CheckedPool) -> None:
-        self.plan, self.rig, self.pool = plan, rig, pool
+    def __init__(self, plan: Plan, cluster: SingleNodeCluster, pool: CheckedPool) -> None:
+        self.plan, self.cluster, self.pool = plan, cluster, pool
         self.attempts: list[Attempt] = []
         self.rng = random.Random(plan.seed + 1)
         self.clock_step_ms = 0.0  # adjustment of the wall clock, which the node and the callers share
@@ -202,7 +202,7 @@
     async def connect(self) -> Link | None:
         """Open a connection to the http front; None: that failed."""
         try:
-            _, link = await asyncio.get_running_loop().create_connection(Link, "127.0.0.1", self.rig.ports["http"])
+            _, link = await asyncio.get_running_loop().create_connection(Link, "127.0.0.1", self.cluster.ports["http"])
         except OSError:
             return None
         return link
@@ -278,7 +278,9 @@
         """Send requests to the uwsgi front until the node has exited."""
         while not self.node_exited:
             try:
-                _, link = await asyncio.get_running_loop().create_connection(Link, "127.0.0.1", self.rig.ports["uwsgi"])
+                _, link = await asyncio.get_running_loop().create_connection(
+                    Link, "127.0.0.1", self.cluster.ports["uwsgi"]
+                )
             except OSError:
                 if self.notice_sent:
                     return
@@ -298,8 +300,8 @@
         self.pool = CheckedPool()
         folder.mkdir(parents=True, exist_ok=True)
         self.faults = SyscallFaults(folder / "faults", seed=plan.seed)
-        self.rig = SingleNodeCluster(folder, uwsgi=plan.uwsgi, pool=self.pool, environment=self.faults.environment)
-        self.callers = Callers(plan, self.rig, self.pool)
+        self.cluster = SingleNodeCluster(folder, uwsgi=plan.uwsgi, pool=self.pool, environment=self.faults.environment)
+        self.callers = Callers(plan, self.cluster, self.pool)
         self.rng = random.Random(plan.seed + 2)
         self.notice_ms, self.lag = 0.0, LoopLag()
 
@@ -307,9 +309,9 @@
         """Run the drain, and judge it."""
         plan, errors = self.plan, self.folder / "stderr"
         with errors.open("wb") as stderr:
-            async with self.rig:
-                await self.rig.kill()
-                process = await self.rig.start(stderr)
+            async with self.cluster:
+                await self.cluster.kill()
+                process = await self.cluster.start(stderr)
                 tasks = [asyncio.create_task(self.lag.watch()), *self._start_callers()]
                 await asyncio.sleep(0.6)
                 self.faults.set_rates(plan.rates)
--- a/flintshift/lab/faulty_start.py
+++ b/flintshift/lab/faulty_start.py
@@ -70,7 +70,7 @@
     writes and syncs that fail, counted from 0, and how many do. ``host``: the machine's name in the configuration."""
     folder.mkdir(parents=True, exist_ok=True)
     shared, errors = SyscallFaults(folder / "faults", seed=seed), folder / "stderr"
-    rig = SingleNodeCluster(
+    cluster = SingleNodeCluster(
         folder,
         settings=settings,
         uwsgi=uwsgi,
@@ -79,8 +79,8 @@
         start_timeout_s=READY_TIMEOUT_S,
         host=host,
     )
-    async with rig:
-        await rig.terminate()
+    async with cluster:
+        await cluster.terminate()
         for fault in faults:
             shared.fail_call(fault.call, fault.rate, fault.error)
         shared.set_rates(Rates(disk=disk))
@@ -89,15 +89,15 @@
         ending_faults = asyncio.create_task(_end_faults(shared, faults, DISK_FAULT_S if disk else 0.0))
         with errors.open("wb") as stderr:
             try:
-                await rig.start(stderr)
+                await cluster.start(stderr)
                 ready_s = time.monotonic() - started_s
             except (RuntimeError, TimeoutError):
                 pass
-        assert rig.process is not None
+        assert cluster.process is not None
         await ending_faults
         await asyncio.sleep(0.2)
-        exit_code = rig.process.returncode
-        left = None if exit_code is not None else await rig.terminate()
+        exit_code = cluster.process.returncode
+        left = None if exit_code is not None else await cluster.terminate()
     return StartResult(ready_s, exit_code, left, errors.read_text(errors="replace"))
 
 
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -101,11 +101,11 @@
     assert "its modifiers are not 0" in messages[0]
 
 
-async def test_rig_whose_node_is_not_ready_in_time_leaves_no_process(tmp_path):
-    rig = SingleNodeCluster(tmp_path, start_timeout_s=0.05)
+async def test_cluster_whose_node_is_not_ready_in_time_leaves_no_process(tmp_path):
+    cluster = SingleNodeCluster(tmp_path, start_timeout_s=0.05)
     with pytest.raises(RuntimeError):
-        await rig.__aenter__()
-    await assert_all_ended(rig.processes, rig.stand_ins)
+        await cluster.__aenter__()
+    await assert_all_ended(cluster.processes, cluster.stand_ins)
 
 
 async def test_fleet_whose_member_does_not_start_leaves_no_process(tmp_path):
--- a/tests/lifecycle/test_clock_steps.py
+++ b/tests/lifecycle/test_clock_steps.py
@@ -24,7 +24,7 @@
         folder.mkdir()
         self.faults = SyscallFaults(folder / "faults")
         self.pool = Pool(took_ms={"submit-time": 5.0, "race-results": 400.0})
-        self.rig = SingleNodeCluster(folder, pool=self.pool, environment=self.faults.environment)
+        self.cluster = SingleNodeCluster(folder, pool=self.pool, environment=self.faults.environment)
         self.step_s = 0.0
         self.writers = []  # kept, as a connection without a reference is closed
 
@@ -43,7 +43,7 @@
 
     async def send(self, data):
         """Send these bytes on a new connection; returns its reader."""
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.rig.ports["http"])
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.cluster.ports["http"])
         writer.write(data)
         self.writers.append(writer)
         return reader
@@ -57,7 +57,7 @@
 @pytest.fixture
 async def node(tmp_path):
     node = SteppedNode(tmp_path / "node")
-    async with node.rig:
+    async with node.cluster:
         yield node
 
 
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize("step_s", STEPS_S)
 async def test_a_request_half_read_during_a_step_is_served(node, step_s):
     data = node.request(f"{1:016x}", "standings")
-    reader, writer = await asyncio.open_connection("127.0.0.1", node.rig.ports["http"])
+    reader, writer = await asyncio.open_connection("127.0.0.1", node.cluster.ports["http"])
     writer.write(data[:40])
     await asyncio.sleep(0.1)
     node.step(step_s)
@@ -115,7 +115,7 @@
 async def test_a_drain_continues_over_a_step(node, step_s):
     reader = await node.send(node.request(f"{1:016x}", "race-results"))
     await asyncio.sleep(0.05)
-    leaving = asyncio.create_task(node.rig.terminate())
+    leaving = asyncio.create_task(node.cluster.terminate())
     await asyncio.sleep(0.05)
     node.step(step_s)
     assert (await asyncio.wait_for(read_reply(reader), 5))[0] == 200
--- a/tests/lifecycle/test_failing_system_calls.py
+++ b/tests/lifecycle/test_failing_system_calls.py
@@ -23,10 +23,10 @@
 @pytest.mark.parametrize("seed", range(1, 9))
 async def test_a_start_succeeds_though_calls_of_socket_fail_for_a_moment(seed, tmp_path):
     faults = SyscallFaults(tmp_path / "faults", seed=seed)
-    async with SingleNodeCluster(tmp_path, uwsgi=True, control=True, environment=faults.environment) as rig:
-        await rig.kill()
+    async with SingleNodeCluster(tmp_path, uwsgi=True, control=True, environment=faults.environment) as cluster:
+        await cluster.kill()
         faults.set_rates(Rates(socket=200))
-        process = await asyncio.wait_for(rig.start(), 15)
+        process = await asyncio.wait_for(cluster.start(), 15)
         faults.set_rates(NO_FAULTS)
         assert process.returncode is None
 
@@ -47,15 +47,15 @@
     disconnected and closed the connection with its request unread. A soak test of drains had 16 to 77 requests reset in
     each of 5 runs of 60."""
     faults = SyscallFaults(tmp_path / "faults", seed=7)
-    async with SingleNodeCluster(tmp_path, environment=faults.environment) as rig:
+    async with SingleNodeCluster(tmp_path, environment=faults.environment) as cluster:
         faults.fail_call(call, rate)
-        pings = [asyncio.ensure_future(ping(rig.ports["http"])) for _ in range(60)]
+        pings = [asyncio.ensure_future(ping(cluster.ports["http"])) for _ in range(60)]
         if lasts_s:
             await asyncio.sleep(lasts_s)
             faults.fail_call(call, 0)
         assert await asyncio.gather(*pings) == [True] * 60
         faults.fail_call(call, 0)
-        assert await rig.terminate() == 0
+        assert await cluster.terminate() == 0
 
 
 async def ping(port):
@@ -71,19 +71,19 @@
 
 
 async def test_a_standard_error_that_nobody_reads_stops_nothing(tmp_path):
-    async with SingleNodeCluster(tmp_path) as rig:
-        await rig.kill()
+    async with SingleNodeCluster(tmp_path) as cluster:
+        await cluster.kill()
         read, write = os.pipe()
         fcntl.fcntl(write, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
-        process = await rig.start(write)
+        process = await cluster.start(write)
         for _ in range(100):
             process.send_signal(signal.SIGUSR1)
             await asyncio.sleep(0.01)
-        reader, writer = await asyncio.open_connection("127.0.0.1", rig.ports["http"])
+        reader, writer = await asyncio.open_connection("127.0.0.1", cluster.ports["http"])
         writer.write(b"GET /ping HTTP/1.1\r\nHost: n1\r\n\r\n")
         assert b" 200 " in await asyncio.wait_for(reader.readline(), 2)
         writer.close()
-        assert await rig.terminate() == 0
+        assert await cluster.terminate() == 0
         os.close(read)
         os.close(write)
 
--- a/tests/lifecycle/test_starts_under_faults.py
+++ b/tests/lifecycle/test_starts_under_faults.py
@@ -186,7 +186,7 @@
 
 
 async def test_a_configuration_that_is_still_being_written_is_read_once_it_is_complete(tmp_path):
-    async with SingleNodeCluster(tmp_path / "node") as rig:
-        await rig.terminate()
-        assert (await rig.start(complete_config_after_s=0.6)).returncode is None
-        assert await rig.terminate() == 0
+    async with SingleNodeCluster(tmp_path / "node") as cluster:
+        await cluster.terminate()
+        assert (await cluster.start(complete_config_after_s=0.6)).returncode is None
+        assert await cluster.terminate() == 0
--- a/tests/test_ledger_node.py
+++ b/tests/test_ledger_node.py
@@ -35,8 +35,8 @@
 )
 
 
-async def send_request(rig, class_name="standings", club="sur-pacers", rid="00000000000000aa", **headers):
-    reader, writer = await asyncio.open_connection("127.0.0.1", rig.ports["http"])
+async def send_request(cluster, class_name="standings", club="sur-pacers", rid="00000000000000aa", **headers):
+    reader, writer = await asyncio.open_connection("127.0.0.1", cluster.ports["http"])
     writer.write(http_request(class_name, b"12:01.5", request_fields(rid, club, class_name, 1) | headers))
     status, body, _ = await read_reply(reader)
     writer.close()
@@ -62,13 +62,13 @@
 
 
 async def test_use_is_shown_after_a_restart(tmp_path):
-    async with SingleNodeCluster(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT) as rig:
-        assert (await send_request(rig))[0] == 200
-        assert (await send_request(rig, "race-results", rid="00000000000000ab", **{"X-Again": "1"}))[0] == 200
-        assert (await send_request(rig, "submit-time", rid="00000000000000ac", **{"X-Unique": "k"}))[0] == 200
-        assert (await send_request(rig, "submit-time", rid="00000000000000ad", **{"X-Unique": "k"}))[0] == 200
-        assert await rig.terminate() == 0
-        await rig.start(asyncio.subprocess.DEVNULL)
+    async with SingleNodeCluster(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT) as cluster:
+        assert (await send_request(cluster))[0] == 200
+        assert (await send_request(cluster, "race-results", rid="00000000000000ab", **{"X-Again": "1"}))[0] == 200
+        assert (await send_request(cluster, "submit-time", rid="00000000000000ac", **{"X-Unique": "k"}))[0] == 200
+        assert (await send_request(cluster, "submit-time", rid="00000000000000ad", **{"X-Unique": "k"}))[0] == 200
+        assert await cluster.terminate() == 0
+        await cluster.start(asyncio.subprocess.DEVNULL)
         rows_by_class = {row["class"]: row for row in show_rows(tmp_path / "usage")}
         assert {name: row["requests"] for name, row in rows_by_class.items()} == {
             "standings": 1,
@@ -78,19 +78,20 @@
         assert rows_by_class["race-results"]["further_tries"] == 1 and rows_by_class["standings"]["bytes_in"] == 7
         # The repeat was answered from the kept result and is counted as such: there was one run for both.
         assert rows_by_class["submit-time"]["kept"] == 1 and rows_by_class["submit-time"]["run_us"] == 1000
-        assert len(rig.pool.spawned) == 3
+        assert len(cluster.pool.spawned) == 3
 
 
 async def test_a_disconnected_caller_and_a_run_that_ends_late_are_recorded(tmp_path):
     pool = Pool(took_ms={"standings": 400.0, "finish-times": 1700.0})
-    async with SingleNodeCluster(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT, pool=pool) as rig:
-        reader, writer = await asyncio.open_connection("127.0.0.1", rig.ports["http"])
+    async with SingleNodeCluster(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT, pool=pool) as cluster:
+        reader, writer = await asyncio.open_connection("127.0.0.1", cluster.ports["http"])
         writer.write(http_request("standings", b"1", request_fields("00000000000000b1", "sur-pacers", "standings", 1)))
         await wait_until(lambda: pool.spawned, "no run began")
         writer.transport.abort()
-        assert (await send_request(rig, "finish-times", rid="00000000000000b2"))[0] == 500  # cancelled at its deadline
+        # This request is cancelled at its deadline.
+        assert (await send_request(cluster, "finish-times", rid="00000000000000b2"))[0] == 500
         await asyncio.sleep(0.6)
-        assert await rig.terminate() == 0
+        assert await cluster.terminate() == 0
         del reader
     rows_by_outcome = {(row["class"], row["outcome"]): row for row in show_rows(tmp_path / "usage")}
     assert (
@@ -113,14 +114,14 @@
 
 @pytest.mark.parametrize("mode", ["serve", "refuse"])
 async def test_on_a_full_disk_work_is_served_or_rejected_and_the_gap_is_reported(tmp_path, mode):
-    async with SingleNodeCluster(tmp_path, SETTINGS.format("1s", mode), root=ROOT) as rig:
-        assert (await send_request(rig))[0] == 200
-        pid = rig.process.pid
+    async with SingleNodeCluster(tmp_path, SETTINGS.format("1s", mode), root=ROOT) as cluster:
+        assert (await send_request(cluster))[0] == 200
+        pid = cluster.process.pid
         file_size_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (64, file_size_limit[1]))  # each write now fails as on a full disk
         statuses = Counter()
         for number in range(60):
-            status, _ = await send_request(rig, rid=f"{number:016x}")
+            status, _ = await send_request(cluster, rid=f"{number:016x}")
             statuses[status] += 1
             await asyncio.sleep(0.02)
         if mode == "serve":
@@ -130,7 +131,7 @@
         resource.prlimit(pid, resource.RLIMIT_FSIZE, file_size_limit)
 
         async def is_served():
-            return (await send_request(rig, rid="00000000000000ff"))[0] == 200
+            return (await send_request(cluster, rid="00000000000000ff"))[0] == 200
 
         for _ in range(200):
             if await is_served():
@@ -142,7 +143,7 @@
             lambda: [found for found in read_documents(DiskFiles(), tmp_path / "usage").values() if found.gaps],
             "no document lists the gap",
         )
-        assert await rig.terminate() == 0
+        assert await cluster.terminate() == 0
     recorded, in_doubt = recorded_requests(tmp_path / "usage")
     assert in_doubt == 0
     if mode == "serve":  # a request that can't be recorded is rejected before it reaches the ledger
@@ -153,8 +154,8 @@
 
 async def test_a_running_node_accepts_a_correction_while_its_period_is_exported(tmp_path):
     settings = SETTINGS.format("1s", "serve").replace("usage: {", "usage: {export: {folder: out}, ")
-    async with SingleNodeCluster(tmp_path, settings, root=ROOT) as rig:
-        assert (await send_request(rig))[0] == 200
+    async with SingleNodeCluster(tmp_path, settings, root=ROOT) as cluster:
+        assert (await send_request(cluster))[0] == 200
         names = await wait_until(
             lambda: [
                 path.name for path in (tmp_path / "out").glob("*.r0.usage") if documents.parse(path.read_bytes()).rows
@@ -196,7 +197,7 @@
         revision = tmp_path / "out" / names[0].replace(".r0.", ".r1.")
         await wait_until(revision.exists, "the revision was not exported")
         assert (tmp_path / "out" / names[0]).read_bytes() == original
-        assert await rig.terminate() == 0
+        assert await cluster.terminate() == 0
 
 
 async def test_two_exporters_at_once_and_two_copies_of_a_folder_bill_once(tmp_path):
@@ -220,20 +221,23 @@
 
 
 async def test_a_second_node_on_a_folder_and_a_damaged_log_are_rejected_in_one_line(tmp_path):
-    async with SingleNodeCluster(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT) as rig:
-        assert (await send_request(rig))[0] == 200
+    async with SingleNodeCluster(tmp_path, SETTINGS.format("1h", "serve"), root=ROOT) as cluster:
+        assert (await send_request(cluster))[0] == 200
         second = await asyncio.create_subprocess_exec(
-            *rig.command(), cwd=ROOT, env={"LB_CONFIG": str(tmp_path / "config.json")}, stderr=asyncio.subprocess.PIPE
+            *cluster.command(),
+            cwd=ROOT,
+            env={"LB_CONFIG": str(tmp_path / "config.json")},
+            stderr=asyncio.subprocess.PIPE,
         )
         error = (await second.communicate())[1].decode()
         assert second.returncode == 2 and "another process works in this folder" in error
-        assert await rig.terminate() == 0
+        assert await cluster.terminate() == 0
     log = next((tmp_path / "usage" / "log").iterdir())
     data = bytearray(log.read_bytes())
     data[40] ^= 1
     log.write_bytes(data)
     second = subprocess.run(
-        rig.command(),
+        cluster.command(),
         cwd=ROOT,
         env={"LB_CONFIG": str(tmp_path / "config.json")},
         capture_output=True,
@@ -244,10 +248,10 @@
 
 
 async def test_counted_and_recorded_use_agree_over_both_fronts_and_a_reload(tmp_path):
-    async with SingleNodeCluster(tmp_path, SETTINGS.format("1s", "serve"), uwsgi=True, root=ROOT) as rig:
+    async with SingleNodeCluster(tmp_path, SETTINGS.format("1s", "serve"), uwsgi=True, root=ROOT) as cluster:
         tally, stop = Tally(), asyncio.Event()
         tasks = [
-            asyncio.create_task(Caller(rig.ports[front], front, number, [*CLUBS], tally, number, 0.002).run(stop))
+            asyncio.create_task(Caller(cluster.ports[front], front, number, [*CLUBS], tally, number, 0.002).run(stop))
             for number in range(6)
             for front in ("http", "uwsgi")
         ]
@@ -259,15 +263,15 @@
         settings["classes"].insert(0, {**settings["classes"][0], "name": "finals"})
         info["callsByClass"], info["classSkipWorth"] = [False] * 5, [0.0] * 5
         (tmp_path / "config.json").write_text(json.dumps(config))
-        rig.process.send_signal(1)  # SIGHUP
-        late_caller = Caller(rig.ports["http"], "http", 99, ["late-comers"], tally, 99, 0.002)
+        cluster.process.send_signal(1)  # SIGHUP
+        late_caller = Caller(cluster.ports["http"], "http", 99, ["late-comers"], tally, 99, 0.002)
         late_caller.classes = ("finals",)
         await asyncio.sleep(0.2)
         tasks.append(asyncio.create_task(late_caller.run(stop)))
         await asyncio.sleep(0.5)
         stop.set()
         await asyncio.gather(*tasks)
-        assert await rig.terminate() == 0
+        assert await cluster.terminate() == 0
     counted = Counter()
     for (club, *_), count in tally.answers.items():
         counted[club] += count
