--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from handover.upgrade_harness import Site, ask, submit
+from handover.upgrade_harness import UpgradeHarness, ask, submit
 from standins import REQUEST_BYTES
 
 from benchmarks.upgrade import measure_upgrades
@@ -17,31 +17,31 @@
 
 
 @pytest.fixture
-async def site(tmp_path):
-    async with Site(tmp_path) as site:
-        yield site
+async def harness(tmp_path):
+    async with UpgradeHarness(tmp_path) as harness:
+        yield harness
 
 
-def allow_slow_start(site):
+def allow_slow_start(harness):
     """Extend the deadlines, so that open requests outlast the start of a process on a busy machine too."""
-    for request_class in site.settings["classes"]:
+    for request_class in harness.settings["classes"]:
         request_class["deadlineMs"] = 8000.0
 
 
-async def test_the_successor_accepts_the_clients_and_the_predecessor_ends_without_cutting_off_any(site):
-    allow_slow_start(site)
+async def test_the_successor_accepts_the_clients_and_the_predecessor_ends_without_cutting_off_any(harness):
+    allow_slow_start(harness)
     # 500 ms of the grace period allow for a signal that is handled late. With the 300 ms of other tests, no request
     # would be run after the signal.
-    site.settings["rules"] = {**site.settings["rules"], "drainGraceMs": 1500.0}
-    predecessor = await site.start()
-    idle = [await site.connect() for _ in range(3)]
+    harness.settings["rules"] = {**harness.settings["rules"], "drainGraceMs": 1500.0}
+    predecessor = await harness.start()
+    idle = [await harness.connect() for _ in range(3)]
     predecessor.pool.plan = {}
-    busy = await site.connect()
+    busy = await harness.connect()
     rid = submit(busy, "k1")
     await predecessor.pool.log.wait_for(lambda entry: entry["t"] == "spawn")
-    successor = await site.start()
+    successor = await harness.start()
     assert (await predecessor.call())[1] == "another process of this node takes the clients"
-    new_connection = await site.connect()
+    new_connection = await harness.connect()
     assert (await ask(new_connection, "k2")).status == 200 and len(successor.pool.spawn_commands()) == 1
     predecessor.pool.plan = {"submit-time": 0}
     reply = await ask(idle[0], "k3")  # the predecessor answers on its open connections, and closes them
@@ -56,23 +56,23 @@
     for caller in idle:
         caller.writer.close()
     assert await predecessor.wait_exit() == 0 and successor.process.returncode is None
-    assert ("/ns/hosts/n3", "no") not in site.names.log.entries  # the node was never withdrawn
-    again = await site.connect()
+    assert ("/ns/hosts/n3", "no") not in harness.names.log.entries  # the node was never withdrawn
+    again = await harness.connect()
     assert (await ask(again, "k5")).status == 200
 
 
-async def test_a_write_runs_once_whichever_process_its_tries_reach(site):
-    allow_slow_start(site)
-    predecessor = await site.start()
-    idle = [await site.connect() for _ in range(6)]
-    first = await site.connect()
+async def test_a_write_runs_once_whichever_process_its_tries_reach(harness):
+    allow_slow_start(harness)
+    predecessor = await harness.start()
+    idle = [await harness.connect() for _ in range(6)]
+    first = await harness.connect()
     result = (await ask(first, "done-before")).body
     predecessor.pool.plan = {}
-    running = await site.connect()
+    running = await harness.connect()
     rid = submit(running, "runs-at-the-predecessor")
     await predecessor.pool.log.wait_for(lambda entry: entry["rid"] == rid if "rid" in entry else False)
-    successor = await site.start()
-    new_connections = [await site.connect() for _ in range(6)]
+    successor = await harness.start()
+    new_connections = [await harness.connect() for _ in range(6)]
     assert (await ask(new_connections[0], "done-before", **{"X-Again": "1"})).body == result
     submit(new_connections[1], "runs-at-the-predecessor", **{"X-Again": "1"})  # it waits for that run
     await successor.until("repeats", 2)
@@ -93,14 +93,14 @@
         replies = [await old_caller.reply(), await new_caller.reply()]
         assert [reply.status for reply in replies] == [200, 200] and replies[0].body == replies[1].body
     assert (await ask(idle[4], "runs-at-the-successor", body=b"another")).status == 409
-    assert len(site.runs()) == len(set(site.runs())) == 6
+    assert len(harness.runs()) == len(set(harness.runs())) == 6
 
 
 @pytest.mark.parametrize("finished", [True, False])
-async def test_the_runs_of_the_predecessor_are_known_after_it_is_killed(site, finished):
-    predecessor = await site.start()
-    idle = await site.connect()
-    successor = await site.start()
+async def test_the_runs_of_the_predecessor_are_known_after_it_is_killed(harness, finished):
+    predecessor = await harness.start()
+    idle = await harness.connect()
+    successor = await harness.start()
     predecessor.pool.plan = {"submit-time": 0} if finished else {}
     rid = submit(idle, "k1")
     if finished:
@@ -109,22 +109,22 @@
         await predecessor.pool.log.wait_for(lambda entry: entry.get("rid") == rid)
     predecessor.kill()
     await predecessor.wait_exit()
-    new_connection = await site.connect()
+    new_connection = await harness.connect()
     reply = await ask(new_connection, "k1", **{"X-Again": "1"})
     assert (reply.status, reply.body) == ((200, body) if finished else (500, b""))  # never run again, never rejected
     assert (await ask(new_connection, "k2")).status == 200
-    assert site.runs().count(rid) == 1 and len(successor.pool.spawn_commands()) == 1
+    assert harness.runs().count(rid) == 1 and len(successor.pool.spawn_commands()) == 1
 
 
 @pytest.mark.parametrize("terminated", [False, True])
 @pytest.mark.parametrize("ready", [True, False])
-async def test_the_predecessor_serves_on_when_the_successor_is_killed_or_terminated(site, ready, terminated):
-    predecessor = await site.start()
-    idle = await site.connect()
-    successor = await site.start(ready=ready)
+async def test_the_predecessor_serves_on_when_the_successor_is_killed_or_terminated(harness, ready, terminated):
+    predecessor = await harness.start()
+    idle = await harness.connect()
+    successor = await harness.start(ready=ready)
     if ready:
         successor.pool.plan = {}
-        new_connection = await site.connect()
+        new_connection = await harness.connect()
         rid = submit(new_connection, "k1")
         await successor.pool.log.wait_for(lambda entry: entry.get("rid") == rid)
     else:
@@ -140,24 +140,24 @@
         submit(idle, "k1", **{"X-Again": "1"})
         assert (await idle.reply()).status == 500
     for number in range(3):
-        caller = await site.connect()
+        caller = await harness.connect()
         submit(caller, f"then-{number}")
         assert (await caller.reply()).status == 200
     assert len(predecessor.pool.spawn_commands()) == 3
-    await site.names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"), 2)
-    third = await site.start()  # it can be replaced again
+    await harness.names.log.wait_for(lambda entry: entry == ("/ns/hosts/n3", "yes"), 2)
+    third = await harness.start()  # it can be replaced again
     assert await predecessor.terminate() == 0
-    caller = await site.connect()
+    caller = await harness.connect()
     assert (await ask(caller, "then-0", **{"X-Again": "1"})).status == 200 and not third.pool.spawn_commands()
 
 
-async def test_connections_in_the_backlog_at_the_handover_are_served(site):
-    predecessor = await site.start()
+async def test_connections_in_the_backlog_at_the_handover_are_served(harness):
+    predecessor = await harness.start()
     predecessor.process.send_signal(signal.SIGSTOP)  # it accepts nothing
-    waiting = [await site.connect(send_ping=False) for _ in range(50)]
+    waiting = [await harness.connect(send_ping=False) for _ in range(50)]
     for number, caller in enumerate(waiting):
         submit(caller, f"k{number}")
-    starting = asyncio.ensure_future(site.start())
+    starting = asyncio.ensure_future(harness.start())
     await asyncio.sleep(0.3)
     predecessor.process.send_signal(signal.SIGCONT)
     successor = await starting
@@ -165,62 +165,62 @@
     statuses = [(await caller.reply()).status for caller in waiting]
     assert (
         set(statuses) <= {200, 429}
-        and len(site.runs()) == statuses.count(200) > 10
+        and len(harness.runs()) == statuses.count(200) > 10
         and successor.process.returncode is None
     )
 
 
-async def test_an_attempt_whose_claim_is_not_answered_fails_and_neither_runs_nor_is_rejected(site):
-    predecessor = await site.start()
-    successor = await site.start()
-    new_connection = await site.connect()
+async def test_an_attempt_whose_claim_is_not_answered_fails_and_neither_runs_nor_is_rejected(harness):
+    predecessor = await harness.start()
+    successor = await harness.start()
+    new_connection = await harness.connect()
     predecessor.process.send_signal(signal.SIGSTOP)
     reply = await ask(new_connection, "k1")
-    assert reply.status == 500 and not site.runs()
+    assert reply.status == 500 and not harness.runs()
     predecessor.process.send_signal(signal.SIGCONT)
     for _ in range(50):  # the late answer frees the key
         submit(new_connection, "k1", **{"X-Again": "1"})
         if (await new_connection.reply()).status == 200:
             break
-    assert len(site.runs()) == 1
+    assert len(harness.runs()) == 1
     assert (await successor.counters())["claims.unanswered"] >= 1
 
 
-async def test_a_stale_socket_path_does_not_prevent_a_start_and_a_silent_process_does(site, tmp_path, monkeypatch):
+async def test_a_stale_socket_path_does_not_prevent_a_start_and_a_silent_process_does(harness, tmp_path, monkeypatch):
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    path = handover_socket_path("n3", ("127.0.0.1", site.port))
+    path = handover_socket_path("n3", ("127.0.0.1", harness.port))
     stale = socket.socket(socket.AF_UNIX)
     stale.bind(str(path))
     stale.close()
-    first = await site.start()
+    first = await harness.start()
     assert await first.terminate() == 0
     silent = socket.socket(socket.AF_UNIX)
     path.unlink(missing_ok=True)
     silent.bind(str(path))
     silent.listen()
-    second = await site.start(ready=False)
+    second = await harness.start(ready=False)
     assert await second.wait_exit() == 1
     assert b"it lives, so its address can't be shared" in await second.process.stderr.read()
     silent.close()
 
 
-async def test_an_unusable_folder_prevents_upgrades_but_not_the_service(site):
-    process = await site.start(tmpdir="/proc")
-    caller = await site.connect()
+async def test_an_unusable_folder_prevents_upgrades_but_not_the_service(harness):
+    process = await harness.start(tmpdir="/proc")
+    caller = await harness.connect()
     assert (await ask(caller, "k1")).status == 200
     assert b"no successor can take over: /proc/flintshift-" in await process.process.stderr.readline()
     assert (await process.counters())["upgrade.no_path"] == 1
 
 
-async def test_a_predecessor_that_drains_before_its_successor_is_up_hands_over_to_it(site):
-    predecessor = await site.start()
-    caller = await site.connect()
+async def test_a_predecessor_that_drains_before_its_successor_is_up_hands_over_to_it(harness):
+    predecessor = await harness.start()
+    caller = await harness.connect()
     result = (await ask(caller, "k1")).body
-    successor = await site.start(ready=False)
+    successor = await harness.start(ready=False)
     await successor.pool.stop()
     await predecessor.until("upgrade.giving")
     assert await predecessor.terminate() == 0
-    waiting = await site.connect(send_ping=False)  # in the backlog of the socket that both processes had open
+    waiting = await harness.connect(send_ping=False)  # in the backlog of the socket that both processes had open
     submit(waiting, "k2")
     await successor.pool.start()
     assert (await waiting.reply()).status == 200
@@ -229,15 +229,15 @@
     assert len(predecessor.pool.spawn_commands()) == len(successor.pool.spawn_commands()) == 1
 
 
-async def test_a_node_out_of_service_stays_so_after_an_upgrade(site):
-    predecessor = await site.start()
+async def test_a_node_out_of_service_stays_so_after_an_upgrade(harness):
+    predecessor = await harness.start()
     assert (await predecessor.call("POST", "/control/out-of-service"))[0] == 200
-    successor = await site.start(ready=False)
+    successor = await harness.start(ready=False)
     await successor.pool.log.wait_for(lambda entry: entry["t"] == "bind")
     async with asyncio.timeout(10):
         while (await successor.call())[1] != "the node is out of service":
             await asyncio.sleep(0.01)
-    caller = await site.connect(send_ping=False)
+    caller = await harness.connect(send_ping=False)
     caller.send(REQUEST_BYTES["http"]("", b"", {}, method="GET", path="/ping"))
     assert (await caller.reply()).status == 503
     # The call at the predecessor's control address is passed on.
@@ -256,15 +256,17 @@
 
 @pytest.mark.parametrize("signals", [(signal.SIGHUP,), (signal.SIGUSR1, signal.SIGHUP, signal.SIGHUP)])
 @pytest.mark.parametrize("step", STEPS)
-async def test_signals_to_both_processes_at_each_step_do_not_affect_an_open_write_and_its_repeats(site, step, signals):
-    for request_class in site.settings["classes"]:
+async def test_signals_to_both_processes_at_each_step_do_not_affect_an_open_write_and_its_repeats(
+    harness, step, signals
+):
+    for request_class in harness.settings["classes"]:
         request_class["deadlineMs"] = 20_000.0  # the write must outlast the start of a process, however long that takes
-    predecessor = await site.start()
-    idle = await site.connect()
+    predecessor = await harness.start()
+    idle = await harness.connect()
     predecessor.pool.plan = {}
     rid = submit(idle, "k1")
     await predecessor.pool.log.wait_for(lambda entry: entry.get("rid") == rid)
-    successor = await site.start(ready=step != STEPS[0])
+    successor = await harness.start(ready=step != STEPS[0])
     if step == STEPS[0]:
         await successor.pool.stop()
         await predecessor.until("upgrade.giving")
@@ -279,10 +281,10 @@
     predecessor.pool.finish(rid)
     reply = await idle.reply()
     assert reply.status == 200
-    again = await ask(await site.connect(), "k1", **{"X-Again": "1"})
+    again = await ask(await harness.connect(), "k1", **{"X-Again": "1"})
     assert (again.status, again.body) == (200, reply.body)
     idle.writer.close()
     assert (await predecessor.terminate() if step != STEPS[2] else await predecessor.wait_exit()) == 0
     # The result is known after the predecessor has ended too.
-    assert (await ask(await site.connect(), "k1", **{"X-Again": "1"})).body == reply.body
-    assert await successor.terminate() == 0 and site.runs().count(rid) == 1 and len(site.runs()) == 1
+    assert (await ask(await harness.connect(), "k1", **{"X-Again": "1"})).body == reply.body
+    assert await successor.terminate() == 0 and harness.runs().count(rid) == 1 and len(harness.runs()) == 1
--- a/tests/handover/upgrade_harness.py
+++ b/tests/handover/upgrade_harness.py
@@ -20,17 +20,22 @@
 class Process:
     """A process of the node, with its own worker pool and control address."""
 
-    def __init__(self, site, index):
-        self.site, self.index, self.pool = site, index, scripted_pool()
+    def __init__(self, harness, index):
+        self.harness, self.index, self.pool = harness, index, scripted_pool()
         self.pool.plan = dict.fromkeys(("race-results", "submit-time"), 0)
-        self.config = site.folder / f"config{index}.json"
+        self.config = harness.folder / f"config{index}.json"
 
     async def start(self, ready=True, tmpdir=None):
         await self.pool.start()
         self.control = free_ports(1)[0]
         self.config.write_text(
             platform_file(
-                self.site.port, self.pool, self.site.vault, self.site.names, self.site.settings, control=self.control
+                self.harness.port,
+                self.pool,
+                self.harness.vault,
+                self.harness.names,
+                self.harness.settings,
+                control=self.control,
             )
         )
         self.process = await asyncio.create_subprocess_exec(
@@ -39,7 +44,7 @@
             "flintshift",
             cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
-            env={**os.environ, "LB_CONFIG": str(self.config), "TMPDIR": str(tmpdir or self.site.folder)},
+            env={**os.environ, "LB_CONFIG": str(self.config), "TMPDIR": str(tmpdir or self.harness.folder)},
         )
         if ready:
             await self.until_ready()
@@ -81,7 +86,7 @@
         self.process.kill()
 
 
-class Site:
+class UpgradeHarness:
     """The processes of one node, which share the vault, the name service and the callers' address."""
 
     def __init__(self, folder: Path):
