--- a/benchmarks/door_surge.py
+++ b/benchmarks/door_surge.py
@@ -1,4 +1,4 @@
-"""Effect of a club's surge on the other clubs, with the fair queues on and off, on both fronts mixed.
+"""Effect of one club's overload on the other clubs, with the fair queues on and off, on both fronts mixed.
 
     python benchmarks/door_surge.py [--times 5.9] [--seconds N] [--rounds N] [--one-caller] [--heed] [--out FILE]
 
@@ -6,8 +6,8 @@
 app servers. A run takes 20 ms, and the clubs' usual load fills 0.6 of the cores. The nodes get the same load in turn:
 first the usual load of every club, then the same with one club at ``--times`` its usual rate (``--one-caller``: all
 additional requests carry one caller's number). A served share is relative to all requests of a club in that time.
-``kept`` is the share served in the surge divided by the share served before it, the median of the rounds. ``usual`` and
-``surge`` are the two parts of the surging club's load. With ``--heed``, ``came back`` is the share served of the
+``kept`` is the share served in the overload divided by the share before it, the median of the rounds. ``usual`` and
+``surge`` are the two parts of the overloading club's load. With ``--heed``, ``came back`` is the share served of the
 callers who came back once, at their retry time.
 """
 
@@ -38,7 +38,7 @@
 USUAL_PER_S, CALLERS_PER_CLUB = 20.0, 8  # requests per second of a club, and the number of its callers
 MAX_WAIT_MS = 1000.0  # the longest retry time that the embedded configuration allows
 FRONTS = ("http", "uwsgi")
-# Requests and served requests by club; those of the surging club by "usual" and "surge".
+# Requests and served requests by club; those of the overloading club by "usual" and "surge".
 RequestCounts = dict[str, tuple[int, int]]
 
 
@@ -46,7 +46,7 @@
     ports: dict[str, int], times: float, one_caller: bool, heed: bool, seconds: float, seed: int
 ) -> RequestCounts:
     """Run one process of callers that send requests at a fixed rate, whatever the answers are."""
-    surging, *_ = CLUBS
+    overloading_club, *_ = CLUBS
     sent: Counter[str] = Counter()
     served: Counter[str] = Counter()
 
@@ -95,7 +95,7 @@
         streams = [
             (
                 club,
-                "usual" if club == surging else club,
+                "usual" if club == overloading_club else club,
                 [index * 100 + one for one in range(CALLERS_PER_CLUB)],
                 USUAL_PER_S,
             )
@@ -103,7 +103,7 @@
         ]
         if times > 1:
             numbers = [99] if one_caller else [*range(50, 50 + 5 * CALLERS_PER_CLUB)]
-            streams.append((surging, "surge", numbers, (times - 1) * USUAL_PER_S))
+            streams.append((overloading_club, "surge", numbers, (times - 1) * USUAL_PER_S))
         await asyncio.gather(*(send_stream(*one, number) for number, one in enumerate(streams)))
 
     asyncio.run(run_streams())
@@ -131,7 +131,7 @@
 async def measure(
     times: float, one_caller: bool, heed: bool, seconds: float, rounds: int
 ) -> dict[str, dict[str, float]]:
-    """Return by node ("on", "off") and club the share served in the surge divided by the share before it."""
+    """Return by node ("on", "off") and club the share served in the overload divided by the share before it."""
     kept_shares: dict[str, dict[str, list[float]]] = {}
     with tempfile.TemporaryDirectory(prefix="flintshift-bench-") as name, ProcessPoolExecutor(1) as executor:
         async with AsyncExitStack() as stack:
@@ -150,10 +150,12 @@
                 clusters[variant].apps.pool, clusters[variant].apps.took_ms = clusters[variant].pool, RUN_MS
             for round_ in range(rounds):
                 counts_before = await load_in_turn(clusters, 1.0, one_caller, False, seconds, 10 + round_, executor)
-                counts_in_surge = await load_in_turn(clusters, times, one_caller, heed, seconds, 20 + round_, executor)
+                counts_in_overload = await load_in_turn(
+                    clusters, times, one_caller, heed, seconds, 20 + round_, executor
+                )
                 for variant in clusters:
                     row = kept_shares.setdefault(variant, {})
-                    for kind, (sent, served) in counts_in_surge[variant].items():
+                    for kind, (sent, served) in counts_in_overload[variant].items():
                         usual = counts_before[variant].get(kind, counts_before[variant]["usual"])
                         if kind.startswith("came back"):  # for returning callers the served share itself
                             usual = (1, 1)
--- a/flintshift/lab/chaos_replication.py
+++ b/flintshift/lab/chaos_replication.py
@@ -207,7 +207,7 @@
     tally.keys += len(load.keys)
     load_ended_s = time.monotonic()
     await fleet.wait_until_refilled(lost)
-    # The next machine is lost only when other members have replicas of what this one held.
+    # The next machine is lost only when other members have replicas of what this one stored.
     await fleet.wait_until_ledgers_complete()
     tally.complete_after_s.append(time.monotonic() - max(load_ended_s, fleet.disks_recovered_s))
     started_rids = {event.rid for event in fleet.events if isinstance(event, RunStarted)}
--- a/flintshift/lab/drain_history.py
+++ b/flintshift/lab/drain_history.py
@@ -39,7 +39,7 @@
     end_ms: float = 0.0
     status: int = 0
     result: bytes = b""
-    announced_close: bool = False  # the answer said that the connection closes
+    announced_close: bool = False  # the answer announced that the connection closes
 
 
 @dataclass(frozen=True, slots=True)
--- a/flintshift/lab/standins.py
+++ b/flintshift/lab/standins.py
@@ -276,7 +276,7 @@
 
 
 class Vault(StandIn):
-    """The vault, which answers each call at once with ``reply``, where %b stands for the call's id.
+    """The vault, which answers each call at once with ``reply``, in which %b is replaced by the call's id.
 
     ``reply`` None: the link is closed without an answer. A connection in ``links_to_reset`` is reset at its next call,
     which never runs."""
--- a/flintshift/lab/syscall_faults.c
+++ b/flintshift/lab/syscall_faults.c
@@ -1,6 +1,6 @@
 /* System calls that fail, a wall clock that is stepped, and a record of what is read after a connection's end.
  *
- * Preloaded into a process under test (LD_PRELOAD). Everything is told by one shared file, named by
+ * Preloaded into a process under test (LD_PRELOAD). Everything is controlled by one shared file, named by
  * FLINTSHIFT_SYSCALL_FAULTS, whose layout is `struct control`; syscall_faults.py writes and reads it while the process
  * runs. Without that variable nothing is changed. Rates are in calls of 1,000.
  */
--- a/tests/control/test_downstream_calls.py
+++ b/tests/control/test_downstream_calls.py
@@ -27,7 +27,7 @@
     assert [len(calls) for calls in made] == [1, 1, 0, 0]
 
 
-def test_a_skippable_call_waits_for_room_while_its_aim_leaves_time(make_server):
+def test_a_skippable_call_waits_for_capacity_while_its_aim_leaves_time(make_server):
     server = make_server(call_share=1.1)  # 1430 ms may be used: one call and its lingering
     first, second = server.arrive("buy")[0], server.arrive("list")[0]
     server.request_call(first)
@@ -147,7 +147,7 @@
     assert len(calls) > 6 and 0.4 * share < max_call_ms / 5000.0 <= 0.65 * share + 1e-9
 
 
-def test_a_process_that_may_follow_another_leaves_room_for_its_calls(make_server):
+def test_a_process_that_may_follow_another_leaves_capacity_for_its_calls(make_server):
     """Guards against a dependency that collapses because restarted processes forget the calls that still run there."""
     used_ms = {}
     for cold in (False, True):
@@ -174,9 +174,9 @@
     assert len(calling) > 3 and running + len(calling) <= 2 * 5
 
 
-def test_runs_with_skipped_calls_resume_only_as_the_cores_have_room(make_server):
+def test_runs_with_skipped_calls_resume_only_as_the_cores_have_capacity(make_server):
     """Guards against a server that collapses when all runs in the call queue go on without their calls at once."""
-    server = make_server(call_share=0.2, call_window_ms=500.0, cores=1, fall_multiple=3.0)  # room for no call
+    server = make_server(call_share=0.2, call_window_ms=500.0, cores=1, fall_multiple=3.0)  # capacity for no call
     queued = []
     for _ in range(8):
         request, actions = server.arrive("list")
--- a/tests/control/test_health_and_idle_connections.py
+++ b/tests/control/test_health_and_idle_connections.py
@@ -87,7 +87,7 @@
     assert last_idle_time(server, 60, connections=100, busy=0.5) is None
 
 
-def test_idle_connections_are_closed_early_while_many_are_open_and_cores_have_room(make_server):
+def test_idle_connections_are_closed_early_while_many_are_open_and_cores_have_capacity(make_server):
     """Guards against a table full of connections that no caller uses again."""
     server = make_server(idle_ms=30_000.0, callers=500)
     arrive_at_ten_per_second(server)
--- a/tests/fair_queueing/test_fair_queueing_node.py
+++ b/tests/fair_queueing/test_fair_queueing_node.py
@@ -48,9 +48,9 @@
 
     unreachable = await run_show()
     assert unreachable.exit_code == 1 and "refused" in unreachable.output and "door.socket" in unreachable.output
-    file = f"door: {{enabled: true, socket: {path.parent.name}/door.sock}}\n"
+    operators_file = f"door: {{enabled: true, socket: {path.parent.name}/door.sock}}\n"
     async with SingleNodeCluster(
-        tmp_path, file, pool=Pool(cores=2, took_ms={"standings": 10.0}), control=True
+        tmp_path, operators_file, pool=Pool(cores=2, took_ms={"standings": 10.0}), control=True
     ) as cluster:
         assert [await request_status(cluster, number) for number in range(1, 6)] == [200] * 5
         silent_clients = [socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) for _ in range(3)]
@@ -82,7 +82,7 @@
         (lambda path: socket.create_server(str(path), family=socket.AF_UNIX), "another process listens there"),
     ],
 )
-async def test_socket_path_in_use_is_reported_kept_and_costs_no_service(tmp_path, occupy, cause):
+async def test_socket_path_in_use_is_reported_and_kept_and_does_not_affect_the_service(tmp_path, occupy, cause):
     occupant = occupy(tmp_path / "door.sock")
     async with SingleNodeCluster(tmp_path, "door: {enabled: true, socket: door.sock}\n") as cluster:
         await cluster.kill()
@@ -187,7 +187,7 @@
 @pytest.mark.parametrize("times", [5.9, 20])
 def test_other_club_keeps_its_service_in_overload_that_starts_with(before, times):
     if times == 20:
-        # What the overload costs it without fair queues.
+        # Without fair queues, the overload reduces the other club's service.
         assert play_overload(model_node(False, took_ms=RUN_MS), times)["b"] < 0.5
     served_shares = play_overload(model_node(took_ms=RUN_MS), times, before)
     assert served_shares["b"] >= 0.95 and served_shares["a"] > 0.1
--- a/tests/fair_queueing/test_reservations.py
+++ b/tests/fair_queueing/test_reservations.py
@@ -77,6 +77,8 @@
 
 
 def test_retry_storm_displaces_neither_first_tries_nor_reservations():
-    calm, storm = door_model.simulate(True, 1, 6), door_model.simulate(True, 1, 6, retries_per_run=50)
-    assert storm.served_first_tries >= 0.9 * calm.served_first_tries and storm.returns_served_share >= 0.95
-    assert storm.served["b"] >= storm.requests_of_b - 2
+    baseline, retry_storm = door_model.simulate(True, 1, 6), door_model.simulate(True, 1, 6, retries_per_run=50)
+    assert (
+        retry_storm.served_first_tries >= 0.9 * baseline.served_first_tries and retry_storm.returns_served_share >= 0.95
+    )
+    assert retry_storm.served["b"] >= retry_storm.requests_of_b - 2
--- a/tests/peers/test_members.py
+++ b/tests/peers/test_members.py
@@ -157,7 +157,7 @@
     fleet.silent.add("n3")
     fleet.run_until(6000.0)
     assert {name for name, _ in fleet.actions_of(Died)} >= {"n1", "n2"}
-    # n2 is restarted: it never heard from the dead process.
+    # n2 is restarted: it never received a message from the dead process.
     fleet.members["n2"] = Membership("n2#2", HALLS, TIMING, fleet.now)
     fleet.actions.clear()
     fleet.run_until(9500.0)
--- a/tests/replication/test_agreement.py
+++ b/tests/replication/test_agreement.py
@@ -32,7 +32,7 @@
 def run_random_scenario(seed: int, steps: int = 700, **mutant) -> World:
     """A random scenario of claims, ends, crashes, lost disks, and lost, duplicated and reordered messages.
 
-    No disk is lost while another store is being refilled, as nothing is guaranteed then for a key that both held.
+    No disk is lost while another store is being refilled, as nothing is guaranteed then for a key that both stored.
     """
     rng, count = random.Random(seed), itertools.count(1)
     world = World(HALLS, 3, seed, **mutant)
@@ -105,7 +105,7 @@
 def run_two_claims(order: tuple[int, ...], crash_at: int, crashed: str, disk_lost: bool, **mutant) -> World:
     """Two members claim one key at the same time.
 
-    ``order`` tells for each holder which of the two claims it receives first. At the step ``crash_at`` a machine
+    ``order`` gives for each holder which of the two claims it receives first. At the step ``crash_at`` a machine
     crashes; it is restarted four steps later.
     """
     world = World({"n1": "a", "n2": "b", "n3": "c"}, 3, 1, **mutant)
--- a/tests/replication/test_store_clock.py
+++ b/tests/replication/test_store_clock.py
@@ -1,5 +1,5 @@
-"""Clock adjustments while the process of a store is down: entries are kept for as long as real time says, where that
-can be known, and never for less."""
+"""Clock adjustments while the process of a store is down: entries are kept for as long as the real time requires, where
+that is known, and never for less."""
 
 from __future__ import annotations
 
--- a/tests/replication/test_usage_replica_refusals.py
+++ b/tests/replication/test_usage_replica_refusals.py
@@ -161,7 +161,7 @@
     assert (state.promised, state.by) == (EPOCH + 1, WRITER)
 
 
-def test_a_replica_whose_folder_cannot_be_created_is_not_held_and_can_be_joined_later():
+def test_a_replica_whose_folder_cannot_be_created_is_not_added_and_can_be_joined_later():
     holder = Holder()
     holder.files.failures = {holder.files.operation_count + operation: errno.ENOSPC for operation in range(1, 1000)}
     assert holder.send(logs.Join(LOG, EPOCH, (EPOCH, 1))) is None
