--- a/tests/handover/upgrade_harness.py
+++ b/tests/handover/upgrade_harness.py
@@ -1,4 +1,4 @@
-"""A test cluster for upgrades: several processes of one node, with stand-ins for their peers."""
+"""A test harness for upgrades: several processes of one node, with stand-ins for their peers."""
 
 from __future__ import annotations
 
--- a/tests/replication/test_replicated_logs.py
+++ b/tests/replication/test_replicated_logs.py
@@ -152,7 +152,7 @@
 
 
 def test_a_holder_that_was_unreachable_when_a_log_finished_is_informed_when_it_is_back():
-    """Otherwise it would hold a replica that nobody fills for as long as the member lives that took the log over."""
+    """Otherwise it would hold a replica that nobody fills for as long as the member that took the log over is alive."""
     log, other_log = ("n5", b"old"), ("n1", b"old")
     taker = LogReplicas("n2", "n2#1", lambda member: (member, "n2", "n4"), lambda identity: True)
     returned_holder = LogReplicas("n5", "n5#2", taker.holders, lambda identity: True)
--- a/tests/replication/test_usage_replica_refusals.py
+++ b/tests/replication/test_usage_replica_refusals.py
@@ -253,7 +253,7 @@
 
 @pytest.mark.parametrize("count", [1, 2, 3, 1000])
 def test_the_end_of_a_ledger_that_the_disk_rejected_is_persisted_once_the_disk_works(count):
-    """The member that took the ledger over reports its end only once. The replica remained, as its writer lives."""
+    """The member that took the ledger over reports its end only once. The replica remained, as its writer is alive."""
     holder = Holder()
     *messages, log_finished = list(holder.life_cycle())
     for message in messages:
@@ -273,7 +273,7 @@
 
 
 def test_a_rejected_operation_on_one_ledger_does_not_affect_another():
-    """Without room for a further ledger a finished one is deleted first. When that failed, the new replica was left
+    """Without space for a further ledger a finished one is deleted first. When that failed, the new replica was left
     half created."""
     holder = Holder()
     for message in holder.life_cycle():
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -111,7 +111,7 @@
     assert await asyncio.wait_for(harness.process.wait(), 10) == 0
     assert json.loads((await harness.process.stderr.read()).splitlines()[-1])["counters"]["answered.served"] == 1
     assert len(harness.runs()) == 1
-    records = [count for word, count in harness.dns.log.entries if word == "update"]
+    records = [count for kind, count in harness.dns.log.entries if kind == "update"]
     assert records[0] == 8 and records[-1] == 4  # the app server's own four; before the node left, the node's too
 
 
