--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -27,7 +27,7 @@
 from flintshift.lab.fleet import Fleet  # noqa: E402
 from flintshift.lab.services import RateLimitedNames, now_ms  # noqa: E402
 
-REPORT_PERIOD_S, CAPACITY_FACTOR = 0.8, 1.3  # of a node's reports; of the list service, to the steady rate
+REPORT_PERIOD_S, CAPACITY_FACTOR = 0.8, 1.3  # of a node's reports; the service's capacity relative to the steady rate
 OUTAGE_S, RECOVERY_S = 8.0, 16.0  # duration of the outage, and of the measurement after it
 
 
--- a/benchmarks/door_model.py
+++ b/benchmarks/door_model.py
@@ -35,7 +35,7 @@
     RunStarted,
 )
 
-RUN_MS, QUEUE_LIMIT, MAX_WAIT_MS = 10.0, 5, 1000.0  # of a run; waiting requests; the longest retry time
+RUN_MS, QUEUE_LIMIT, MAX_WAIT_MS = 10.0, 5, 1000.0  # duration of a run; most waiting requests; longest retry time
 
 
 @dataclass
--- a/flintshift/cli/usage.py
+++ b/flintshift/cli/usage.py
@@ -64,7 +64,7 @@
             fail(f"{folder}: holds no ledger", 1)
         try:
             command(folder=folder, options=options, **arguments)
-        except BrokenPipeError:  # an OSError that is no error of the folder: the reader of the output closed its end
+        except BrokenPipeError:  # an OSError, but not of the folder: the reader of the output closed its end
             raise
         except DamagedError as error:
             fail(str(error), 1)
--- a/flintshift/lab/chaos_replication.py
+++ b/flintshift/lab/chaos_replication.py
@@ -1,8 +1,8 @@
 """Chaos test of replication: rounds of seeded faults and of lost machines, on a fleet under load.
 
-A round has keyed load with repeats at random members, a fault of the table, the loss of a machine and its disk in the
-middle of it, the return of the machine without its data, and then one more repeat of each key of the round at a member
-that is up. The checks use only what crossed the sockets.
+A round has keyed load with repeats at random members, a fault from `FAULTS` and, during it, the loss of a machine and
+its disk. Then the machine returns without its data, and each key of the round is repeated once more at a member that is
+up. The checks use only what crossed the sockets.
 """
 
 from __future__ import annotations
--- a/flintshift/lab/drain_history.py
+++ b/flintshift/lab/drain_history.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-CROSSING_MS = 50.0  # the protocol has a request sent once more if the connection closes within this time after it
+CROSSING_MS = 50.0  # by the protocol, a caller resends a request if the connection closes this soon after it
 LATE_TOLERANCE_MS = 100.0  # past the deadline: the protocol allows 50 ms, the rest is for delays on a busy machine
 REJECTED_STATUSES = (429, 503)
 
--- a/flintshift/lab/standins.py
+++ b/flintshift/lab/standins.py
@@ -28,7 +28,7 @@
 from flintshift.lab.senders import describe_sender
 from flintshift.wire import uwsgi
 
-FIRST_BYTES = 80  # that are kept of what a connection received
+FIRST_BYTES = 80  # of what a connection received; kept for error messages
 
 
 class Journal:
